--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -213,7 +213,7 @@
             let mut now = Time::ZERO;
             timed(|| {
                 now = now.after_ms(1);
-                if let Some(ask) = fetch.next(now, &mut rng) {
+                if let Some(ask) = fetch.next_request(now, &mut rng) {
                     fetch.arrived(ask.idx, ask.from, now);
                 }
             })
@@ -394,21 +394,21 @@
     };
     let tuning = Tuning {
         scheme: Scheme::Owners,
-        slots: 8,
+        peer_slots: 8,
         origin_slots: 2,
         per_source: 3,
         stall_ms: 1_000_000,
         chunk_ms: 0,
         takeover_ms: 1_000_000,
-        announced: 8,
+        max_announcements: 8,
         objective: Objective::Time,
         origin_copies: 4.0,
     };
     let mut fetch = Fetch::new(1, &manifest, |_| false, tuning, Time::ZERO);
     fetch.set_members((1..351).collect());
     for _ in 0..PARTNERS {
-        let key = fetch.join(true);
-        fetch.have(key, 0..chunks);
+        let key = fetch.add_source(true);
+        fetch.add_held(key, 0..chunks);
     }
     fetch
 }
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -15,7 +15,7 @@
 };
 use gradeloft_platform::endpoint::Engine;
 use gradeloft_policy::version::{
-    fetch::{Ask, Failure, Fetch, From, SourceKey, Tuning},
+    fetch::{ChunkRequest, Failure, Fetch, SourceKey, Tuning, Upstream},
     manifest::Manifest,
     partners::{self, Member},
 };
@@ -58,7 +58,7 @@
 
 enum Event {
     Asked {
-        ask: Ask,
+        ask: ChunkRequest,
         result: Result<Bytes, Failure>,
         took: Duration,
     },
@@ -162,7 +162,7 @@
     async fn run(&mut self) {
         let mut changed = self.agent.node.members.subscribe();
         self.meet();
-        while !(self.fetch.borrow().complete() && self.staging == 0) {
+        while !(self.fetch.borrow().is_complete() && self.staging == 0) {
             self.pump();
             tokio::select! {
                 Some(event) = self.events.next() => self.handle(event),
@@ -198,7 +198,7 @@
             .collect();
         for node in gone {
             if let Some(key) = self.followed.remove(&node) {
-                self.fetch.borrow_mut().leave(key, now);
+                self.fetch.borrow_mut().remove_source(key, now);
             }
         }
         self.follow_partners();
@@ -216,7 +216,7 @@
         if self.followed.contains_key(&member.node) {
             return;
         }
-        let key = self.fetch.borrow_mut().join(member.near);
+        let key = self.fetch.borrow_mut().add_source(member.near);
         self.followed.insert(member.node, key);
         let node = member.node;
         let address = member.address.clone();
@@ -242,11 +242,11 @@
         loop {
             let now = self.agent.node.clock.now();
             let slots = self.agent.pace_in.borrow_mut().slots(most, now);
-            self.fetch.borrow_mut().set_slots(slots);
+            self.fetch.borrow_mut().set_peer_slots(slots);
             let next = self
                 .agent
                 .node
-                .with_rng(|rng| self.fetch.borrow_mut().next(now, rng));
+                .with_rng(|rng| self.fetch.borrow_mut().next_request(now, rng));
             let Some(ask) = next else {
                 return;
             };
@@ -262,11 +262,11 @@
         }
     }
 
-    fn address(&self, from: From) -> Option<String> {
+    fn address(&self, from: Upstream) -> Option<String> {
         let node = match from {
-            From::Owner(node) => node,
-            From::Source(key) => *self.followed.iter().find(|(_, it)| **it == key)?.0,
-            From::Origin | From::Store => return None,
+            Upstream::Owner(node) => node,
+            Upstream::Source(key) => *self.followed.iter().find(|(_, it)| **it == key)?.0,
+            Upstream::Origin | Upstream::Store => return None,
         };
         let member = self.known.iter().find(|it| it.node == node);
         member.map(|it| it.address.clone())
@@ -311,12 +311,12 @@
                 positions,
             } => {
                 let positions = positions.into_iter().map(|it| it as usize);
-                self.fetch.borrow_mut().have(key, positions);
+                self.fetch.borrow_mut().add_held(key, positions);
                 match incoming {
                     Some(incoming) => self.events.push(followed(key, node, incoming)),
                     None => {
                         self.followed.remove(&node);
-                        self.fetch.borrow_mut().leave(key, now);
+                        self.fetch.borrow_mut().remove_source(key, now);
                     }
                 }
             }
@@ -329,7 +329,7 @@
         }
     }
 
-    fn arrived(&mut self, ask: Ask, content: Bytes, took: Duration) {
+    fn arrived(&mut self, ask: ChunkRequest, content: Bytes, took: Duration) {
         let now = self.agent.node.clock.now();
         let label = Source {
             source: read::source(ask.from),
@@ -371,7 +371,7 @@
     }
 
     fn report(&self) {
-        let tally = self.fetch.borrow().tally();
+        let tally = self.fetch.borrow().counts();
         self.agent.with_version(self.manifest.digest, |it| {
             it.from_origin = tally.origin;
             it.from_store = tally.store;
@@ -410,13 +410,13 @@
     let chunk_ms = largest * 1000 / agent.settings.link_bytes_per_s.max(1);
     Tuning {
         scheme: agent.scheme,
-        slots: agent.settings.fetch_slots as usize,
+        peer_slots: agent.settings.fetch_slots as usize,
         origin_slots: ORIGIN_SLOTS,
         per_source: PER_SOURCE,
         stall_ms: LEAST_STALL_MS + QUEUED_CHUNKS * chunk_ms,
         chunk_ms,
         takeover_ms: TAKEOVER_MS,
-        announced: ANNOUNCED,
+        max_announcements: ANNOUNCED,
         objective,
         origin_copies: agent.rollout().origin_copies,
     }
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -7,7 +7,7 @@
 use gradeloft_policy::{
     rendezvous,
     version::{
-        fetch::{Ask, Failure, From},
+        fetch::{ChunkRequest, Failure, Upstream},
         manifest::Manifest,
         partners::{self, Member},
     },
@@ -31,16 +31,20 @@
 const MAX_MANIFEST: usize = 8 << 20;
 
 /// Name of a source in logs and metrics.
-pub fn source(from: From) -> &'static str {
+pub fn source(from: Upstream) -> &'static str {
     match from {
-        From::Origin => "origin",
-        From::Owner(_) | From::Source(_) => "peer",
-        From::Store => "store",
+        Upstream::Origin => "origin",
+        Upstream::Owner(_) | Upstream::Source(_) => "peer",
+        Upstream::Store => "store",
     }
 }
 
 /// Reads a chunk, as fast as live requests leave room, and checks its digest.
-pub async fn chunk(agent: &Agent, ask: Ask, address: Option<String>) -> Result<Bytes, Failure> {
+pub async fn chunk(
+    agent: &Agent,
+    ask: ChunkRequest,
+    address: Option<String>,
+) -> Result<Bytes, Failure> {
     let size = ask.chunk.size_bytes;
     let wait = agent
         .pace_in
@@ -48,9 +52,9 @@
         .delay(size, agent.node.clock.now());
     actix_rt::time::sleep(wait).await;
     let content = match ask.from {
-        From::Origin => outside(&*agent.node.platform.origin, ask.chunk.digest, size).await?,
-        From::Store => outside(&*agent.node.platform.store, ask.chunk.digest, size).await?,
-        From::Owner(_) | From::Source(_) => {
+        Upstream::Origin => outside(&*agent.node.platform.origin, ask.chunk.digest, size).await?,
+        Upstream::Store => outside(&*agent.node.platform.store, ask.chunk.digest, size).await?,
+        Upstream::Owner(_) | Upstream::Source(_) => {
             let address = address.ok_or(Failure::Gone)?;
             peer(agent, &address, ask.chunk.digest).await?
         }
--- a/crates/gradeloft_gateway/src/agent/ask.rs
+++ b/crates/gradeloft_gateway/src/agent/ask.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use gradeloft_daemon::transport::client::Lane;
-use gradeloft_policy::version::fetch::{Ask, Failure, From};
+use gradeloft_policy::version::fetch::{ChunkRequest, Failure, Upstream};
 use gradeloft_wire::{
     frame::{Absence, Call, Reply},
     id::Digest,
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Answered {
     /// The question.
-    pub ask: Ask,
+    pub ask: ChunkRequest,
     /// The piece, if it came and has its digest.
     pub result: Result<Bytes, Failure>,
     /// How long it took.
@@ -29,15 +29,15 @@
 pub async fn piece(
     agent: Rc<Agent>,
     version: Version,
-    ask: Ask,
+    ask: ChunkRequest,
     address: Option<SocketAddr>,
 ) -> Answered {
     let started = agent.node.clock.now();
     let result = match ask.from {
-        From::Origin => origin_piece(&agent, &version, ask.chunk.digest).await,
+        Upstream::Origin => origin_piece(&agent, &version, ask.chunk.digest).await,
         // This platform has no store of weights beside the origin.
-        From::Store => Err(Failure::NotHeld),
-        From::Owner(_) | From::Source(_) => match address {
+        Upstream::Store => Err(Failure::NotHeld),
+        Upstream::Owner(_) | Upstream::Source(_) => match address {
             Some(address) => peer_piece(&agent, address, ask.chunk.digest).await,
             None => Err(Failure::Gone),
         },
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -20,7 +20,7 @@
     connection::window::Window,
     rendezvous,
     version::{
-        fetch::{Ask, Failure, Fetch, From, Scheme, SourceKey, Tuning},
+        fetch::{ChunkRequest, Failure, Fetch, Scheme, SourceKey, Tuning, Upstream},
         manifest::{Chunk, Manifest},
         partners,
     },
@@ -98,7 +98,7 @@
 /// Gets the pieces of `version` that are not staged; gives how many those were.
 pub async fn run(agent: &Rc<Agent>, version: &Version, members: &[Member]) -> Result<usize, Stop> {
     let mut driver = Driver::new(agent, version, members);
-    let missing = driver.fetch.borrow().left();
+    let missing = driver.fetch.borrow().missing();
     if missing == 0 {
         return Ok(0);
     }
@@ -165,13 +165,13 @@
         let piece_time = agent.piece_time();
         let tuning = Tuning {
             scheme: Scheme::Owners,
-            slots: 1,
+            peer_slots: 1,
             origin_slots: ORIGIN_SLOTS,
             per_source: PER_SOURCE,
             stall_ms: STALL_MS,
             chunk_ms: piece_time.as_millis() as u64,
             takeover_ms: TAKEOVER_MS,
-            announced: ANNOUNCED,
+            max_announcements: ANNOUNCED,
             objective: Objective::Time,
             origin_copies: ORIGIN_COPIES,
         };
@@ -199,7 +199,7 @@
     async fn run(&mut self) -> Result<(), Stop> {
         self.follow_partners();
         let settled = self.agent.node.clock.now().after(SETTLE);
-        while !(self.fetch.borrow().complete() && self.staging == 0) {
+        while !(self.fetch.borrow().is_complete() && self.staging == 0) {
             let now = self.agent.node.clock.now();
             if settled <= now || self.all_answered() {
                 self.pump();
@@ -228,7 +228,7 @@
     /// is somewhere is finished: the newer one may not be had for long, and until it is there nothing
     /// else may serve once this one is due.
     fn superseded(&self) -> bool {
-        let half_there = self.fetch.borrow().half_there();
+        let half_there = self.fetch.borrow().half_available();
         !half_there && self.agent.target().as_ref() != Some(self.version)
     }
 
@@ -281,7 +281,7 @@
             if self.followed.contains_key(&partner.node) {
                 continue;
             }
-            let key = self.fetch.borrow_mut().join(partner.near);
+            let key = self.fetch.borrow_mut().add_source(partner.near);
             self.followed.insert(partner.node, key);
             if !partner.near {
                 self.withheld.entry(key).or_default();
@@ -308,13 +308,13 @@
 
     /// Makes every ask that can be made now.
     fn pump(&mut self) {
-        self.fetch.borrow_mut().set_slots(self.window.size());
+        self.fetch.borrow_mut().set_peer_slots(self.window.size());
         loop {
             let now = self.agent.node.clock.now();
             let next = self
                 .agent
                 .node
-                .with_rng(|rng| self.fetch.borrow_mut().next(now, rng));
+                .with_rng(|rng| self.fetch.borrow_mut().next_request(now, rng));
             let Some(ask) = next else {
                 return;
             };
@@ -329,17 +329,17 @@
     }
 
     /// Whether a piece comes from this agent's region; where the origin lies is not told.
-    fn is_near(&self, from: From) -> bool {
+    fn is_near(&self, from: Upstream) -> bool {
         let address = self.address(from);
         let member = self.members.iter().find(|it| Some(it.address) == address);
         member.is_some_and(|it| it.region == self.agent.region())
     }
 
-    fn address(&self, from: From) -> Option<SocketAddr> {
+    fn address(&self, from: Upstream) -> Option<SocketAddr> {
         let node = match from {
-            From::Owner(node) => node,
-            From::Source(key) => *self.followed.iter().find(|(_, it)| **it == key)?.0,
-            From::Origin | From::Store => return None,
+            Upstream::Owner(node) => node,
+            Upstream::Source(key) => *self.followed.iter().find(|(_, it)| **it == key)?.0,
+            Upstream::Origin | Upstream::Store => return None,
         };
         let member = self.members.iter().find(|it| it.node == node);
         member.map(|it| it.address)
@@ -358,7 +358,7 @@
         }
         if self.started.after_ms(FAR_MS) <= now {
             for (key, positions) in std::mem::take(&mut self.withheld) {
-                self.fetch.borrow_mut().have(key, positions.into_iter());
+                self.fetch.borrow_mut().add_held(key, positions.into_iter());
             }
         }
         self.follow_partners();
@@ -373,7 +373,7 @@
                 took,
             }) => {
                 // A piece from the origin waited there, which says nothing of this agent's link.
-                if matches!(ask.from, From::Owner(_) | From::Source(_)) {
+                if matches!(ask.from, Upstream::Owner(_) | Upstream::Source(_)) {
                     self.window.arrived(took);
                     self.agent.congested.set(self.window.congested());
                 }
@@ -404,7 +404,7 @@
                     None => {
                         self.followed.remove(&node);
                         self.withheld.remove(&key);
-                        self.fetch.borrow_mut().leave(key, now);
+                        self.fetch.borrow_mut().remove_source(key, now);
                     }
                 }
             }
@@ -420,9 +420,9 @@
     fn learn(&mut self, key: SourceKey, positions: Vec<u32>) {
         let positions = positions.into_iter().map(|it| it as usize);
         let positions: HashSet<usize> = positions.collect();
-        self.fetch.borrow_mut().seen(positions.iter().copied());
+        self.fetch.borrow_mut().mark_seen(positions.iter().copied());
         if !self.withheld.contains_key(&key) {
-            self.fetch.borrow_mut().have(key, positions.into_iter());
+            self.fetch.borrow_mut().add_held(key, positions.into_iter());
             return;
         }
         let chunks = self.manifest.distinct();
@@ -434,15 +434,15 @@
         let (mine, others): (HashSet<usize>, HashSet<usize>) =
             positions.into_iter().partition(first);
         self.withheld.entry(key).or_default().extend(others);
-        self.fetch.borrow_mut().have(key, mine.into_iter());
+        self.fetch.borrow_mut().add_held(key, mine.into_iter());
     }
 
-    fn arrived(&mut self, ask: Ask, content: Bytes) {
+    fn arrived(&mut self, ask: ChunkRequest, content: Bytes) {
         self.arrived = self.agent.node.clock.now();
         let label = Reason {
             reason: match ask.from {
-                From::Origin | From::Store => "origin",
-                From::Owner(_) | From::Source(_) => "peer",
+                Upstream::Origin | Upstream::Store => "origin",
+                Upstream::Owner(_) | Upstream::Source(_) => "peer",
             },
         };
         self.agent.node.metrics.pieces.get_or_create(&label).inc();
@@ -479,7 +479,7 @@
         self.events.push(staging.boxed_local());
     }
 
-    fn warn(&self, ask: Ask, failure: Failure) {
+    fn warn(&self, ask: ChunkRequest, failure: Failure) {
         let expected = matches!(
             failure,
             Failure::Busy | Failure::NotHeld | Failure::Pending | Failure::Limited(_)
--- a/crates/gradeloft_policy/src/version/fetch/ask.rs
+++ b/crates/gradeloft_policy/src/version/fetch/chunk_request.rs
@@ -5,7 +5,7 @@
 
 /// Where a chunk is asked for.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum From {
+pub enum Upstream {
     /// The origin.
     Origin,
     /// A better-ranked owner, by the hash of its name, which did not say that it has the chunk.
@@ -18,13 +18,13 @@
 
 /// An order to ask for a chunk.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct ChunkRequest {
     /// Position among the manifest's distinct chunks.
     pub idx: usize,
     /// The chunk.
     pub chunk: Chunk,
     /// Whom to ask.
-    pub from: From,
+    pub from: Upstream,
 }
 
 /// How an ask failed.
@@ -48,7 +48,7 @@
 
 /// Chunks by where they came from.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Tally {
+pub struct ChunkCounts {
     /// Chunks whose content did not have its digest.
     pub corrupt: u64,
     /// From the origin.
--- a/crates/gradeloft_policy/src/version/fetch/item.rs
+++ b/crates/gradeloft_policy/src/version/fetch/item.rs
@@ -2,13 +2,13 @@
 
 use std::collections::HashSet;
 
-use super::From;
+use super::Upstream;
 use crate::{clock::Time, version::manifest::Chunk};
 
 /// How it stands with a chunk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum State {
-    Asked { from: From, at: Time },
+    Asked { from: Upstream, at: Time },
     Held,
     Missing { not_before: Time },
 }
@@ -55,7 +55,7 @@
     }
 
     /// Where it is asked for now.
-    pub(super) fn asked_of(&self) -> Option<From> {
+    pub(super) fn asked_of(&self) -> Option<Upstream> {
         match self.state {
             State::Asked { from, .. } => Some(from),
             _ => None,
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -5,7 +5,7 @@
 //! agent of a lower rank reads the origin only after the better ones, asked directly, turned out
 //! to be gone. So changes of membership, or views of it that differ, cost few extra copies.
 
-mod ask;
+mod chunk_request;
 mod hedge;
 mod item;
 mod owners;
@@ -18,7 +18,7 @@
 use rand::Rng;
 use slotmap::{SlotMap, new_key_type};
 
-pub use ask::{Ask, Failure, From, Tally};
+pub use chunk_request::{ChunkCounts, ChunkRequest, Failure, Upstream};
 use hedge::Hedge;
 use item::{Item, State};
 use source::Source;
@@ -53,8 +53,8 @@
     asked: usize,
     /// Of those, chunks asked of the store or the origin.
     asked_outside: usize,
-    left: usize,
-    tally: Tally,
+    missing: usize,
+    counts: ChunkCounts,
 }
 
 impl Fetch {
@@ -76,7 +76,7 @@
             .enumerate()
             .map(|(idx, it)| (it.chunk.digest, idx))
             .collect();
-        let left = items.iter().filter(|it| it.state != State::Held).count();
+        let missing = items.iter().filter(|it| it.state != State::Held).count();
         Fetch {
             own,
             tuning,
@@ -88,24 +88,24 @@
             hedge: Hedge::new(now),
             asked: 0,
             asked_outside: 0,
-            left,
-            tally: Tally::default(),
+            missing,
+            counts: ChunkCounts::default(),
         }
     }
 
     /// Whether every chunk is held.
-    pub fn complete(&self) -> bool {
-        self.left == 0
+    pub fn is_complete(&self) -> bool {
+        self.missing == 0
     }
 
     /// Chunks not held yet.
-    pub fn left(&self) -> usize {
-        self.left
+    pub fn missing(&self) -> usize {
+        self.missing
     }
 
     /// Where the chunks came from.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counts(&self) -> ChunkCounts {
+        self.counts
     }
 
     /// Position of a chunk.
@@ -163,12 +163,12 @@
     }
 
     /// Changes how many chunks are asked for at once.
-    pub fn set_slots(&mut self, slots: usize) {
-        self.tuning.slots = slots;
+    pub fn set_peer_slots(&mut self, slots: usize) {
+        self.tuning.peer_slots = slots;
     }
 
     /// A peer begins to tell what it holds.
-    pub fn join(&mut self, near: bool) -> SourceKey {
+    pub fn add_source(&mut self, near: bool) -> SourceKey {
         let held = vec![false; self.items.len()];
         self.sources.insert(Source {
             near,
@@ -180,9 +180,9 @@
     }
 
     /// A peer has gone; what it was asked for is missing again.
-    pub fn leave(&mut self, key: SourceKey, now: Time) {
+    pub fn remove_source(&mut self, key: SourceKey, now: Time) {
         let asked: Vec<usize> = (0..self.items.len())
-            .filter(|&idx| self.items[idx].asked_of() == Some(From::Source(key)))
+            .filter(|&idx| self.items[idx].asked_of() == Some(Upstream::Source(key)))
             .collect();
         for idx in asked {
             self.release(idx, now);
@@ -193,7 +193,7 @@
     }
 
     /// A peer has these chunks, by position.
-    pub fn have(&mut self, key: SourceKey, positions: impl Iterator<Item = usize>) {
+    pub fn add_held(&mut self, key: SourceKey, positions: impl Iterator<Item = usize>) {
         let Some(source) = self.sources.get_mut(key) else {
             return;
         };
@@ -209,7 +209,7 @@
     }
 
     /// Some peer holds these chunks, by position, whether or not they are to be asked of it.
-    pub fn seen(&mut self, positions: impl Iterator<Item = usize>) {
+    pub fn mark_seen(&mut self, positions: impl Iterator<Item = usize>) {
         for idx in positions {
             if let Some(item) = self.items.get_mut(idx) {
                 item.seen = true;
@@ -218,7 +218,7 @@
     }
 
     /// Whether half of the version is in the fleet: held here, or known to be held by a peer.
-    pub fn half_there(&self) -> bool {
+    pub fn half_available(&self) -> bool {
         self.unseen() * 2 <= self.items.len()
     }
 
@@ -229,22 +229,22 @@
     }
 
     /// The next ask, if there is one to make now. Call until it gives none.
-    pub fn next(&mut self, now: Time, rng: &mut impl Rng) -> Option<Ask> {
+    pub fn next_request(&mut self, now: Time, rng: &mut impl Rng) -> Option<ChunkRequest> {
         self.hedge.learn(self.unseen(), self.items.len(), now);
         let (idx, from) = self
             .owner_ask(now, rng)
             .or_else(|| self.free_slot().then(|| self.peer_ask(now, rng))?)?;
         self.asked += 1;
-        if from == From::Origin {
+        if from == Upstream::Origin {
             self.outside.asked_origin(now);
         }
         match from {
-            From::Origin | From::Store => self.asked_outside += 1,
-            From::Source(key) => self.sources[key].asked += 1,
-            From::Owner(_) => {}
+            Upstream::Origin | Upstream::Store => self.asked_outside += 1,
+            Upstream::Source(key) => self.sources[key].asked += 1,
+            Upstream::Owner(_) => {}
         }
         self.items[idx].state = State::Asked { from, at: now };
-        Some(Ask {
+        Some(ChunkRequest {
             idx,
             chunk: self.items[idx].chunk,
             from,
@@ -255,11 +255,11 @@
     /// of all readers, not on this agent's link. Readers that asked peers for nothing meanwhile had a version whole
     /// 1.7 s after the others, of 3.7 s.
     fn free_slot(&self) -> bool {
-        self.asked - self.asked_outside < self.tuning.slots
+        self.asked - self.asked_outside < self.tuning.peer_slots
     }
 
     /// Asks that have stalled; report each with [`Fetch::failed`].
-    pub fn stalled(&self, now: Time) -> Vec<(usize, From)> {
+    pub fn stalled(&self, now: Time) -> Vec<(usize, Upstream)> {
         let late = |it: &Item| match it.state {
             State::Asked { from, at } if at.after_ms(self.patience(from)) <= now => Some(from),
             _ => None,
@@ -271,54 +271,56 @@
             .collect()
     }
 
-    fn patience(&self, from: From) -> u64 {
+    fn patience(&self, from: Upstream) -> u64 {
         let queued = (self.members.len() * self.tuning.origin_slots) as u64;
         match from {
-            From::Origin | From::Store => self.tuning.stall_ms + queued * self.tuning.chunk_ms,
+            Upstream::Origin | Upstream::Store => {
+                self.tuning.stall_ms + queued * self.tuning.chunk_ms
+            }
             // An owner has the chunk, or says at once that it is about to read it.
-            From::Owner(_) => self
+            Upstream::Owner(_) => self
                 .tuning
                 .stall_ms
                 .min(OWNER_PATIENCE * self.tuning.takeover_ms),
-            From::Source(_) => self.tuning.stall_ms,
+            Upstream::Source(_) => self.tuning.stall_ms,
         }
     }
 
     /// A chunk came, and its content has its digest. Gives whether it was still missing.
-    pub fn arrived(&mut self, idx: usize, from: From, now: Time) -> bool {
+    pub fn arrived(&mut self, idx: usize, from: Upstream, now: Time) -> bool {
         match from {
-            From::Origin => {
-                self.tally.origin += 1;
+            Upstream::Origin => {
+                self.counts.origin += 1;
                 self.outside.answered(from);
             }
-            From::Store => {
-                self.tally.store += 1;
+            Upstream::Store => {
+                self.counts.store += 1;
                 self.outside.answered(from);
             }
-            From::Owner(_) | From::Source(_) => self.tally.peers += 1,
+            Upstream::Owner(_) | Upstream::Source(_) => self.counts.peers += 1,
         }
         if self.items[idx].state == State::Held {
             return false;
         }
         self.release(idx, now);
         self.items[idx].state = State::Held;
-        self.left -= 1;
+        self.missing -= 1;
         true
     }
 
     /// An ask failed. Does nothing when it was given up before.
-    pub fn failed(&mut self, idx: usize, from: From, failure: Failure, now: Time) {
+    pub fn failed(&mut self, idx: usize, from: Upstream, failure: Failure, now: Time) {
         if failure == Failure::Corrupt {
-            self.tally.corrupt += 1;
+            self.counts.corrupt += 1;
         }
         if self.items[idx].asked_of() != Some(from) {
             return;
         }
         self.release(idx, now);
         match from {
-            From::Origin | From::Store => self.outside.failed(from, failure, now),
-            From::Owner(node) => self.owner_failed(idx, node, failure, now),
-            From::Source(key) => self.source_failed(idx, key, failure, now),
+            Upstream::Origin | Upstream::Store => self.outside.failed(from, failure, now),
+            Upstream::Owner(node) => self.owner_failed(idx, node, failure, now),
+            Upstream::Source(key) => self.source_failed(idx, key, failure, now),
         }
     }
 
@@ -332,7 +334,7 @@
         part.ceil() as u64 + 1
     }
 
-    fn owner_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, From)> {
+    fn owner_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
         let outside = self.outside.source(self.origin_part(), now);
         let mut best = None;
         let mut ties = 0;
@@ -369,7 +371,7 @@
     }
 
     /// The best owner of a chunk that has kept silent for too long.
-    fn suspected(&self, item: &Item, rank: usize, now: Time) -> Option<From> {
+    fn suspected(&self, item: &Item, rank: usize, now: Time) -> Option<Upstream> {
         let patience = match self.tuning.objective {
             Objective::OriginBytes => PATIENCE,
             Objective::Time => 1,
@@ -389,10 +391,10 @@
             .filter(|it| **it != self.own && !item.absent.contains(it));
         better
             .max_by_key(|it| (item.first == Some(**it), rendezvous::score(key, **it), **it))
-            .map(|it| From::Owner(*it))
+            .map(|it| Upstream::Owner(*it))
     }
 
-    fn peer_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, From)> {
+    fn peer_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
         let free: Vec<(SourceKey, &Source)> = self
             .sources
             .iter()
@@ -428,7 +430,7 @@
         let holders = free.iter().cycle().skip(offset).take(free.len());
         let holders = holders.filter(|(_, it)| it.held[idx]);
         let chosen = holders.min_by_key(|(_, it)| (it.asked, !it.near))?;
-        Some((idx, From::Source(chosen.0)))
+        Some((idx, Upstream::Source(chosen.0)))
     }
 
     /// Takes back an ask, whatever came of it.
@@ -439,19 +441,19 @@
         self.items[idx].state = State::Missing { not_before: now };
         self.asked -= 1;
         match from {
-            From::Origin | From::Store => self.asked_outside -= 1,
-            From::Source(key) => {
+            Upstream::Origin | Upstream::Store => self.asked_outside -= 1,
+            Upstream::Source(key) => {
                 if let Some(source) = self.sources.get_mut(key) {
                     source.asked -= 1;
                 }
             }
-            From::Owner(_) => {}
+            Upstream::Owner(_) => {}
         }
     }
 
     fn owner_failed(&mut self, idx: usize, node: u64, failure: Failure, now: Time) {
         let version_ms = self.items.len() as u64 * self.tuning.chunk_ms;
-        let most = self.tuning.announced + version_ms / self.tuning.takeover_ms.max(1);
+        let most = self.tuning.max_announcements + version_ms / self.tuning.takeover_ms.max(1);
         let item = &mut self.items[idx];
         match failure {
             Failure::Busy => item.waiting_since = now,
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -22,7 +22,7 @@
     /// How chunks are spread.
     pub scheme: Scheme,
     /// Chunks asked of peers at once.
-    pub slots: usize,
+    pub peer_slots: usize,
     /// Chunks read from the store or the origin at once, beside those.
     pub origin_slots: usize,
     /// Chunks asked of one peer at once.
@@ -37,7 +37,7 @@
     pub takeover_ms: u64,
     /// How often an owner may say that it is about to read a chunk before another reads it, beside the
     /// time that the whole version takes.
-    pub announced: u64,
+    pub max_announcements: u64,
     /// What the rollout spends.
     pub objective: Objective,
     /// Copies of the version that all members together may read from the origin.
--- a/crates/gradeloft_policy/src/version/outside.rs
+++ b/crates/gradeloft_policy/src/version/outside.rs
@@ -1,6 +1,6 @@
 //! The weight store and the origin as one agent sees them: when to read which.
 
-use super::fetch::{Failure, From};
+use super::fetch::{Failure, Upstream};
 use crate::clock::Time;
 
 /// First wait after a failure, in milliseconds.
@@ -52,12 +52,12 @@
 impl Outside {
     /// Where to read now, if anywhere. After `part` chunks the origin is asked slowly only, so that a
     /// chunk that nobody else reads is late, and not missing for ever.
-    pub fn source(&self, part: u64, now: Time) -> Option<From> {
+    pub fn source(&self, part: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
-            return Some(From::Store);
+            return Some(Upstream::Store);
         }
         let within = self.origin_given < part || self.origin_asked.after_ms(SLOW_MS) <= now;
-        (self.origin.closed_until <= now && within).then_some(From::Origin)
+        (self.origin.closed_until <= now && within).then_some(Upstream::Origin)
     }
 
     /// The origin is asked for a chunk.
@@ -66,20 +66,20 @@
     }
 
     /// A source answered well.
-    pub fn answered(&mut self, from: From) {
+    pub fn answered(&mut self, from: Upstream) {
         *self.gate(from) = Gate::default();
-        self.origin_given += u64::from(from == From::Origin);
+        self.origin_given += u64::from(from == Upstream::Origin);
     }
 
     /// A source failed.
-    pub fn failed(&mut self, from: From, failure: Failure, now: Time) {
+    pub fn failed(&mut self, from: Upstream, failure: Failure, now: Time) {
         let sent = matches!(failure, Failure::Corrupt | Failure::Stalled);
-        self.origin_given += u64::from(from == From::Origin && sent);
+        self.origin_given += u64::from(from == Upstream::Origin && sent);
         self.gate(from).failed(failure, now);
     }
 
-    fn gate(&mut self, from: From) -> &mut Gate {
-        if from == From::Store {
+    fn gate(&mut self, from: Upstream) -> &mut Gate {
+        if from == Upstream::Store {
             &mut self.store
         } else {
             &mut self.origin
--- a/crates/gradeloft_policy/tests/fetch.rs
+++ b/crates/gradeloft_policy/tests/fetch.rs
@@ -4,7 +4,7 @@
     clock::Time,
     rendezvous,
     version::{
-        fetch::{Ask, Failure, Fetch, From, Scheme, Tuning},
+        fetch::{ChunkRequest, Failure, Fetch, Scheme, Tuning, Upstream},
         manifest::{Chunk, Manifest},
         partners::{self, Member},
     },
@@ -16,13 +16,13 @@
 const OWN: u64 = 1;
 const TUNING: Tuning = Tuning {
     scheme: Scheme::Owners,
-    slots: 4,
+    peer_slots: 4,
     origin_slots: 2,
     per_source: 2,
     stall_ms: 1_000,
     chunk_ms: 100,
     takeover_ms: 500,
-    announced: 8,
+    max_announcements: 8,
     objective: Objective::Time,
     origin_copies: 4.0,
 };
@@ -49,9 +49,9 @@
     fetch
 }
 
-fn asks(fetch: &mut Fetch, now: Time) -> Vec<Ask> {
+fn asks(fetch: &mut Fetch, now: Time) -> Vec<ChunkRequest> {
     let mut rng = rng();
-    std::iter::from_fn(|| fetch.next(now, &mut rng)).collect()
+    std::iter::from_fn(|| fetch.next_request(now, &mut rng)).collect()
 }
 
 /// A chunk of the manifest that `OWN` does not own among the members.
@@ -71,19 +71,19 @@
     let mut fetch = fetch(&manifest, &[OWN]);
     let first = asks(&mut fetch, Time::ZERO);
     assert_eq!(first.len(), TUNING.origin_slots);
-    assert!(first.iter().all(|it| it.from == From::Store));
+    assert!(first.iter().all(|it| it.from == Upstream::Store));
     for ask in first {
         fetch.failed(ask.idx, ask.from, Failure::NotHeld, Time::ZERO);
     }
-    while !fetch.complete() {
+    while !fetch.is_complete() {
         let asks = asks(&mut fetch, Time::ZERO);
         assert!(!asks.is_empty());
         for ask in asks {
-            assert_eq!(ask.from, From::Origin);
+            assert_eq!(ask.from, Upstream::Origin);
             assert!(fetch.arrived(ask.idx, ask.from, Time::ZERO));
         }
     }
-    assert_eq!(fetch.tally().origin, 5);
+    assert_eq!(fetch.counts().origin, 5);
 }
 
 #[test]
@@ -125,15 +125,15 @@
 fn while_an_agent_waits_for_the_origin_it_asks_peers() {
     let manifest = manifest(32);
     let mut fetch = fetch(&manifest, &[OWN, 2]);
-    let peer = fetch.join(true);
-    let other = fetch.join(true);
+    let peer = fetch.add_source(true);
+    let other = fetch.add_source(true);
     for key in [peer, other] {
-        fetch.have(key, (0..32).filter(|it| 16 <= *it));
+        fetch.add_held(key, (0..32).filter(|it| 16 <= *it));
     }
     let asks = asks(&mut fetch, Time::ZERO);
-    let outside = asks.iter().filter(|it| it.from == From::Store).count();
+    let outside = asks.iter().filter(|it| it.from == Upstream::Store).count();
     assert_eq!(outside, TUNING.origin_slots);
-    assert_eq!(asks.len() - outside, TUNING.slots);
+    assert_eq!(asks.len() - outside, TUNING.peer_slots);
 }
 
 #[test]
@@ -142,27 +142,27 @@
     let members = [OWN, 2, 3];
     let late = foreign(&manifest, &members);
     let mut fetch = fetch(&manifest, &members);
-    let peer = fetch.join(true);
+    let peer = fetch.add_source(true);
     let now = Time::ZERO.after_ms(100);
-    let outside = |asks: Vec<Ask>| -> Vec<usize> {
+    let outside = |asks: Vec<ChunkRequest>| -> Vec<usize> {
         let outside = asks
             .iter()
-            .filter(|it| matches!(it.from, From::Store | From::Origin));
+            .filter(|it| matches!(it.from, Upstream::Store | Upstream::Origin));
         outside.map(|it| it.idx).collect()
     };
-    fetch.have(peer, (0..16).filter(|it| *it != late).take(11));
+    fetch.add_held(peer, (0..16).filter(|it| *it != late).take(11));
     assert!(
         !outside(asks(&mut fetch, now)).contains(&late),
         "five are left"
     );
-    fetch.have(peer, (0..16).filter(|it| *it != late));
+    fetch.add_held(peer, (0..16).filter(|it| *it != late));
     // Its owner has said that it reads it, and has its time from there.
     asks(&mut fetch, now);
     let waited = now.after_ms(149);
     assert!(!outside(asks(&mut fetch, waited)).contains(&late));
     let mut rest = fetch;
     (0..16).filter(|it| *it != late).for_each(|it| {
-        rest.arrived(it, From::Source(peer), waited);
+        rest.arrived(it, Upstream::Source(peer), waited);
     });
     assert_eq!(outside(asks(&mut rest, now.after_ms(150))), [late]);
 }
@@ -175,7 +175,7 @@
     let manifest = manifest(48);
     let members = [OWN, 2, 3, 4];
     let mut fetch = fetch(&manifest, &members);
-    let peer = fetch.join(true);
+    let peer = fetch.add_source(true);
     let mine: Vec<usize> = (0..48)
         .filter(|it| fetch.owns(manifest.chunks[*it].digest))
         .collect();
@@ -184,16 +184,16 @@
     for number in 0..48_usize {
         let now = Time::ZERO.after_ms(45 * (number as u64 + 1));
         if !mine.contains(&number) {
-            fetch.have(peer, std::iter::once(number));
-        } else if let Some(Ask { idx, from, .. }) = reading.pop() {
+            fetch.add_held(peer, std::iter::once(number));
+        } else if let Some(ChunkRequest { idx, from, .. }) = reading.pop() {
             fetch.arrived(idx, from, now);
         }
         for ask in asks(&mut fetch, now) {
             match ask.from {
-                From::Owner(_) => fetch.failed(ask.idx, ask.from, Failure::Pending, now),
-                From::Store | From::Origin if mine.contains(&ask.idx) => reading.push(ask),
-                From::Store | From::Origin => read_twice.push(ask.idx),
-                From::Source(_) => {
+                Upstream::Owner(_) => fetch.failed(ask.idx, ask.from, Failure::Pending, now),
+                Upstream::Store | Upstream::Origin if mine.contains(&ask.idx) => reading.push(ask),
+                Upstream::Store | Upstream::Origin => read_twice.push(ask.idx),
+                Upstream::Source(_) => {
                     fetch.arrived(ask.idx, ask.from, now);
                 }
             }
@@ -206,11 +206,11 @@
 fn a_version_of_which_peers_have_half_is_half_there_though_little_of_it_is_here() {
     let manifest = manifest(16);
     let mut fetch = fetch(&manifest, &[OWN, 2, 3]);
-    fetch.seen(0..7);
-    assert!(!fetch.half_there());
-    let peer = fetch.join(true);
-    fetch.have(peer, 7..8);
-    assert!(fetch.half_there());
+    fetch.mark_seen(0..7);
+    assert!(!fetch.half_available());
+    let peer = fetch.add_source(true);
+    fetch.add_held(peer, 7..8);
+    assert!(fetch.half_available());
 }
 
 #[test]
@@ -219,7 +219,7 @@
     let members = [OWN, 2, 3];
     let late = foreign(&manifest, &members);
     let mut fetch = fetch(&manifest, &members);
-    fetch.seen(0..16);
+    fetch.mark_seen(0..16);
     asks(&mut fetch, Time::ZERO);
     let later = asks(&mut fetch, Time::ZERO.after_ms(400));
     assert!(later.iter().all(|it| it.idx != late));
@@ -229,37 +229,37 @@
 fn the_rarest_chunk_is_asked_for_first_and_of_the_nearer_peer() {
     let manifest = manifest(3);
     let mut fetch = fetch(&manifest, &[OWN, 2, 3]);
-    let far = fetch.join(false);
-    let near = fetch.join(true);
-    fetch.have(far, 0..3);
-    fetch.have(near, 1..3);
+    let far = fetch.add_source(false);
+    let near = fetch.add_source(true);
+    fetch.add_held(far, 0..3);
+    fetch.add_held(near, 1..3);
     let asks = asks(&mut fetch, Time::ZERO);
-    assert_eq!((asks[0].idx, asks[0].from), (0, From::Source(far)));
-    assert_eq!(asks[1].from, From::Source(near));
+    assert_eq!((asks[0].idx, asks[0].from), (0, Upstream::Source(far)));
+    assert_eq!(asks[1].from, Upstream::Source(near));
 }
 
 #[test]
 fn a_corrupt_chunk_is_not_asked_of_its_source_again() {
     let manifest = manifest(1);
     let mut fetch = fetch(&manifest, &[OWN, 2, 3]);
-    let (bad, good) = (fetch.join(true), fetch.join(false));
-    fetch.have(bad, 0..1);
-    fetch.have(good, 0..1);
+    let (bad, good) = (fetch.add_source(true), fetch.add_source(false));
+    fetch.add_held(bad, 0..1);
+    fetch.add_held(good, 0..1);
     let first = asks(&mut fetch, Time::ZERO);
-    assert_eq!(first[0].from, From::Source(bad));
+    assert_eq!(first[0].from, Upstream::Source(bad));
     fetch.failed(0, first[0].from, Failure::Corrupt, Time::ZERO);
     let second = asks(&mut fetch, Time::ZERO);
-    assert_eq!(second[0].from, From::Source(good));
-    assert_eq!(fetch.tally().corrupt, 1);
+    assert_eq!(second[0].from, Upstream::Source(good));
+    assert_eq!(fetch.counts().corrupt, 1);
 }
 
 #[test]
 fn a_stalled_ask_goes_to_another_peer_and_a_late_reply_changes_nothing() {
     let manifest = manifest(1);
     let mut fetch = fetch(&manifest, &[OWN, 2, 3]);
-    let (slow, other) = (fetch.join(true), fetch.join(false));
-    fetch.have(slow, 0..1);
-    fetch.have(other, 0..1);
+    let (slow, other) = (fetch.add_source(true), fetch.add_source(false));
+    fetch.add_held(slow, 0..1);
+    fetch.add_held(other, 0..1);
     let first = asks(&mut fetch, Time::ZERO)[0];
     assert!(
         fetch
@@ -270,11 +270,11 @@
     assert_eq!(fetch.stalled(late), vec![(0, first.from)]);
     fetch.failed(0, first.from, Failure::Stalled, late);
     let second = asks(&mut fetch, late)[0];
-    assert_eq!(second.from, From::Source(other));
+    assert_eq!(second.from, Upstream::Source(other));
     fetch.failed(0, first.from, Failure::Gone, late);
     assert!(fetch.arrived(0, second.from, late));
     assert!(!fetch.arrived(0, first.from, late));
-    assert!(fetch.complete());
+    assert!(fetch.is_complete());
 }
 
 #[test]
@@ -282,16 +282,16 @@
     let manifest = manifest(2);
     let members = [OWN, 2];
     let mut fetch = fetch(&manifest, &members);
-    let peer = fetch.join(true);
-    fetch.have(peer, 0..2);
+    let peer = fetch.add_source(true);
+    fetch.add_held(peer, 0..2);
     assert_eq!(asks(&mut fetch, Time::ZERO).len(), 2);
-    fetch.leave(peer, Time::ZERO);
+    fetch.remove_source(peer, Time::ZERO);
     let again = asks(&mut fetch, Time::ZERO);
-    assert!(again.iter().all(|it| it.from == From::Store));
+    assert!(again.iter().all(|it| it.from == Upstream::Store));
 }
 
 /// Makes all asks of a moment, answers those for other chunks and gives the one for `idx`.
-fn ask_for(fetch: &mut Fetch, idx: usize, now: Time) -> Option<From> {
+fn ask_for(fetch: &mut Fetch, idx: usize, now: Time) -> Option<Upstream> {
     let mut seen = None;
     loop {
         let asks = asks(fetch, now);
@@ -302,7 +302,7 @@
             match ask.from {
                 from if ask.idx == idx => seen = Some(from),
                 // What others own stays with them, so that the version is not nearly there.
-                from @ From::Owner(_) => fetch.failed(ask.idx, from, Failure::Busy, now),
+                from @ Upstream::Owner(_) => fetch.failed(ask.idx, from, Failure::Busy, now),
                 from => {
                     fetch.arrived(ask.idx, from, now);
                 }
@@ -325,7 +325,7 @@
     );
 
     now = now.after_ms(TUNING.takeover_ms);
-    let Some(from @ From::Owner(_)) = ask_for(&mut fetch, idx, now) else {
+    let Some(from @ Upstream::Owner(_)) = ask_for(&mut fetch, idx, now) else {
         panic!("the owner was not asked");
     };
     fetch.failed(idx, from, Failure::Pending, now);
@@ -339,7 +339,7 @@
     assert_eq!(ask_for(&mut fetch, idx, now), Some(from));
     fetch.failed(idx, from, Failure::Gone, now);
     assert!(fetch.owns(manifest.chunks[idx].digest));
-    assert_eq!(ask_for(&mut fetch, idx, now), Some(From::Store));
+    assert_eq!(ask_for(&mut fetch, idx, now), Some(Upstream::Store));
 }
 
 #[test]
@@ -367,8 +367,8 @@
     loop {
         now = now.after_ms(TUNING.takeover_ms);
         match ask_for(&mut fetch, idx, now) {
-            Some(from @ From::Owner(_)) => fetch.failed(idx, from, Failure::Pending, now),
-            Some(From::Store) => break,
+            Some(from @ Upstream::Owner(_)) => fetch.failed(idx, from, Failure::Pending, now),
+            Some(Upstream::Store) => break,
             other => panic!("{other:?}"),
         }
         pendings += 1;
@@ -385,11 +385,11 @@
     let first = asks(&mut fetch, Time::ZERO)[0];
     fetch.failed(0, first.from, Failure::Limited(2_000), Time::ZERO);
     let second = asks(&mut fetch, Time::ZERO)[0];
-    assert_eq!(second.from, From::Origin);
+    assert_eq!(second.from, Upstream::Origin);
     fetch.failed(0, second.from, Failure::Gone, Time::ZERO);
     assert!(asks(&mut fetch, Time::ZERO.after_ms(199)).is_empty());
     let third = asks(&mut fetch, Time::ZERO.after_ms(200))[0];
-    assert_eq!(third.from, From::Origin);
+    assert_eq!(third.from, Upstream::Origin);
     fetch.failed(0, third.from, Failure::Gone, Time::ZERO.after_ms(200));
     assert!(
         asks(&mut fetch, Time::ZERO.after_ms(599)).is_empty(),
@@ -407,11 +407,11 @@
     for ask in asks(&mut fetch, Time::ZERO) {
         fetch.failed(ask.idx, ask.from, Failure::Gone, Time::ZERO);
     }
-    let peer = fetch.join(true);
-    fetch.have(peer, 0..2);
+    let peer = fetch.add_source(true);
+    fetch.add_held(peer, 0..2);
     let asks = asks(&mut fetch, Time::ZERO);
     assert_eq!(asks.len(), 2);
-    assert!(asks.iter().all(|it| it.from == From::Source(peer)));
+    assert!(asks.iter().all(|it| it.from == Upstream::Source(peer)));
 }
 
 #[test]
@@ -419,27 +419,27 @@
     let manifest = manifest(4);
     let held = manifest.chunks[1].digest;
     let fetch = Fetch::new(OWN, &manifest, |it| it == held, TUNING, Time::ZERO);
-    assert_eq!(fetch.left(), 3);
+    assert_eq!(fetch.missing(), 3);
 }
 
 #[test]
 fn a_peer_with_too_many_strikes_is_left_alone() {
     let manifest = manifest(1);
     let mut fetch = fetch(&manifest, &[OWN, 2]);
-    let bad = fetch.join(true);
+    let bad = fetch.add_source(true);
     let mut now = Time::ZERO;
     for _ in 0..4 {
-        fetch.have(bad, 0..1);
+        fetch.add_held(bad, 0..1);
         let ask = asks(&mut fetch, now)[0];
-        assert_eq!(ask.from, From::Source(bad));
+        assert_eq!(ask.from, Upstream::Source(bad));
         fetch.failed(0, ask.from, Failure::Stalled, now);
         now = now.after_ms(TUNING.stall_ms);
     }
-    fetch.have(bad, 0..1);
+    fetch.add_held(bad, 0..1);
     assert!(
         asks(&mut fetch, now)
             .iter()
-            .all(|it| it.from != From::Source(bad))
+            .all(|it| it.from != Upstream::Source(bad))
     );
 }
 
@@ -498,7 +498,7 @@
     let mut asked_at = Vec::new();
     while asked_at.len() < count {
         for ask in asks(&mut fetch, now) {
-            if ask.from == From::Origin {
+            if ask.from == Upstream::Origin {
                 asked_at.push(now);
                 fetch.failed(ask.idx, ask.from, failure, now);
             } else {
