--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -37,7 +37,7 @@
     rendezvous,
     version::{
         fetch::{Fetch, Scheme},
-        upload::Slots,
+        upload::UploadSlots,
     },
 };
 use gradeloft_wire::{
@@ -116,7 +116,7 @@
     chunks: RefCell<Chunks>,
     /// Counts chunks that arrived; tells whoever follows.
     arrivals: watch::Sender<u64>,
-    uploads: RefCell<Slots<oneshot::Sender<()>>>,
+    uploads: RefCell<UploadSlots<oneshot::Sender<()>>>,
     /// The fetch that runs now.
     fetching: RefCell<Option<Rc<RefCell<Fetch>>>>,
     /// Weights going out.
@@ -196,7 +196,7 @@
             told_running: Cell::default(),
             chunks: RefCell::new(Chunks::new(settings.chunk_memory_bytes)),
             arrivals: watch::Sender::new(0),
-            uploads: RefCell::new(Slots::new(settings.upload_slots as usize)),
+            uploads: RefCell::new(UploadSlots::new(settings.upload_slots as usize)),
             fetching: RefCell::default(),
             pace_out: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
             pace_in: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use gradeloft_policy::version::upload::Turn;
+use gradeloft_policy::version::upload::Admission;
 use gradeloft_wire::{
     frame::{Absence, Reply},
     id::Digest,
@@ -66,7 +66,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         // A peer that stopped waiting passes its slot on to the next.
-        while let Some(next) = self.0.uploads.borrow_mut().done() {
+        while let Some(next) = self.0.uploads.borrow_mut().release() {
             if next.send(()).is_ok() {
                 return;
             }
@@ -76,11 +76,11 @@
 
 async fn slot(agent: &Rc<Agent>) -> Option<Slot> {
     let (tell, told) = oneshot::channel();
-    let turn = agent.uploads.borrow_mut().ask(tell);
+    let turn = agent.uploads.borrow_mut().request(tell);
     match turn {
-        Turn::Busy => None,
-        Turn::Later => told.await.ok().map(|()| Slot(Rc::clone(agent))),
-        Turn::Now => Some(Slot(Rc::clone(agent))),
+        Admission::Busy => None,
+        Admission::Queued => told.await.ok().map(|()| Slot(Rc::clone(agent))),
+        Admission::Granted => Some(Slot(Rc::clone(agent))),
     }
 }
 
--- a/crates/gradeloft_gateway/src/agent/change.rs
+++ b/crates/gradeloft_gateway/src/agent/change.rs
@@ -6,8 +6,8 @@
 use gradeloft_policy::{
     clock::Time,
     version::{
-        orders::Orders,
-        waves::{Running, Wave},
+        order_backoff::OrderBackoff,
+        waves::{RunningRequests, Wave},
     },
 };
 use slog::{info, warn};
@@ -90,7 +90,7 @@
 
     /// Brings the replica to the version that it is to hold, again and again.
     pub(super) async fn update(self: Rc<Agent>) {
-        let mut orders: Option<(Version, Orders)> = None;
+        let mut orders: Option<(Version, OrderBackoff)> = None;
         loop {
             let Some(version) = self.wanted() else {
                 share::adopt_target(&self);
@@ -122,8 +122,8 @@
                 }
                 Err(Stop::Ended(reason)) => {
                     let known = orders.take().filter(|it| it.0 == version);
-                    let mut ends = known.map_or(Orders::default(), |it| it.1);
-                    let pause = RETRY.max(ends.ended());
+                    let mut ends = known.map_or(OrderBackoff::default(), |it| it.1);
+                    let pause = RETRY.max(ends.order_failed());
                     orders = Some((version.clone(), ends));
                     self.not_loaded(&version, reason, pause).await;
                 }
@@ -192,7 +192,7 @@
     /// Waits until it is this replica's turn to load.
     async fn turn(&self, version: &Version, named: Time, others: &[u64]) -> Wave {
         let own = fill::node_hash(self.replica);
-        let mut wave = Wave::of(version.number, own, others);
+        let mut wave = Wave::new(version.number, own, others);
         let version_ms = self.node.settings().version_ms;
         let mut superseded_since = None;
         let ready = self.node.clock.now();
@@ -207,7 +207,7 @@
                 // Everybody waits for the newer version's readers, so they are done with this one first.
                 let all: Vec<u64> = others.iter().copied().chain([own]).collect();
                 let readers = self.readers(&newer, &all);
-                wave = Wave::after(version.number, own, others, &readers);
+                wave = Wave::with_first(version.number, own, others, &readers);
             }
             let superseded =
                 superseded_since.is_some_and(|it| wave.may_load_superseded(it, version_ms, now));
@@ -223,9 +223,9 @@
     async fn load(&self, version: &Version, wave: Wave) -> Result<(), Stop> {
         actix_rt::time::sleep(HEADS_UP).await;
         self.idle().await?;
-        let running = wave.running(self.resumable.get());
+        let running = wave.running_requests(self.resumable.get());
         let serves = self.state.get().is_some_and(|it| it.version.is_some());
-        if serves && running == Running::Finished {
+        if serves && running == RunningRequests::Finished {
             self.begun().await;
         }
         let load = Load {
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -35,7 +35,7 @@
         mirror::Record,
         refresh::Refresh,
     },
-    version::{fetch::Fetch, readers, waves::Progress},
+    version::{fetch::Fetch, readers, waves::SwitchProgress},
 };
 use gradeloft_wire::{
     datagram::{Access, Engine, Sender},
@@ -129,7 +129,7 @@
     state: Cell<Option<State>>,
     loading: Cell<bool>,
     /// How far each model's change-over is, as an entry said last.
-    switched: RefCell<HashMap<u64, Progress>>,
+    switched: RefCell<HashMap<u64, SwitchProgress>>,
     /// When the replica answered first.
     begun_at: Cell<Option<Time>>,
     /// Part of the spread of first reads of the store after which this agent reads, from 0 to 1.
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use gradeloft_policy::{clock::Time, rendezvous, version::waves::Progress};
+use gradeloft_policy::{clock::Time, rendezvous, version::waves::SwitchProgress};
 use gradeloft_wire::{
     datagram::{Access, Sender, Switched},
     frame::Table,
@@ -55,11 +55,11 @@
     fn receive_progress(&self, models: &[Switched]) {
         let mut switched = self.switched.borrow_mut();
         for model in models {
-            let progress = Progress {
+            let progress = SwitchProgress {
                 version: model.version,
                 replicas: usize::from(model.replicas),
             };
-            switched.entry(model.model).or_default().hear(progress);
+            switched.entry(model.model).or_default().update(progress);
         }
     }
 
@@ -69,7 +69,7 @@
         let switched = self.switched.borrow();
         switched
             .get(&model)
-            .map_or(0, |it| it.back_with(version.number))
+            .map_or(0, |it| it.replicas_with(version.number))
     }
 
     /// Whether it is time to read what the operator writes although no entry has ever given it.
--- a/crates/gradeloft_gateway/src/entry/learn.rs
+++ b/crates/gradeloft_gateway/src/entry/learn.rs
@@ -10,7 +10,7 @@
         mirror::Record,
         replicas::ReplicaKey,
     },
-    version::named::{Named, Times},
+    version::named_versions::{NamedVersions, VersionTimes},
 };
 use gradeloft_wire::{frame::Table, quarantine};
 use slog::{info, warn};
@@ -36,7 +36,7 @@
     /// room, and at all.
     pub fn oldest_versions(&self, service: &str) -> Oldest {
         let now = self.node.clock.now();
-        let oldest = |named: &Named| Oldest {
+        let oldest = |named: &NamedVersions| Oldest {
             preferred: named.oldest_preferred(now),
             allowed: named.oldest_allowed(now),
         };
@@ -46,11 +46,12 @@
     /// Until when a request to a service may wait at a replica to begin there; `None` for any time.
     pub fn begin_by(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
         let held = self.version_of(replica)?;
-        self.with_named(service, |it| it.begin_by(held)).flatten()
+        self.with_named(service, |it| it.start_deadline(held))
+            .flatten()
     }
 
     /// What was named of a service's model.
-    fn with_named<T>(&self, service: &str, get: impl FnOnce(&Named) -> T) -> Option<T> {
+    fn with_named<T>(&self, service: &str, get: impl FnOnce(&NamedVersions) -> T) -> Option<T> {
         let config = self.config.borrow();
         let service = config.as_ref()?.service(service)?;
         let weights = self.weights.borrow();
@@ -151,15 +152,15 @@
             true => now,
             false => named_at.after_ms(version_ms.saturating_sub(ms)),
         };
-        let times = Times {
+        let times = VersionTimes {
             preferred: before_end(VERSION_PREFERRED_MS),
             due: before_end(VERSION_DUE_MS),
             expired: before_end(VERSION_EXPIRED_MS),
         };
         let mut weights = self.weights.borrow_mut();
         let named = weights.entry(model.clone()).or_default();
-        named.settle(now);
-        if !named.name(version, times) {
+        named.discard_superseded(now);
+        if !named.add(version, times) {
             return;
         }
         if let Some(log) = self.node.logs.line(Topic::Weights) {
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -64,7 +64,7 @@
         standing::Standing,
     },
     request::{age::Patience, shortage::Shortage},
-    version::named::Named,
+    version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
     datagram::{Presence, Switched},
@@ -134,7 +134,7 @@
     pub room: Notify,
     roster: RefCell<Roster>,
     /// Versions of each model's weights that replicas are to serve.
-    weights: RefCell<HashMap<String, Named>>,
+    weights: RefCell<HashMap<String, NamedVersions>>,
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
     patience: RefCell<Patience>,
     /// Requests that come for each service.
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -8,7 +8,7 @@
     mirror::{Record, Update},
     replicas::Listing,
 };
-use gradeloft_policy::version::waves::Running;
+use gradeloft_policy::version::waves::RunningRequests;
 use gradeloft_wire::{frame::Table, id::Digest};
 
 use crate::Answer;
@@ -111,7 +111,7 @@
     /// Refused by engines that have seen a higher one.
     pub fence: u64,
     /// What becomes of the requests that run.
-    pub running: Running,
+    pub running: RunningRequests,
 }
 
 /// How an engine took an order.
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -24,7 +24,7 @@
 use source::Source;
 pub use tuning::{Scheme, Tuning};
 
-use super::{manifest::Manifest, outside::Outside, partners};
+use super::{manifest::Manifest, outside_sources::OutsideSources, partners};
 use crate::{clock::Time, rendezvous};
 
 /// Wait before a peer that had no free slot is asked again, in milliseconds.
@@ -48,7 +48,7 @@
     index: HashMap<Digest, usize>,
     sources: SlotMap<SourceKey, Source>,
     members: Vec<u64>,
-    outside: Outside,
+    outside: OutsideSources,
     hedge: Hedge,
     asked: usize,
     /// Of those, chunks asked of the store or the origin.
@@ -84,7 +84,7 @@
             index,
             sources: SlotMap::with_key(),
             members: Vec::new(),
-            outside: Outside::default(),
+            outside: OutsideSources::default(),
             hedge: Hedge::new(now),
             asked: 0,
             asked_outside: 0,
@@ -236,7 +236,7 @@
             .or_else(|| self.free_slot().then(|| self.peer_ask(now, rng))?)?;
         self.asked += 1;
         if from == Upstream::Origin {
-            self.outside.asked_origin(now);
+            self.outside.record_origin_request(now);
         }
         match from {
             Upstream::Origin | Upstream::Store => self.asked_outside += 1,
--- a/crates/gradeloft_policy/src/version/mod.rs
+++ b/crates/gradeloft_policy/src/version/mod.rs
@@ -3,10 +3,10 @@
 //! - [`bundle`]: checks, canonical form, signatures.
 //! - [`chain`]: which published bundle is in force.
 //! - [`manifest`]: the chunks of a version.
-//! - [`orders`]: how soon a replica is ordered again to load a version.
-//! - [`outside`]: when to read the weight store or the origin.
+//! - [`order_backoff`]: how soon a replica is ordered again to load a version.
+//! - [`outside_sources`]: when to read the weight store or the origin.
 //! - [`partners`]: which agents tell each other what they hold.
-//! - [`named`]: which versions requests may begin on.
+//! - [`named_versions`]: which versions requests may begin on.
 //! - [`placement`]: which replica holds which model.
 //! - [`readers`]: which agents read a version from the origin.
 //! - [`fetch`]: which chunk to fetch next, and from where.
@@ -19,9 +19,9 @@
 pub mod chain;
 pub mod fetch;
 pub mod manifest;
-pub mod named;
-pub mod orders;
-pub mod outside;
+pub mod named_versions;
+pub mod order_backoff;
+pub mod outside_sources;
 pub mod partners;
 pub mod placement;
 pub mod readers;
--- a/crates/gradeloft_policy/src/version/named.rs
+++ b/crates/gradeloft_policy/src/version/named_versions.rs
@@ -11,12 +11,12 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Coming {
     version: u64,
-    times: Times,
+    times: VersionTimes,
 }
 
 /// From when on a version counts how much.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Times {
+pub struct VersionTimes {
     /// Requests go to replicas that hold it if one has room.
     pub preferred: Time,
     /// Requests go to no others. Not before `preferred`.
@@ -27,16 +27,16 @@
 
 /// Versions of one model that the operator named.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Named {
+pub struct NamedVersions {
     /// Versions that are not due yet, lowest first.
     coming: Vec<Coming>,
     /// Newest version that is due; 0 for none.
     due: u64,
 }
 
-impl Named {
+impl NamedVersions {
     /// A version is named; gives whether it is newer than all before.
-    pub fn name(&mut self, version: u64, times: Times) -> bool {
+    pub fn add(&mut self, version: u64, times: VersionTimes) -> bool {
         if version <= self.newest() {
             return false;
         }
@@ -46,7 +46,7 @@
 
     /// Until when a request that was sent to a replica with `held` may wait there to begin; `None` for
     /// any time.
-    pub fn begin_by(&self, held: u64) -> Option<Time> {
+    pub fn start_deadline(&self, held: u64) -> Option<Time> {
         let newer = self.coming.iter().filter(|it| held < it.version);
         newer.map(|it| it.times.expired).min()
     }
@@ -67,7 +67,7 @@
     }
 
     /// Forgets which versions were due before the newest of them.
-    pub fn settle(&mut self, now: Time) {
+    pub fn discard_superseded(&mut self, now: Time) {
         self.due = self.oldest_allowed(now).unwrap_or_default();
         let due = self.due;
         self.coming.retain(|it| due < it.version);
--- a/crates/gradeloft_policy/src/version/orders.rs
+++ b/crates/gradeloft_policy/src/version/order_backoff.rs
@@ -16,23 +16,23 @@
 
 /// Ends of a replica while it was to load one version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Orders {
+pub struct OrderBackoff {
     ends: u32,
 }
 
-impl Orders {
+impl OrderBackoff {
     /// The replica ended before it had loaded what it was ordered to; gives the pause before the next order.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use gradeloft_policy::version::orders::Orders;
-    /// let mut orders = Orders::default();
-    /// assert_eq!(orders.ended(), Duration::ZERO);
-    /// assert_eq!(orders.ended(), Duration::ZERO);
-    /// assert_eq!(orders.ended(), Duration::from_secs(10));
-    /// assert_eq!(orders.ended(), Duration::from_secs(20));
+    /// use gradeloft_policy::version::order_backoff::OrderBackoff;
+    /// let mut backoff = OrderBackoff::default();
+    /// assert_eq!(backoff.order_failed(), Duration::ZERO);
+    /// assert_eq!(backoff.order_failed(), Duration::ZERO);
+    /// assert_eq!(backoff.order_failed(), Duration::from_secs(10));
+    /// assert_eq!(backoff.order_failed(), Duration::from_secs(20));
     /// ```
-    pub fn ended(&mut self) -> Duration {
+    pub fn order_failed(&mut self) -> Duration {
         self.ends = self.ends.saturating_add(1);
         if self.ends < AT_FAULT {
             return Duration::ZERO;
--- a/crates/gradeloft_policy/src/version/outside.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -14,13 +14,13 @@
 const MISSING_WAIT_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Gate {
+struct SourceBackoff {
     closed_until: Time,
     /// Failures since the last answer.
     failures: u32,
 }
 
-impl Gate {
+impl SourceBackoff {
     fn failed(&mut self, failure: Failure, now: Time) {
         let wait_ms = match failure {
             Failure::Limited(ms) => ms.max(FIRST_BACKOFF_MS),
@@ -39,46 +39,46 @@
 
 /// Sources outside the fleet. The store goes first, because its bytes cost less.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outside {
-    origin: Gate,
-    store: Gate,
+pub struct OutsideSources {
+    origin: SourceBackoff,
+    store: SourceBackoff,
     /// Chunks that the origin sent so far, spoilt ones included. Asks that it did not answer cost it
     /// nothing.
-    origin_given: u64,
+    origin_sent: u64,
     /// When the origin was asked last.
-    origin_asked: Time,
+    origin_requested: Time,
 }
 
-impl Outside {
+impl OutsideSources {
     /// Where to read now, if anywhere. After `part` chunks the origin is asked slowly only, so that a
     /// chunk that nobody else reads is late, and not missing for ever.
     pub fn source(&self, part: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
             return Some(Upstream::Store);
         }
-        let within = self.origin_given < part || self.origin_asked.after_ms(SLOW_MS) <= now;
+        let within = self.origin_sent < part || self.origin_requested.after_ms(SLOW_MS) <= now;
         (self.origin.closed_until <= now && within).then_some(Upstream::Origin)
     }
 
     /// The origin is asked for a chunk.
-    pub fn asked_origin(&mut self, now: Time) {
-        self.origin_asked = now;
+    pub fn record_origin_request(&mut self, now: Time) {
+        self.origin_requested = now;
     }
 
     /// A source answered well.
     pub fn answered(&mut self, from: Upstream) {
-        *self.gate(from) = Gate::default();
-        self.origin_given += u64::from(from == Upstream::Origin);
+        *self.backoff(from) = SourceBackoff::default();
+        self.origin_sent += u64::from(from == Upstream::Origin);
     }
 
     /// A source failed.
     pub fn failed(&mut self, from: Upstream, failure: Failure, now: Time) {
         let sent = matches!(failure, Failure::Corrupt | Failure::Stalled);
-        self.origin_given += u64::from(from == Upstream::Origin && sent);
-        self.gate(from).failed(failure, now);
+        self.origin_sent += u64::from(from == Upstream::Origin && sent);
+        self.backoff(from).failed(failure, now);
     }
 
-    fn gate(&mut self, from: Upstream) -> &mut Gate {
+    fn backoff(&mut self, from: Upstream) -> &mut SourceBackoff {
         if from == Upstream::Store {
             &mut self.store
         } else {
--- a/crates/gradeloft_policy/src/version/upload.rs
+++ b/crates/gradeloft_policy/src/version/upload.rs
@@ -8,55 +8,55 @@
 /// Upload slots of one agent: a bounded number of chunks go out at once, a bounded number wait.
 ///
 /// ```
-/// use gradeloft_policy::version::upload::{Slots, Turn};
-/// let mut slots = Slots::new(1);
-/// assert_eq!(slots.ask("a"), Turn::Now);
-/// assert_eq!(slots.ask("b"), Turn::Later);
-/// assert_eq!(slots.done(), Some("b"));
+/// use gradeloft_policy::version::upload::{UploadSlots, Admission};
+/// let mut slots = UploadSlots::new(1);
+/// assert_eq!(slots.request("a"), Admission::Granted);
+/// assert_eq!(slots.request("b"), Admission::Queued);
+/// assert_eq!(slots.release(), Some("b"));
 /// ```
-pub struct Slots<T> {
+pub struct UploadSlots<T> {
     free: usize,
     /// First come, first served; at most [`WAITING_PER_SLOT`] for each slot.
     waiting: VecDeque<T>,
-    most_waiting: usize,
+    max_waiting: usize,
 }
 
 /// What becomes of a request for a chunk.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum Admission {
     /// Too many wait: ask another peer.
     Busy,
-    /// It waits; [`Slots::done`] gives it back when its turn comes.
-    Later,
+    /// It waits; [`UploadSlots::release`] gives it back when its turn comes.
+    Queued,
     /// It has a slot.
-    Now,
+    Granted,
 }
 
-impl<T> Slots<T> {
+impl<T> UploadSlots<T> {
     /// So many slots.
-    pub fn new(slots: usize) -> Slots<T> {
-        Slots {
+    pub fn new(slots: usize) -> UploadSlots<T> {
+        UploadSlots {
             free: slots,
             waiting: VecDeque::new(),
-            most_waiting: slots * WAITING_PER_SLOT,
+            max_waiting: slots * WAITING_PER_SLOT,
         }
     }
 
     /// A peer asks for a chunk.
-    pub fn ask(&mut self, request: T) -> Turn {
+    pub fn request(&mut self, request: T) -> Admission {
         if 0 < self.free {
             self.free -= 1;
-            return Turn::Now;
+            return Admission::Granted;
         }
-        if self.most_waiting <= self.waiting.len() {
-            return Turn::Busy;
+        if self.max_waiting <= self.waiting.len() {
+            return Admission::Busy;
         }
         self.waiting.push_back(request);
-        Turn::Later
+        Admission::Queued
     }
 
     /// A slot is free again; gives the request that takes it over.
-    pub fn done(&mut self) -> Option<T> {
+    pub fn release(&mut self) -> Option<T> {
         let next = self.waiting.pop_front();
         if next.is_none() {
             self.free += 1;
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -40,7 +40,7 @@
 
 /// What a replica does with the requests that it has when it is ordered to load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Running {
+pub enum RunningRequests {
     /// They are cut off, to go on elsewhere.
     Cut,
     /// They are finished first.
@@ -49,24 +49,24 @@
 
 /// How far a change-over is, as entries say.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Progress {
+pub struct SwitchProgress {
     /// Newest version that was heard of.
     pub version: u64,
     /// Replicas that take requests with it.
     pub replicas: usize,
 }
 
-impl Progress {
+impl SwitchProgress {
     /// Takes in what an entry says now. Of two words on one version the later counts, also if it is lower:
     /// replicas come back one by one, and go again.
-    pub fn hear(&mut self, word: Progress) {
+    pub fn update(&mut self, word: SwitchProgress) {
         if self.version <= word.version {
             *self = word;
         }
     }
 
     /// Replicas that take requests with a version; none are known for any but the newest.
-    pub fn back_with(self, version: u64) -> usize {
+    pub fn replicas_with(self, version: u64) -> usize {
         if self.version == version {
             self.replicas
         } else {
@@ -98,12 +98,12 @@
 
 impl Wave {
     /// The wave of the replica `own` for a version; `others` are all other replicas of the service.
-    pub fn of(version: u64, own: u64, others: &[u64]) -> Wave {
-        Wave::after(version, own, others, &[])
+    pub fn new(version: u64, own: u64, others: &[u64]) -> Wave {
+        Wave::with_first(version, own, others, &[])
     }
 
-    /// As [`Wave::of`], with `first` before all others.
-    pub fn after(version: u64, own: u64, others: &[u64], first: &[u64]) -> Wave {
+    /// As [`Wave::new`], with `first` before all others.
+    pub fn with_first(version: u64, own: u64, others: &[u64], first: &[u64]) -> Wave {
         let all = others.len() + 1;
         let waves = WAVES.min(all);
         let is_first = |it: &u64| first.contains(it);
@@ -153,12 +153,12 @@
     }
 
     /// What becomes of the requests that run. Cutting needs streams that can all go on elsewhere.
-    pub fn running(self, resumable: bool) -> Running {
+    pub fn running_requests(self, resumable: bool) -> RunningRequests {
         let last = self.number + 1 == self.waves;
         if resumable && !last {
-            Running::Cut
+            RunningRequests::Cut
         } else {
-            Running::Finished
+            RunningRequests::Finished
         }
     }
 
--- a/crates/gradeloft_policy/tests/versions.rs
+++ b/crates/gradeloft_policy/tests/versions.rs
@@ -6,34 +6,34 @@
     clock::Time,
     connection::window::Window,
     version::{
-        named::{Named, Times},
-        waves::{Progress, Running, Wave},
+        named_versions::{NamedVersions, VersionTimes},
+        waves::{RunningRequests, SwitchProgress, Wave},
     },
 };
 use rstest::rstest;
 
 #[test]
 fn each_version_is_due_at_its_own_time() {
-    let mut named = Named::default();
+    let mut named = NamedVersions::default();
     let at = |ms| Time::ZERO.after_ms(ms);
-    let times = |preferred, due, expired| Times {
+    let times = |preferred, due, expired| VersionTimes {
         preferred: at(preferred),
         due: at(due),
         expired: at(expired),
     };
-    assert!(named.name(2, times(4_000, 5_000, 5_500)));
-    assert!(named.name(3, times(6_500, 7_000, 7_500)));
-    assert!(!named.name(2, times(9_000, 9_000, 9_000)));
-    assert_eq!(named.begin_by(1), Some(at(5_500)));
-    assert_eq!(named.begin_by(2), Some(at(7_500)));
-    assert_eq!(named.begin_by(3), None);
+    assert!(named.add(2, times(4_000, 5_000, 5_500)));
+    assert!(named.add(3, times(6_500, 7_000, 7_500)));
+    assert!(!named.add(2, times(9_000, 9_000, 9_000)));
+    assert_eq!(named.start_deadline(1), Some(at(5_500)));
+    assert_eq!(named.start_deadline(2), Some(at(7_500)));
+    assert_eq!(named.start_deadline(3), None);
     assert_eq!(named.oldest_preferred(at(3_999)), None);
     assert_eq!(named.oldest_preferred(at(4_000)), Some(2));
     assert_eq!(named.oldest_preferred(at(6_500)), Some(3));
     assert_eq!(named.oldest_allowed(Time::ZERO.after_ms(4_999)), None);
     assert_eq!(named.oldest_allowed(Time::ZERO.after_ms(5_000)), Some(2));
     assert_eq!(named.oldest_allowed(Time::ZERO.after_ms(7_000)), Some(3));
-    named.settle(Time::ZERO.after_ms(6_000));
+    named.discard_superseded(Time::ZERO.after_ms(6_000));
     assert_eq!(named.oldest_allowed(Time::ZERO), Some(2));
     assert_eq!(named.newest(), 3);
 }
@@ -43,7 +43,7 @@
     let nodes: Vec<u64> = (0..count).collect();
     let wave = |own: &u64| {
         let others: Vec<u64> = nodes.iter().copied().filter(|it| it != own).collect();
-        Wave::of(9, *own, &others)
+        Wave::new(9, *own, &others)
     };
     nodes.iter().map(wave).collect()
 }
@@ -185,7 +185,7 @@
     let first = [3, 11, 17, 18, 19];
     let begins = |own: &u64| {
         let others: Vec<u64> = nodes.iter().copied().filter(|it| it != own).collect();
-        let wave = Wave::after(9, *own, &others, &first);
+        let wave = Wave::with_first(9, *own, &others, &first);
         superseded_at(&wave) < 5 * 120
     };
     let begun: Vec<u64> = nodes.iter().copied().filter(begins).collect();
@@ -196,7 +196,7 @@
 fn resumable_streams_are_cut_except_in_the_last_wave() {
     let waves = waves(20);
     let cut = |resumable| {
-        let cut = |it: &&Wave| it.running(resumable) == Running::Cut;
+        let cut = |it: &&Wave| it.running_requests(resumable) == RunningRequests::Cut;
         waves.iter().filter(cut).count()
     };
     assert_eq!([cut(true), cut(false)], [15, 0]);
@@ -217,13 +217,16 @@
 
 #[test]
 fn the_later_word_on_a_change_over_counts() {
-    let word = |version, replicas| Progress { version, replicas };
-    let mut progress = Progress::default();
+    let word = |version, replicas| SwitchProgress { version, replicas };
+    let mut progress = SwitchProgress::default();
     for heard in [word(2, 0), word(2, 5), word(2, 4), word(1, 9)] {
-        progress.hear(heard);
+        progress.update(heard);
     }
-    assert_eq!(progress.back_with(2), 4);
-    assert_eq!(progress.back_with(1), 0);
-    progress.hear(word(3, 1));
-    assert_eq!((progress.back_with(2), progress.back_with(3)), (0, 1));
+    assert_eq!(progress.replicas_with(2), 4);
+    assert_eq!(progress.replicas_with(1), 0);
+    progress.update(word(3, 1));
+    assert_eq!(
+        (progress.replicas_with(2), progress.replicas_with(3)),
+        (0, 1)
+    );
 }
