--- a/crates/gradeloft_bench/src/limits.rs
+++ b/crates/gradeloft_bench/src/limits.rs
@@ -8,8 +8,9 @@
 use clap::ValueEnum;
 use gradeloft_policy::{
     clock::Time,
-    process::shares::{
-        Ask, Borrower, CUT_OFF_MS, Demand, Fleet, LEASE_MS, Lender, RENEW_MS, Reach, need,
+    process::rate_leases::{
+        Borrower, CUT_OFF_MS, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
+        RENEW_MS, need,
     },
     request::admission::Bucket,
 };
@@ -229,7 +230,11 @@
             let lost = entry
                 .unanswered
                 .is_some_and(|it| it.after_ms(CUT_OFF_MS) <= now);
-            let reach = if lost { Reach::CutOff } else { Reach::Home };
+            let reach = if lost {
+                HomeReach::CutOff
+            } else {
+                HomeReach::Home
+            };
             let rate = entry.borrower.rate(ALLOWED, ENTRIES, reach, now);
             entry.bucket.set_rate(rate, now);
         }
@@ -244,7 +249,7 @@
         }
         let demand = need(entry.demand.rate(now), entry.bucket.level(now));
         let held = entry.borrower.held(now);
-        let ask = Ask {
+        let ask = LeaseRequest {
             entry: idx as u64,
             demand,
             held,
@@ -252,7 +257,7 @@
         // The home misses three heartbeats before it counts an entry as gone.
         let missed = cut && CUT_FROM_MS + 3_000 <= ms;
         let connected = ENTRIES - usize::from(missed);
-        let fleet = Fleet {
+        let fleet = FleetView {
             allowed: ALLOWED,
             entries: ENTRIES,
             connected,
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -4,7 +4,9 @@
 
 use gradeloft_policy::{
     clock::Time,
-    process::shares::{self, Ask, Borrower, CUT_OFF_MS, Demand, Fleet, LEASE_MS, Lender, Reach},
+    process::rate_leases::{
+        self, Borrower, CUT_OFF_MS, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
+    },
     rendezvous,
     request::admission::{Ledger, Rate},
 };
@@ -79,7 +81,11 @@
         let cut_off = self
             .unanswered
             .is_some_and(|it| it.after_ms(CUT_OFF_MS) <= now);
-        let reach = if cut_off { Reach::CutOff } else { Reach::Home };
+        let reach = if cut_off {
+            HomeReach::CutOff
+        } else {
+            HomeReach::Home
+        };
         for (name, team) in &self.teams {
             let allowed = team.allowed;
             let rate = |idx: usize| team.borrowed[idx].rate(allowed[idx], entries, reach, now);
@@ -102,8 +108,8 @@
             let demand = [requests.rate(now), tokens.rate(now)];
             let saved = self.ledger.saved(name, now);
             let need = [
-                shares::need(demand[0], saved[0]),
-                shares::need(demand[1], saved[1]),
+                rate_leases::need(demand[0], saved[0]),
+                rate_leases::need(demand[1], saved[1]),
             ];
             let held = team.borrowed.map(|it| it.held(now));
             if SILENT < demand[0] {
@@ -134,13 +140,13 @@
         let (demand, held) = (rates(ask.demand), rates(ask.held));
         let mut lent = [0.0; 2];
         for idx in 0..2 {
-            let ask = Ask {
+            let ask = LeaseRequest {
                 entry,
                 demand: demand[idx],
                 held: held[idx],
             };
             let View { entries, connected } = view;
-            let fleet = Fleet {
+            let fleet = FleetView {
                 allowed: team.allowed[idx],
                 entries,
                 connected,
@@ -184,7 +190,7 @@
 pub async fn run(entry: Rc<Entry>) {
     loop {
         let entries = entry.view().entries;
-        let spaced = shares::RENEW_MS * (1 + entries / ENTRIES_PER_RENEWAL) as u64;
+        let spaced = rate_leases::RENEW_MS * (1 + entries / ENTRIES_PER_RENEWAL) as u64;
         actix_rt::time::sleep(Duration::from_millis(spaced.min(LEASE_MS / 2))).await;
         let now = entry.node.clock.now();
         let asks = entry.limits.borrow_mut().asks(now);
@@ -234,7 +240,7 @@
         let mut homes: HashMap<Option<String>, Vec<Borrow>> = HashMap::new();
         for ask in asks {
             let nodes = connected.iter().map(|it| it.0).chain([own]);
-            let home = shares::home(&ask.team, nodes);
+            let home = rate_leases::home(&ask.team, nodes);
             let address = connected.iter().find(|it| Some(it.0) == home);
             homes
                 .entry(address.map(|it| it.1.to_owned()))
--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -6,7 +6,7 @@
     clock::Time,
     process::{
         replicas::{Listing, Replica, ReplicaKey, Replicas},
-        split::{self, Demand},
+        slot_split::{self, RequestRate},
     },
     request::{
         age::Patience,
@@ -75,9 +75,9 @@
     patience: Patience,
     shortage: Shortage,
     /// All requests.
-    demand: Demand,
+    demand: RequestRate,
     /// Requests beyond its own slots.
-    beyond: Demand,
+    beyond: RequestRate,
     /// When the others told last what they have.
     told: Time,
     turn: usize,
@@ -95,8 +95,8 @@
             keys,
             patience: Patience::default(),
             shortage: Shortage::default(),
-            demand: Demand::default(),
-            beyond: Demand::default(),
+            demand: RequestRate::default(),
+            beyond: RequestRate::default(),
             told: Time::ZERO,
             turn: position,
         }
@@ -154,7 +154,7 @@
         let age = now.since(self.told);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
-        let unseen = split::unseen(rate, age);
+        let unseen = slot_split::unseen_requests(rate, age);
         let spare = open().map(|(_, it)| it.spare(unseen)).sum();
         let wish = Wish {
             zone: ZONE,
@@ -165,7 +165,7 @@
             prompt_tokens: asked.prompt,
             speed: Some(&load.speed),
             near: Doubt {
-                chance: split::chance(spare, others, self.beyond.rate(now), age),
+                chance: slot_split::overflow_probability(spare, others, self.beyond.rate(now), age),
                 unseen,
             },
             far: Doubt::default(),
@@ -265,7 +265,7 @@
             .map(|(key, _)| key)
             .collect();
         let slots = vec![load.slots; open.len()];
-        let parts = split::parts(self.position, load.entries, &slots);
+        let parts = slot_split::parts(self.position, load.entries, &slots);
         for (key, part) in open.into_iter().zip(parts) {
             if let Some(replica) = self.replicas.get_mut(key) {
                 replica.part = part;
--- a/crates/gradeloft_gateway/src/entry/answer.rs
+++ b/crates/gradeloft_gateway/src/entry/answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{BufMut, BytesMut};
-use gradeloft_policy::{process::standing::Standing, request::attempt::Ran};
+use gradeloft_policy::{process::freshness::Freshness, request::attempt::Ran};
 use serde_json::json;
 
 /// Why a request gets no replica's answer. A closed list; [`Refusal::row`] is its table.
@@ -102,9 +102,9 @@
 
     /// What it becomes at a process that may know less than others: newer records may allow what its
     /// configuration denies.
-    pub fn by(self, standing: Standing) -> Refusal {
+    pub fn by(self, standing: Freshness) -> Refusal {
         match self {
-            _ if standing == Standing::Current => self,
+            _ if standing == Freshness::Current => self,
             Refusal::BodyTooLarge
             | Refusal::HeadTooLarge
             | Refusal::NoRoute
--- a/crates/gradeloft_gateway/src/entry/ending.rs
+++ b/crates/gradeloft_gateway/src/entry/ending.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use gradeloft_policy::{clock::Time, process::leave::Leave, request::attempt::Failure};
+use gradeloft_policy::{clock::Time, process::drain::Drain, request::attempt::Failure};
 use slog::info;
 
 use super::Entry;
@@ -85,7 +85,7 @@
 
     /// For how long this process has been leaving, in milliseconds; -1 if it is not.
     pub(super) fn leaving_ms(&self) -> i64 {
-        let since = |it: Leave| self.node.clock.now().since(it.since).as_millis() as i64;
+        let since = |it: Drain| self.node.clock.now().since(it.since).as_millis() as i64;
         self.leave.get().map_or(-1, since)
     }
 }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -5,10 +5,10 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{Config, Denied, Kind, Route},
-        homes::Homes,
+        freshness::Freshness,
         replicas::ReplicaKey,
-        standing::Standing,
     },
     request::{
         attempt::{Failure, Progress, Ran},
@@ -47,7 +47,7 @@
     /// Team that sent it.
     pub team: Option<Rc<str>>,
     /// Regions in which it may be served.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// When it gets its final answer at the latest.
     pub deadline: Time,
     /// When its answer is to have begun to be in time.
@@ -143,12 +143,12 @@
         return Err(Box::new((Refusal::NoConfig, received)));
     };
     let standing = entry.standing();
-    if standing == Standing::Aside {
+    if standing == Freshness::Stale {
         return Err(Box::new((Refusal::Behind, received)));
     }
     match find(entry, &config, &received) {
         Ok((route, team)) => {
-            let homes = config.homes(&route, team.as_deref());
+            let homes = config.allowed_regions(&route, team.as_deref());
             let job = job(entry, route, team, homes, received, keeps);
             match entry.leave.get() {
                 Some(leave) if entry.others_take() || !leave.takes(job.deadline) => {
@@ -179,7 +179,7 @@
     entry: &Entry,
     route: Route,
     team: Option<Rc<str>>,
-    homes: Homes,
+    homes: AllowedRegions,
     received: Received,
     keeps: bool,
 ) -> Job {
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -15,9 +15,9 @@
     clock::Time,
     process::{
         cadence::Budget,
-        elsewhere::{self, Load},
+        delegates::{self, DELEGATES},
+        remote_loads::{self, Load},
         roster::{self, State, Status},
-        speakers::{self, SPEAKERS},
     },
     rendezvous,
 };
@@ -200,7 +200,7 @@
             .alive_in(|it| self.node.near(it), now)
             .collect();
         let own = self.node.settings().address;
-        let messages = match speakers::speaks(own, near.into_iter()) {
+        let messages = match delegates::is_delegate(own, near.into_iter()) {
             true => self.region_messages(turn, &changed, now),
             false => Vec::new(),
         };
@@ -230,7 +230,7 @@
     /// What there is to send to other regions at a turn.
     fn region_messages(&self, turn: u32, changed: &[SocketAddr], now: Time) -> Vec<Region> {
         // An entry gets what both speakers of every other region send.
-        let senders = SPEAKERS * self.other_regions().len();
+        let senders = DELEGATES * self.other_regions().len();
         let mut messages = Vec::new();
         let loads = self.region_loads();
         let rows: usize = loads.iter().map(|it| it.loads.len()).sum();
@@ -270,7 +270,7 @@
             let random = self
                 .node
                 .with_rng(|rng| roster.addresses_in(here).choose(rng));
-            let relay = speakers::relay(&members, turn);
+            let relay = delegates::relay(&members, turn);
             (relay.or(random), random)
         });
         relays.collect()
@@ -361,7 +361,9 @@
         let roster = self.roster.borrow();
         let near = roster.alive_in(|it| self.node.near(it), now);
         let near: Vec<u64> = near.map(|it| roster::hash(&it)).collect();
-        agents.retain(|it| speakers::informs(roster::hash(it), own, near.iter().copied()));
+        agents.retain(|it| {
+            delegates::sends_changes_at_once(roster::hash(it), own, near.iter().copied())
+        });
     }
 
     /// Sends agents what they need to know of this entry and of the change-over.
@@ -390,7 +392,7 @@
         let own = roster::hash(&settings.address);
         let stands_in = |agent: &Ipv4Addr| {
             self.node.loaded(Table::Entries)
-                && speakers::stands_in(roster::hash(agent), own, others.iter().copied())
+                && delegates::is_fallback_sender(roster::hash(agent), own, others.iter().copied())
         };
         let replicas = self.replicas.borrow();
         let listings = replicas.iter().map(|(_, it)| &it.listing);
@@ -415,7 +417,7 @@
                 running: replica.own,
                 waiting: replica.own_waiting,
             };
-            elsewhere::add(sums, load);
+            remote_loads::add(sums, load);
         }
     }
 
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -10,7 +10,7 @@
     message::{Answer, Request, bytes_of, text},
     server::{Handler, Limits, Server},
 };
-use gradeloft_policy::process::standing::Standing;
+use gradeloft_policy::process::freshness::Freshness;
 use gradeloft_wire::datagram::Presence;
 
 use super::Entry;
@@ -85,7 +85,7 @@
     match entry.presence() {
         Presence::Ready => text(200, "ready\n"),
         Presence::Leaving => text(503, "leaving\n"),
-        Presence::Starting if entry.standing() == Standing::Aside => text(503, "behind\n"),
+        Presence::Starting if entry.standing() == Freshness::Stale => text(503, "behind\n"),
         Presence::Starting => text(503, "starting\n"),
     }
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -53,15 +53,15 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{Config, Speed},
-        elsewhere::Elsewhere,
-        homes::Homes,
-        leave::Leave,
-        repeats::Budget,
+        drain::Drain,
+        freshness::Freshness,
+        remote_loads::RemoteLoads,
         replicas::{ReplicaKey, Replicas},
-        roster::{Acquaintance, Roster},
-        split::Demand,
-        standing::Standing,
+        retry_budget::Budget,
+        roster::{Discovery, Roster},
+        slot_split::RequestRate,
     },
     request::{age::Patience, shortage::Shortage},
     version::named::Named,
@@ -142,11 +142,11 @@
     /// Want of room, by service.
     shortages: RefCell<HashMap<Rc<str>, Shortage>>,
     /// Requests that come for services which run a model.
-    model_demand: RefCell<Demand>,
+    model_demand: RefCell<RequestRate>,
     /// Requests of the other entries of this region at replicas.
-    near_loads: RefCell<Elsewhere<Ipv4Addr>>,
+    near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests of other regions' entries at replicas, by region.
-    far_loads: RefCell<Elsewhere<String>>,
+    far_loads: RefCell<RemoteLoads<String>>,
     /// Replicas near whose agents reported something new since the last message to other regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
     /// What was sent to agents last: replicas that changed over, and how far the operator's table goes.
@@ -168,7 +168,7 @@
     /// Of these, those that have ended but for the callers' side.
     closing: Cell<usize>,
     /// Set once it leaves.
-    leave: Cell<Option<Leave>>,
+    leave: Cell<Option<Drain>>,
 }
 
 /// A running entry.
@@ -197,7 +197,7 @@
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(Demand::over(DEMAND_S)),
+            model_demand: RefCell::new(RequestRate::over(DEMAND_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -253,7 +253,7 @@
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
-        if known && self.standing() != Standing::Aside {
+        if known && self.standing() != Freshness::Stale {
             Presence::Ready
         } else {
             Presence::Starting
@@ -261,10 +261,10 @@
     }
 
     /// What it makes of the operator's records that peers have and it lacks.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> Freshness {
         // Keys may be gone and routes moved while it stood still; others know.
         if self.node.unaware() {
-            return Standing::Aside;
+            return Freshness::Stale;
         }
         let table = Table::Operator;
         let beyond = || {
@@ -272,12 +272,12 @@
             self.roster.borrow().most_beyond(self.node.end(table), now)
         };
         let apply = Duration::from_millis(self.node.settings().apply_ms);
-        Standing::of(self.node.behind(table), apply, beyond)
+        Freshness::of(self.node.behind(table), apply, beyond)
     }
 
     /// Logs when it begins to leave callers to others, and when it takes them again.
     fn show_standing(&self) {
-        let aside = self.standing() == Standing::Aside;
+        let aside = self.standing() == Freshness::Stale;
         if self.logged_aside.replace(aside) == aside {
             return;
         }
@@ -293,8 +293,8 @@
     /// these and of the caller's region only, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let homes = match self.config.borrow().as_ref() {
-            Some(config) => config.homes_of_host(&lookup.host),
-            None => Homes::default(),
+            Some(config) => config.allowed_regions_of_host(&lookup.host),
+            None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
             homes.allow(region) || lookup.region.as_deref() == Some(region)
@@ -409,14 +409,14 @@
     }
 
     /// How well it knows which other entries there are.
-    fn acquaintance(&self, now: Time) -> Acquaintance {
+    fn acquaintance(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
-            Acquaintance::None
+            Discovery::None
         } else if now < Time::ZERO.after_ms(window_ms) {
-            Acquaintance::Listed
+            Discovery::Listed
         } else {
-            Acquaintance::Met
+            Discovery::Complete
         }
     }
 
@@ -505,7 +505,7 @@
         let entry = &self.entry;
         let node = &entry.node;
         node.leaving.set(true);
-        let leave = Leave::begin(node.clock.now(), node.settings().grace_ms);
+        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
         entry.leave.set(Some(leave));
         info!(node.logs.root, "leaving"; "open" => entry.open.get());
         entry.left.notify_waiters();
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -22,7 +22,7 @@
 
 use gradeloft_policy::{
     clock::Time,
-    process::{cadence::Budget, news::News, replicas::ReplicaKey, roster},
+    process::{announcements::Announcements, cadence::Budget, replicas::ReplicaKey, roster},
     rendezvous,
     request::quarantine::{Quarantine, SHUT_OUT_AT, Verdict},
 };
@@ -81,7 +81,7 @@
     known: RefCell<Quarantine>,
     /// Requests of which it is not clear whether their replica ended.
     lost: RefCell<HashMap<ReplicaKey, Lost>>,
-    news: RefCell<News>,
+    news: RefCell<Announcements>,
     /// Words before this time are beyond the budget.
     quiet_until: Cell<Time>,
     /// Rounds of words to other regions.
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -9,8 +9,8 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        elsewhere::{self, Load},
-        readers::{self, First},
+        readers::{self, FirstRead},
+        remote_loads::{self, Load},
         replicas::Report,
         roster::{self, State, Status},
     },
@@ -235,13 +235,13 @@
     }
 }
 
-fn load_report(loads: &Loads, at: Time) -> elsewhere::Part {
+fn load_report(loads: &Loads, at: Time) -> remote_loads::Part {
     let load = |it: &gradeloft_wire::datagram::Load| Load {
         replica: it.replica,
         running: u32::from(it.running),
         waiting: u32::from(it.waiting),
     };
-    elsewhere::Part {
+    remote_loads::Part {
         at,
         part: loads.part,
         further: loads.further,
@@ -266,7 +266,7 @@
         if !entry.node.loaded(table) {
             let settings = entry.node.settings();
             let now = entry.node.clock.now();
-            return readers::reads_first(First {
+            return readers::reads_first(FirstRead {
                 since_start: now.since(Time::ZERO),
                 since_contact: entry.contact.get().map(|it| now.since(it)),
                 seed: settings.seeds.contains(&settings.address),
--- a/crates/gradeloft_gateway/src/entry/upkeep.rs
+++ b/crates/gradeloft_gateway/src/entry/upkeep.rs
@@ -7,7 +7,7 @@
     process::{
         replicas::{Replica, ReplicaKey},
         roster,
-        split::{self, Area},
+        slot_split::{self, RegionSlots},
         warmup,
     },
 };
@@ -17,13 +17,13 @@
 use crate::logs::Topic;
 
 /// Age from which on other regions' reports of their requests don't count any more, in milliseconds: two of
-/// the longest pauses between two of them. What is old counts for little before (`split::unseen`).
+/// the longest pauses between two of them. What is old counts for little before (`slot_split::unseen_requests`).
 const FAR_MS: u64 = 10_000;
 
 /// A region, as far as its slots go.
 #[derive(Default)]
 struct Place {
-    area: Area,
+    area: RegionSlots,
     /// Replicas that take requests, in the order of their ids.
     replicas: Vec<(Rc<str>, ReplicaKey, u32)>,
 }
@@ -120,8 +120,8 @@
         let services = config.iter().flat_map(|it| &it.document.services);
         for service in services.filter(|it| it.speed.is_some()) {
             let (home, places) = self.places(&service.name, entries.len(), now);
-            let areas: Vec<Area> = places.iter().map(|it| it.area.clone()).collect();
-            let parts = split::near_first(&areas, home, position);
+            let areas: Vec<RegionSlots> = places.iter().map(|it| it.area.clone()).collect();
+            let parts = slot_split::parts_by_region(&areas, home, position);
             let mut replicas = self.replicas.borrow_mut();
             for (place, parts) in places.iter().zip(parts) {
                 for ((_, key, _), part) in place.replicas.iter().zip(parts) {
@@ -162,13 +162,13 @@
             let slots = place.replicas.iter().map(|it| it.2).collect();
             let here = |it: &str| settings.region(it) == region;
             place.area = if *region == own {
-                Area {
+                RegionSlots {
                     entries: entries_here,
                     demand: self.demand() + self.near_loads.borrow().demand(),
                     slots,
                 }
             } else {
-                Area {
+                RegionSlots {
                     entries: roster.serving(here, now).count(),
                     demand: far.demand_of(region),
                     slots,
--- a/crates/gradeloft_gateway/src/entry/view.rs
+++ b/crates/gradeloft_gateway/src/entry/view.rs
@@ -7,7 +7,7 @@
     clock::Time,
     process::{
         replicas::{Replica, ReplicaKey},
-        split::{self, Demand},
+        slot_split::{self, RequestRate},
     },
     request::placement::Doubt,
 };
@@ -28,9 +28,9 @@
 #[derive(Default)]
 pub(super) struct Demands {
     /// All of them.
-    pub(super) all: Demand,
+    pub(super) all: RequestRate,
     /// Those that do not go to a slot of this entry's part.
-    pub(super) beyond: Demand,
+    pub(super) beyond: RequestRate,
 }
 
 /// How far what an entry knows of replicas may be off.
@@ -70,10 +70,10 @@
                     .filter(|(_, it)| it.near == is_near && it.open(now))
             };
             let rate = others.demand / open().count().max(1) as f64;
-            let unseen = split::unseen(rate, others.age);
+            let unseen = slot_split::unseen_requests(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen)).sum();
             Doubt {
-                chance: split::chance(spare, others.entries, beyond, others.age),
+                chance: slot_split::overflow_probability(spare, others.entries, beyond, others.age),
                 unseen,
             }
         };
--- a/crates/gradeloft_gateway/src/node/ages.rs
+++ b/crates/gradeloft_gateway/src/node/ages.rs
@@ -5,9 +5,9 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        ages::Read,
         gaps::Gaps,
         mirror::{Record, Update},
+        write_times::Read,
     },
 };
 use gradeloft_wire::frame::{Row, Table};
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -34,9 +34,9 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        ages::Ages,
         mirror::{Mirror, Record},
         transfer::Slots,
+        write_times::WriteTimes,
     },
 };
 use gradeloft_wire::{
@@ -126,7 +126,7 @@
     /// Large values that are being given to peers.
     giving: RefCell<Slots>,
     /// Since when each table's records are known to be written.
-    ages: RefCell<[Ages; 3]>,
+    ages: RefCell<[WriteTimes; 3]>,
     disturbances: RefCell<Disturbances>,
     /// When a datagram that was sent a moment before last said how far others are.
     informed_at: Cell<Option<Time>>,
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -10,7 +10,7 @@
 use gradeloft_daemon::transport::{client::Lane, server::Outgoing};
 use gradeloft_policy::process::{
     mirror::Record,
-    transfer::{Caller, Choice, Pace, Progress, Refusal, Transfer, Want},
+    transfer::{Choice, Fetcher, MissingValue, Pace, Progress, Refusal, Transfer},
 };
 use gradeloft_wire::frame::{Absence, Call, Reply, Role, Table};
 
@@ -106,13 +106,13 @@
         while self.begin(table) {
             match self.choose(table) {
                 Choice::Ask(peer) => self.receive(peer, table).await,
-                Choice::Queue(time) => actix_rt::time::sleep(time).await,
-                Choice::Nobody | Choice::Retry(_) if self.superseded(table) => {
+                Choice::Wait(time) => actix_rt::time::sleep(time).await,
+                Choice::NoHolder | Choice::Retry(_) if self.superseded(table) => {
                     // What was superseded goes on only while someone gives it.
                     self.with_inbox(table, |it| it.transfer = None);
                 }
                 Choice::Retry(time) => actix_rt::time::sleep(time).await,
-                Choice::Nobody => {
+                Choice::NoHolder => {
                     // Whoever speaks next is asked what there is to have; what came is kept.
                     self.with_inbox(table, |it| it.pending = None);
                     self.fetch_failed("none", table, self.clock.now(), "nobody");
@@ -157,7 +157,7 @@
         self.with_rng(|rng| {
             self.with_inbox(table, |it| match &it.transfer {
                 Some(transfer) => transfer.choose(&it.holders, caller, now, rng),
-                None => Choice::Nobody,
+                None => Choice::NoHolder,
             })
         })
     }
@@ -241,14 +241,14 @@
             self.with_inbox(table, |it| {
                 it.transfer.as_ref().is_some_and(|transfer| {
                     pace.slow(transfer.start(), transfer.want().length, now)
-                        && transfer.leaves(peer, &it.holders, caller, now, rng)
+                        && transfer.should_switch(peer, &it.holders, caller, now, rng)
                 })
             })
         })
     }
 
-    pub(super) fn caller(&self) -> Caller {
-        Caller {
+    pub(super) fn caller(&self) -> Fetcher {
+        Fetcher {
             address: self.settings().address,
             role: self.role(),
         }
@@ -276,13 +276,13 @@
         });
         match progress {
             None => Ok(false),
-            Some(Progress::Spoilt) => Err(("spoilt", Refusal::NotHeld)),
+            Some(Progress::Corrupt) => Err(("spoilt", Refusal::NotHeld)),
             Some(Progress::More) => {
                 let goes_on = self.begin(table);
                 let same = |it: &mut Inbox| it.transfer.as_ref().is_some_and(fetched);
                 Ok(goes_on && self.with_inbox(table, same))
             }
-            Some(Progress::Whole(value)) => {
+            Some(Progress::Complete(value)) => {
                 self.came(table, value, Source::Peer(peer));
                 Ok(false)
             }
@@ -298,7 +298,7 @@
         let want = transfer.want();
         self.with_inbox(table, |it| {
             if let Some(announced) = &mut it.pending {
-                let same = |missing: &Want| (missing == want).then(|| value.clone());
+                let same = |missing: &MissingValue| (missing == want).then(|| value.clone());
                 announced.pending.fill(same);
                 announced.source = source;
             }
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -14,9 +14,9 @@
     clock::Time,
     process::{
         mirror::Record,
-        pending::{self, Pending},
-        replicas::Trust,
-        transfer::{Holders, Transfer, Want},
+        pending_update::{self, PendingUpdate},
+        replicas::StoreTrust,
+        transfer::{Holders, MissingValue, Transfer},
     },
 };
 use gradeloft_wire::{
@@ -63,7 +63,7 @@
 
 /// What a peer announced.
 pub(super) struct Announced {
-    pub(super) pending: Pending,
+    pub(super) pending: PendingUpdate,
     /// Whether the peer vouches for its removals.
     sound: bool,
     asked: Time,
@@ -131,7 +131,7 @@
             snapshot: update.snapshot,
             rows: rows.collect(),
             end: update.end,
-            sound: self.trust(table) == Trust::Sound,
+            sound: self.trust(table) == StoreTrust::Sound,
         };
         outgoing.finish(&reply).await;
     }
@@ -277,8 +277,8 @@
             Err(_) => return self.fetch_failed(peer, table, asked, "late"),
         };
         self.note_given(table, &rows, asked);
-        let rows: Vec<pending::Row> = rows.into_iter().map(row).collect();
-        let pending = Pending::new(snapshot, rows, end);
+        let rows: Vec<pending_update::Row> = rows.into_iter().map(row).collect();
+        let pending = PendingUpdate::new(snapshot, rows, end);
         if pending.oversized() {
             return self.fetch_failed(peer, table, asked, "too large");
         }
@@ -382,13 +382,13 @@
     }
 }
 
-fn row(row: Row) -> pending::Row {
+fn row(row: Row) -> pending_update::Row {
     let Row {
         key, value, offset, ..
     } = row;
     let value = match value {
         Value::Apart { length, digest } => {
-            return pending::Row::Apart(Want {
+            return pending_update::Row::Missing(MissingValue {
                 key,
                 offset,
                 length,
@@ -398,5 +398,5 @@
         Value::Deleted => None,
         Value::Here(value) => Some(Bytes::from(value)),
     };
-    pending::Row::Here(Record { key, value, offset })
+    pending_update::Row::Present(Record { key, value, offset })
 }
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -7,7 +7,7 @@
     clock::Time,
     process::{
         mirror::{Record, Update},
-        replicas::Trust,
+        replicas::StoreTrust,
     },
 };
 use gradeloft_wire::{datagram::Access, frame::Table};
@@ -111,20 +111,20 @@
     }
 
     /// Whether a removal from a table may be an error of the store's.
-    pub fn trust(&self, table: Table) -> Trust {
+    pub fn trust(&self, table: Table) -> StoreTrust {
         if self.peer_sound.get() {
-            return Trust::Sound;
+            return StoreTrust::Sound;
         }
         let now = self.clock.now();
         match self.reading.borrow()[index(table)] {
-            Reading::Interrupted => Trust::Doubtful(now.after_ms(BACK_MS)),
+            Reading::Interrupted => StoreTrust::Doubtful(now.after_ms(BACK_MS)),
             Reading::Resumed(at) if now < at.after_ms(DOUBT_MS) => {
-                Trust::Doubtful(at.after_ms(BACK_MS))
+                StoreTrust::Doubtful(at.after_ms(BACK_MS))
             }
             Reading::Standby if now < self.peer_doubt.get() => {
-                Trust::Doubtful(self.peer_doubt.get())
+                StoreTrust::Doubtful(self.peer_doubt.get())
             }
-            Reading::Resumed(_) | Reading::Standby | Reading::Steady => Trust::Sound,
+            Reading::Resumed(_) | Reading::Standby | Reading::Steady => StoreTrust::Sound,
         }
     }
 
@@ -397,7 +397,7 @@
 
     /// Whether a record that removes something from a table may be an error of the store's. Counts from when
     /// the record is known to be there, and not from before an interruption: doubt would end too soon.
-    pub fn trust_in(&self, table: Table, record: &Record) -> Trust {
+    pub fn trust_in(&self, table: Table, record: &Record) -> StoreTrust {
         let now = self.clock.now();
         let known = self.ages.borrow()[index(table)].known_since(record.offset);
         let written = known.map_or(now, |it| it.min(now));
--- a/crates/gradeloft_gateway/src/settings.rs
+++ b/crates/gradeloft_gateway/src/settings.rs
@@ -5,7 +5,7 @@
     net::{Ipv4Addr, SocketAddr},
 };
 
-use gradeloft_policy::process::repeats;
+use gradeloft_policy::process::retry_budget;
 
 /// Settings of a process, checked.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     /// Instances that may run an entry.
     pub seeds: Vec<Ipv4Addr>,
     /// How often requests may be sent again, by all entries together.
-    pub repeats: repeats::Bounds,
+    pub repeats: retry_budget::Bounds,
     /// Time from the confirmation of a configuration until it is in force everywhere, in milliseconds.
     pub apply_ms: u64,
     /// Time from the naming of new weights until every request begins on them, in milliseconds.
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -23,8 +23,8 @@
 use gradeloft_policy::process::{
     document::{CallerLimits, Document, Layout, Service},
     mirror::Record,
-    repeats,
     replicas::Listing,
+    retry_budget,
 };
 use gradeloft_standin::tables::Tables;
 use gradeloft_wire::{frame::Table, id::Digest};
@@ -373,7 +373,7 @@
         peer_port: 7700,
         metrics_port: 9464,
         seeds,
-        repeats: repeats::Bounds {
+        repeats: retry_budget::Bounds {
             ratio: 0.2,
             slack: 100.0,
             window_ms: 10_000,
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -11,7 +11,7 @@
 use gradeloft_daemon::clock::Clock;
 use gradeloft_platform::fleet::Lookup;
 use gradeloft_policy::{
-    process::{document::Kind, replicas::Listing, roster, speakers},
+    process::{delegates, document::Kind, replicas::Listing, roster},
     rendezvous,
 };
 use gradeloft_standin::{scripted::Step, tables::Mood};
@@ -165,7 +165,7 @@
         // Two of the region's entries come before the world's own in the draw.
         let ours = roster::hash(&address(1));
         let before: Vec<u8> = (10..90)
-            .filter(|it| !speakers::speaks(address(1), [address(*it); 2].into_iter()))
+            .filter(|it| !delegates::is_delegate(address(1), [address(*it); 2].into_iter()))
             .take(2)
             .collect();
         assert!(before.iter().all(|it| roster::hash(&address(*it)) != ours));
--- a/crates/gradeloft_gateway/tests/entry/pauses.rs
+++ b/crates/gradeloft_gateway/tests/entry/pauses.rs
@@ -11,7 +11,7 @@
 
 use crate::support::{Shape, World, answer, last_chunk, request, run, stream, until};
 use gradeloft_gateway::settings::Settings;
-use gradeloft_policy::process::{document::Kind, repeats};
+use gradeloft_policy::process::{document::Kind, retry_budget};
 use gradeloft_standin::scripted::Step;
 use rstest::rstest;
 
@@ -87,7 +87,7 @@
         let world = World::start(shape, vec![pausing_stream(), pausing_stream()]).await;
         let node = &world.entry.entry().node;
         let settings = Settings {
-            repeats: repeats::Bounds {
+            repeats: retry_budget::Bounds {
                 ratio: 0.0,
                 slack: 0.0,
                 window_ms: 10_000,
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -24,11 +24,11 @@
     fleet::{Decoder, Directory, Headers, Lookup, Order, Origin},
 };
 use gradeloft_policy::process::{
+    allowed_regions::AllowedRegions,
     document::{CallerLimits, Document, Kind, Route, Service, Speed, Target, Warmup},
-    homes::Homes,
     mirror::Record,
-    repeats,
     replicas::Listing,
+    retry_budget,
 };
 use gradeloft_standin::{
     scripted::{Scripted, Step},
@@ -231,9 +231,9 @@
         max_attempts: shape.max_attempts,
         priority: 1,
         public: false,
-        homes: shape
-            .homes
-            .map_or_else(Homes::default, |it| Homes::of([it.to_owned()])),
+        homes: shape.homes.map_or_else(AllowedRegions::default, |it| {
+            AllowedRegions::of([it.to_owned()])
+        }),
     };
     Document {
         version: 1,
@@ -269,7 +269,7 @@
         peer_port: 7700,
         metrics_port: 9464,
         seeds: vec![address(1)],
-        repeats: repeats::Bounds {
+        repeats: retry_budget::Bounds {
             ratio: 0.2,
             slack: 100.0,
             window_ms: 10_000,
--- a/crates/gradeloft_policy/src/process/homes.rs
+++ b/crates/gradeloft_policy/src/process/allowed_regions.rs
@@ -5,37 +5,37 @@
 /// Regions in which a request may be served.
 ///
 /// ```
-/// use gradeloft_policy::process::homes::Homes;
-/// let route = Homes::of(["north".to_owned(), "south".to_owned()]);
-/// let team = Homes::of(["south".to_owned(), "west".to_owned()]);
+/// use gradeloft_policy::process::allowed_regions::AllowedRegions;
+/// let route = AllowedRegions::of(["north".to_owned(), "south".to_owned()]);
+/// let team = AllowedRegions::of(["south".to_owned(), "west".to_owned()]);
 /// assert!(route.and(&team).allow("south"));
 /// assert!(!route.and(&team).allow("north"));
-/// assert!(Homes::of([]).allow("anywhere"));
+/// assert!(AllowedRegions::of([]).allow("anywhere"));
 /// assert_eq!(route.to_string(), "north,south");
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Homes {
+pub struct AllowedRegions {
     /// `None` allows all regions; an empty set allows none.
     regions: Option<Rc<BTreeSet<String>>>,
 }
 
-impl Homes {
+impl AllowedRegions {
     /// The regions of a list, or all regions if the list is empty.
-    pub fn of(regions: impl IntoIterator<Item = String>) -> Homes {
+    pub fn of(regions: impl IntoIterator<Item = String>) -> AllowedRegions {
         let regions: BTreeSet<String> = regions.into_iter().collect();
-        Homes {
+        AllowedRegions {
             regions: (!regions.is_empty()).then(|| Rc::new(regions)),
         }
     }
 
     /// Regions that both allow. Two lists without a common region allow none.
-    pub fn and(&self, other: &Homes) -> Homes {
+    pub fn and(&self, other: &AllowedRegions) -> AllowedRegions {
         let regions = match (&self.regions, &other.regions) {
             (Some(one), Some(other)) => Some(Rc::new(one.intersection(other).cloned().collect())),
             (Some(only), None) | (None, Some(only)) => Some(Rc::clone(only)),
             (None, None) => None,
         };
-        Homes { regions }
+        AllowedRegions { regions }
     }
 
     /// Whether a region is allowed.
@@ -50,7 +50,7 @@
 }
 
 /// The regions with commas between; `*` for all.
-impl fmt::Display for Homes {
+impl fmt::Display for AllowedRegions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(regions) = &self.regions else {
             return f.write_str("*");
--- a/crates/gradeloft_policy/src/process/news.rs
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -33,11 +33,11 @@
 
 /// Requests of which others are told.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct Announcements {
     items: HashMap<Fingerprint, Item>,
 }
 
-impl News {
+impl Announcements {
     /// Something came up that others do not know: they are told from now on.
     pub fn add(&mut self, request: Fingerprint, now: Time) {
         let item = Item {
--- a/crates/gradeloft_policy/src/process/speakers.rs
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -10,7 +10,7 @@
 use crate::rendezvous;
 
 /// Speakers of a region: with two, that take turns, the loss of one halves how often others hear of it.
-pub const SPEAKERS: usize = 2;
+pub const DELEGATES: usize = 2;
 /// Entries of all regions that send to each agent in a region without an entry that is alive.
 const STAND_INS: usize = 2;
 /// Entries of a region that send to each agent at once what changed; the others do so with their next regular datagram.
@@ -18,20 +18,20 @@
 /// Key of the draw.
 const KEY: u64 = 0x5350_4541_4b53;
 
-/// Whether `own` speaks for its region, of which `others` are alive.
-pub fn speaks(own: Ipv4Addr, others: impl Iterator<Item = Ipv4Addr>) -> bool {
+/// Whether `own` is_delegate for its region, of which `others` are alive.
+pub fn is_delegate(own: Ipv4Addr, others: impl Iterator<Item = Ipv4Addr>) -> bool {
     let others = others.map(|it| roster::hash(&it));
-    rendezvous::rank(KEY, roster::hash(&own), others) < SPEAKERS
+    rendezvous::rank(KEY, roster::hash(&own), others) < DELEGATES
 }
 
 /// Whether `own` sends to an agent in a region without an entry that is alive; `others` are alive elsewhere. Each agent
 /// has a few, whatever the size of the fleet: every entry that sends to an agent gets its reports.
-pub fn stands_in(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
+pub fn is_fallback_sender(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < STAND_INS
 }
 
 /// Whether `own` is one of those entries of an agent's region that send it at once what changed; `others` are alive there.
-pub fn informs(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
+pub fn sends_changes_at_once(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < INFORMERS
 }
 
@@ -39,7 +39,7 @@
 pub fn relay(members: &[Ipv4Addr], turn: usize) -> Option<Ipv4Addr> {
     let hashes: Vec<u64> = members.iter().map(roster::hash).collect();
     let order = rendezvous::order(KEY, &hashes);
-    let speakers = &order[..SPEAKERS.min(order.len())];
+    let speakers = &order[..DELEGATES.min(order.len())];
     let drawn = speakers.get(turn % speakers.len().max(1))?;
     Some(members[*drawn])
 }
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use super::homes::Homes;
+use super::allowed_regions::AllowedRegions;
 
 /// Whether a request may run more than once, and how its answer comes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -65,7 +65,7 @@
     /// Whether no key is needed.
     pub public: bool,
     /// Regions in which its requests may be served.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
 }
 
 impl Route {
@@ -164,7 +164,7 @@
     /// Team of each key. Empty when requests need no key.
     pub keys: HashMap<String, Rc<str>>,
     /// Regions in which requests of a team may be served, for teams that are bound to some.
-    pub homes: HashMap<Rc<str>, Homes>,
+    pub homes: HashMap<Rc<str>, AllowedRegions>,
     /// What callers may send.
     pub limits: CallerLimits,
 }
@@ -233,7 +233,7 @@
     }
 
     /// Regions in which a team's requests on a route may be served.
-    pub fn homes(&self, route: &Route, team: Option<&str>) -> Homes {
+    pub fn allowed_regions(&self, route: &Route, team: Option<&str>) -> AllowedRegions {
         match team.and_then(|it| self.document.homes.get(it)) {
             Some(homes) => route.homes.and(homes),
             None => route.homes.clone(),
@@ -241,12 +241,12 @@
     }
 
     /// Regions in which requests for a host may be served by any of its routes.
-    pub fn homes_of_host(&self, host: &str) -> Homes {
+    pub fn allowed_regions_of_host(&self, host: &str) -> AllowedRegions {
         let Some(routes) = self.by_host.get(&host.to_ascii_lowercase()) else {
-            return Homes::default();
+            return AllowedRegions::default();
         };
         let routes = routes.iter().map(|&idx| &self.document.routes[idx]);
-        routes.fold(Homes::default(), |homes, it| homes.and(&it.homes))
+        routes.fold(AllowedRegions::default(), |homes, it| homes.and(&it.homes))
     }
 
     /// A service by name.
--- a/crates/gradeloft_policy/src/process/leave.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -18,17 +18,17 @@
 
 /// The leave of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Leave {
+pub struct Drain {
     /// When it began.
     pub since: Time,
     /// When the process ends at the latest; not before `since`.
     pub end: Time,
 }
 
-impl Leave {
+impl Drain {
     /// A leave that begins now, with a grace in milliseconds.
-    pub fn begin(now: Time, grace_ms: u64) -> Leave {
-        Leave {
+    pub fn begin(now: Time, grace_ms: u64) -> Drain {
+        Drain {
             since: now,
             end: now.after_ms((grace_ms as f64 * USED) as u64),
         }
--- a/crates/gradeloft_policy/src/process/whole.rs
+++ b/crates/gradeloft_policy/src/process/earliest_writes.rs
@@ -14,8 +14,8 @@
 /// Ends of a table, and until when it went no further.
 ///
 /// ```
-/// use gradeloft_policy::{clock::Time, process::whole::Whole};
-/// let mut whole = Whole::default();
+/// use gradeloft_policy::{clock::Time, process::earliest_writes::EarliestWrites};
+/// let mut whole = EarliestWrites::default();
 /// whole.note(7, Time::ZERO.after_ms(10));
 /// whole.note(8, Time::ZERO.after_ms(20));
 /// assert_eq!(whole.until(7), Some(Time::ZERO.after_ms(10)));
@@ -23,12 +23,12 @@
 /// assert_eq!(whole.until(6), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Whole {
+pub struct EarliestWrites {
     /// Each higher and later than the one before it: others say nothing more.
     noted: VecDeque<(u64, Time)>,
 }
 
-impl Whole {
+impl EarliestWrites {
     /// At the time `at` the table went no further than `end`.
     pub fn note(&mut self, end: u64, at: Time) {
         if self.until(end).is_some_and(|it| at <= it) {
--- a/crates/gradeloft_policy/src/process/standing.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -18,9 +18,9 @@
 
 /// How an entry takes callers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Standing {
+pub enum Freshness {
     /// It leaves them to others.
-    Aside,
+    Stale,
     /// It takes them, but denies nothing: others know more.
     Behind,
     /// It lacks nothing that it knows of.
@@ -28,7 +28,7 @@
     Current,
 }
 
-impl Standing {
+impl Freshness {
     /// Of an entry that has `lacked` something for a time. There is no way back but to catch up, which
     /// ends it at once: it counts from when the first record that is still lacked was known of, so an
     /// entry that follows changes in close order is never long behind.
@@ -38,25 +38,25 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use gradeloft_policy::process::standing::Standing;
+    /// use gradeloft_policy::process::freshness::Freshness;
     /// let apply = Duration::from_secs(2);
     /// let long = Some(apply);
-    /// assert_eq!(Standing::of(None, apply, || true), Standing::Current);
-    /// assert_eq!(Standing::of(long, apply, || false), Standing::Behind);
-    /// assert_eq!(Standing::of(long, apply, || true), Standing::Aside);
+    /// assert_eq!(Freshness::of(None, apply, || true), Freshness::Current);
+    /// assert_eq!(Freshness::of(long, apply, || false), Freshness::Behind);
+    /// assert_eq!(Freshness::of(long, apply, || true), Freshness::Stale);
     /// ```
     pub fn of(
         lacked: Option<Duration>,
         apply: Duration,
         most_beyond: impl FnOnce() -> bool,
-    ) -> Standing {
+    ) -> Freshness {
         let Some(lacked) = lacked else {
-            return Standing::Current;
+            return Freshness::Current;
         };
         if apply.mul_f64(ASIDE) <= lacked && most_beyond() {
-            Standing::Aside
+            Freshness::Stale
         } else {
-            Standing::Behind
+            Freshness::Behind
         }
     }
 }
--- a/crates/gradeloft_policy/src/process/ends.rs
+++ b/crates/gradeloft_policy/src/process/latest_writes.rs
@@ -15,8 +15,8 @@
 /// Ends of a table, and by when it went that far.
 ///
 /// ```
-/// use gradeloft_policy::{clock::Time, process::ends::Ends};
-/// let mut ends = Ends::default();
+/// use gradeloft_policy::{clock::Time, process::latest_writes::LatestWrites};
+/// let mut ends = LatestWrites::default();
 /// ends.note(7, Time::ZERO.after_ms(10));
 /// ends.note(9, Time::ZERO.after_ms(20));
 /// assert_eq!(ends.known_since(7), Some(Time::ZERO.after_ms(20)));
@@ -25,12 +25,12 @@
 /// assert_eq!(ends.known_since(6), Some(Time::ZERO.after_ms(5)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
+pub struct LatestWrites {
     /// Each higher and later than the one before it: others say nothing more.
     noted: VecDeque<(u64, Time)>,
 }
 
-impl Ends {
+impl LatestWrites {
     /// The table went up to `end` by the time `at`.
     pub fn note(&mut self, end: u64, at: Time) {
         let place = self.noted.partition_point(|it| it.0 < end);
--- a/crates/gradeloft_policy/src/process/pending.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -10,41 +10,41 @@
 
 use super::{
     mirror::{Record, Update},
-    transfer::{MAX_VALUE, Want},
+    transfer::{MAX_VALUE, MissingValue},
 };
 
 /// A record that was announced.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Row {
     /// Its value is still to be fetched.
-    Apart(Want),
+    Missing(MissingValue),
     /// All of it is here.
-    Here(Record),
+    Present(Record),
 }
 
 impl Row {
     fn offset(&self) -> u64 {
         match self {
-            Row::Apart(want) => want.offset,
-            Row::Here(record) => record.offset,
+            Row::Missing(want) => want.offset,
+            Row::Present(record) => record.offset,
         }
     }
 }
 
 /// An update whose values are not all here.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Pending {
+pub struct PendingUpdate {
     snapshot: bool,
     /// In order of offset.
     rows: Vec<Row>,
     end: u64,
 }
 
-impl Pending {
+impl PendingUpdate {
     /// What a peer announced: records in order of offset, the newest of every key if it is a `snapshot`,
     /// up to `end`.
-    pub fn new(snapshot: bool, rows: Vec<Row>, end: u64) -> Pending {
-        Pending {
+    pub fn new(snapshot: bool, rows: Vec<Row>, end: u64) -> PendingUpdate {
+        PendingUpdate {
             snapshot,
             rows,
             end,
@@ -57,26 +57,26 @@
     }
 
     /// The first value that is missing.
-    pub fn missing(&self) -> Option<&Want> {
+    pub fn missing(&self) -> Option<&MissingValue> {
         self.rows.iter().find_map(|it| match it {
-            Row::Apart(want) => Some(want),
-            Row::Here(_) => None,
+            Row::Missing(want) => Some(want),
+            Row::Present(_) => None,
         })
     }
 
     /// Whether it announces a value that is too large to be taken from peers.
     pub fn oversized(&self) -> bool {
-        let too_large = |it: &Row| matches!(it, Row::Apart(want) if MAX_VALUE < want.length);
+        let too_large = |it: &Row| matches!(it, Row::Missing(want) if MAX_VALUE < want.length);
         self.rows.iter().any(too_large)
     }
 
     /// Fills in what `held` gives of a missing record.
-    pub fn fill(&mut self, held: impl Fn(&Want) -> Option<Bytes>) {
+    pub fn fill(&mut self, held: impl Fn(&MissingValue) -> Option<Bytes>) {
         for row in &mut self.rows {
-            if let Row::Apart(want) = row
+            if let Row::Missing(want) = row
                 && let Some(value) = held(want)
             {
-                *row = Row::Here(Record {
+                *row = Row::Present(Record {
                     key: std::mem::take(&mut want.key),
                     value: Some(value),
                     offset: want.offset,
@@ -88,8 +88,8 @@
     /// Values that are here, by offset.
     pub fn values(&self) -> HashMap<u64, Bytes> {
         let here = self.rows.iter().filter_map(|it| match it {
-            Row::Here(record) => Some((record.offset, record.value.clone()?)),
-            Row::Apart(_) => None,
+            Row::Present(record) => Some((record.offset, record.value.clone()?)),
+            Row::Missing(_) => None,
         });
         here.collect()
     }
@@ -105,7 +105,10 @@
         if !self.snapshot {
             self.rows.retain(|it| end <= it.offset());
         }
-        let here = self.rows.iter().take_while(|it| matches!(it, Row::Here(_)));
+        let here = self
+            .rows
+            .iter()
+            .take_while(|it| matches!(it, Row::Present(_)));
         let here = here.count();
         let whole = here == self.rows.len();
         if !whole && (self.snapshot || here == 0) {
@@ -113,8 +116,8 @@
         }
         let end = self.rows.get(here).map_or(self.end, Row::offset);
         let records = self.rows.drain(..here).filter_map(|it| match it {
-            Row::Here(record) => Some(record),
-            Row::Apart(_) => None,
+            Row::Present(record) => Some(record),
+            Row::Missing(_) => None,
         });
         Some(Update {
             snapshot: self.snapshot,
@@ -128,7 +131,7 @@
     pub fn ahead(&self) -> Vec<Record> {
         let mut last: HashMap<&str, &Record> = HashMap::new();
         for row in &self.rows {
-            if let Row::Here(record) = row {
+            if let Row::Present(record) = row {
                 last.insert(&record.key, record);
             }
         }
--- a/crates/gradeloft_policy/src/process/shares.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -128,13 +128,13 @@
     }
 
     /// The rate that may be used now, of `allowed` over `entries` entries.
-    pub fn rate(&self, allowed: f64, entries: usize, reach: Reach, now: Time) -> f64 {
+    pub fn rate(&self, allowed: f64, entries: usize, reach: HomeReach, now: Time) -> f64 {
         if now < self.lease.until {
             return self.lease.rate;
         }
         match reach {
-            Reach::CutOff => part(allowed, entries, CUT_OFF_FRACTION),
-            Reach::Home => part(allowed, entries, SILENT_FRACTION),
+            HomeReach::CutOff => part(allowed, entries, CUT_OFF_FRACTION),
+            HomeReach::Home => part(allowed, entries, SILENT_FRACTION),
         }
     }
 
@@ -150,7 +150,7 @@
 
 /// Whether an entry can reach the homes of its teams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum HomeReach {
     /// No home has answered for [`CUT_OFF_MS`].
     CutOff,
     /// They answer, or have not been asked.
@@ -180,7 +180,7 @@
 
 /// What an entry asks its team's home for.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Hash of the entry's name.
     pub entry: u64,
     /// What callers want of it, in units a second.
@@ -191,7 +191,7 @@
 
 /// What a home knows of the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
+pub struct FleetView {
     /// The team's rate, over all entries.
     pub allowed: f64,
     /// Entries that the platform lists, this one included.
@@ -210,8 +210,8 @@
     }
 
     /// Answers an ask with the rate that is granted for a lease's time.
-    pub fn ask(&mut self, ask: Ask, fleet: Fleet, now: Time) -> f64 {
-        let Fleet {
+    pub fn ask(&mut self, ask: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
+        let FleetView {
             allowed,
             entries,
             connected,
@@ -251,8 +251,8 @@
     }
 
     /// What entries without a lease may use.
-    fn kept_back(&self, fleet: Fleet) -> f64 {
-        let Fleet {
+    fn kept_back(&self, fleet: FleetView) -> f64 {
+        let FleetView {
             allowed,
             entries,
             connected,
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -30,7 +30,7 @@
 
 /// What an entry knows of a table that it has never had.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct First {
+pub struct FirstRead {
     /// How long ago the entry started.
     pub since_start: Duration,
     /// How long ago another entry sent it something first. Only then does it know of others.
@@ -48,7 +48,7 @@
 /// Whether an entry reads a table from the store that it has never had. After everything was off nobody has it, and to
 /// wait for peers all the same would keep callers without service for a second. If all entries of a region read it, they
 /// would fill the link to the store, so their number is bounded, whatever the size of the region.
-pub fn reads_first(first: First) -> bool {
+pub fn reads_first(first: FirstRead) -> bool {
     let Some(since_contact) = first.since_contact else {
         return first.seed || UNGIVEN <= first.since_start;
     };
--- a/crates/gradeloft_policy/src/process/elsewhere.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -35,19 +35,19 @@
 
 /// The last report of each of several others.
 #[derive(Clone, Debug)]
-pub struct Elsewhere<K> {
+pub struct RemoteLoads<K> {
     reports: HashMap<K, HashMap<u16, Part>>,
 }
 
-impl<K> Default for Elsewhere<K> {
-    fn default() -> Elsewhere<K> {
-        Elsewhere {
+impl<K> Default for RemoteLoads<K> {
+    fn default() -> RemoteLoads<K> {
+        RemoteLoads {
             reports: HashMap::new(),
         }
     }
 }
 
-impl<K: Eq + Hash> Elsewhere<K> {
+impl<K: Eq + Hash> RemoteLoads<K> {
     /// Takes in a part of the report of `who`.
     pub fn receive(&mut self, who: K, part: Part) {
         let parts = self.reports.entry(who).or_default();
--- a/crates/gradeloft_policy/src/process/starts.rs
+++ b/crates/gradeloft_policy/src/process/replica_starts.rs
@@ -5,11 +5,11 @@
 
 /// How what was said relates to the start that is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Said {
+pub enum StartOrder {
     /// Of a start that has ended.
-    Before,
+    Ended,
     /// Of a start that is not known yet.
-    Later,
+    Newer,
     /// Of the start that is known, or of one that can't be told from it.
     Same,
 }
@@ -35,32 +35,32 @@
     /// Takes in what the platform's table says, whose records are read in order.
     ///
     /// ```
-    /// use gradeloft_policy::process::starts::{Said, Starts};
+    /// use gradeloft_policy::process::replica_starts::{StartOrder, Starts};
     /// let mut starts = Starts::new(Some(2_000));
-    /// assert_eq!(starts.listed(Some(2_000)), Said::Same);
+    /// assert_eq!(starts.listed(Some(2_000)), StartOrder::Same);
     /// // Its clock was set back before it started again.
-    /// assert_eq!(starts.listed(Some(1_000)), Said::Later);
-    /// assert_eq!(starts.received(Some(2_000)), Said::Before);
+    /// assert_eq!(starts.listed(Some(1_000)), StartOrder::Newer);
+    /// assert_eq!(starts.received(Some(2_000)), StartOrder::Ended);
     /// ```
-    pub fn listed(&mut self, born: Option<u64>) -> Said {
+    pub fn listed(&mut self, born: Option<u64>) -> StartOrder {
         match (self.now, born) {
             (Some(now), Some(born)) if now != born => {
                 self.ended = Some(now);
                 self.now = Some(born);
-                Said::Later
+                StartOrder::Newer
             }
             _ => {
                 self.now = self.now.or(born);
-                Said::Same
+                StartOrder::Same
             }
         }
     }
 
     /// Takes in what a message says that may be late: an earlier start, or the one that ended last, is
     /// no news.
-    pub fn received(&mut self, born: Option<u64>) -> Said {
+    pub fn received(&mut self, born: Option<u64>) -> StartOrder {
         match (self.now, born) {
-            (Some(now), Some(born)) if born < now || self.ended == Some(born) => Said::Before,
+            (Some(now), Some(born)) if born < now || self.ended == Some(born) => StartOrder::Ended,
             _ => self.listed(born),
         }
     }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -14,7 +14,7 @@
     clock::Time,
     process::{
         document::Speed,
-        starts::{Said, Starts},
+        replica_starts::{StartOrder, Starts},
     },
     rendezvous,
     request::forecast::{Queue, Slowness},
@@ -78,7 +78,7 @@
 
 /// Whether a removal may be an error of the platform's store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trust {
+pub enum StoreTrust {
     /// The store was out of reach a moment ago and may have dropped replicas that live; those are back
     /// by then.
     Doubtful(Time),
@@ -86,13 +86,15 @@
     Sound,
 }
 
-impl Trust {
+impl StoreTrust {
     /// Of a removal that was written at `written`: whoever is dropped in error is back so many milliseconds
     /// after it, however late it is read.
-    pub fn of_written(self, written: Time, back_ms: u64) -> Trust {
+    pub fn of_written(self, written: Time, back_ms: u64) -> StoreTrust {
         match self {
-            Trust::Doubtful(until) => Trust::Doubtful(until.min(written.after_ms(back_ms))),
-            Trust::Sound => Trust::Sound,
+            StoreTrust::Doubtful(until) => {
+                StoreTrust::Doubtful(until.min(written.after_ms(back_ms)))
+            }
+            StoreTrust::Sound => StoreTrust::Sound,
         }
     }
 }
@@ -340,7 +342,7 @@
             return self.insert(Replica::new(listing, starts));
         };
         let replica = &mut self.arena[key];
-        if replica.starts.listed(listing.born) == Said::Later {
+        if replica.starts.listed(listing.born) == StartOrder::Newer {
             return self.restart(key, listing);
         }
         let before = Rc::clone(&replica.listing.service);
@@ -378,13 +380,13 @@
     }
 
     /// The platform no longer lists a replica.
-    pub fn unlist(&mut self, id: &str, trust: Trust) {
+    pub fn unlist(&mut self, id: &str, trust: StoreTrust) {
         let Some(&key) = self.by_id.get(id) else {
             return;
         };
         match trust {
-            Trust::Sound => self.remove(key),
-            Trust::Doubtful(until) => self.arena[key].gone_at = Some(until),
+            StoreTrust::Sound => self.remove(key),
+            StoreTrust::Doubtful(until) => self.arena[key].gone_at = Some(until),
         }
     }
 
@@ -413,8 +415,8 @@
         for key in keys {
             let replica = &mut self.arena[key];
             match replica.starts.received(report.born) {
-                Said::Before => {}
-                Said::Later => {
+                StartOrder::Ended => {}
+                StartOrder::Newer => {
                     // The platform's word is of the start that ended.
                     let listing = Listing {
                         born: report.born,
@@ -426,7 +428,7 @@
                     self.arena[begun].report = Some(report);
                     ended.push(key);
                 }
-                Said::Same => {
+                StartOrder::Same => {
                     if replica.report.is_none_or(|it| it.at <= report.at) {
                         replica.report = Some(report);
                     }
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -25,13 +25,13 @@
 
 /// How well an entry knows which others there are.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Acquaintance {
+pub enum Discovery {
     /// It has not read the table of entries.
     None,
     /// It has, within a window of its start: of many entries it knows only that they are listed.
     Listed,
     /// It has met those that there are.
-    Met,
+    Complete,
 }
 
 /// Whether an entry takes callers.
@@ -182,11 +182,11 @@
     /// Among how many entries that is split which all may spend together; `None` while nobody knows. An entry that
     /// has just started has met few others. Where many start at once, each would else take most of it: of seven, six
     /// that were killed together each took a half or all, and all of them more than there was.
-    pub fn sharers(&self, acquaintance: Acquaintance) -> Option<usize> {
+    pub fn sharers(&self, acquaintance: Discovery) -> Option<usize> {
         match acquaintance {
-            Acquaintance::None => None,
-            Acquaintance::Listed => Some(self.most().max(self.entries.len() + 1)),
-            Acquaintance::Met => Some(self.most()),
+            Discovery::None => None,
+            Discovery::Listed => Some(self.most().max(self.entries.len() + 1)),
+            Discovery::Complete => Some(self.most()),
         }
     }
 
--- a/crates/gradeloft_policy/src/process/split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -21,7 +21,7 @@
 /// these slots. Both lists are in the same order at every entry.
 ///
 /// ```
-/// use gradeloft_policy::process::split::parts;
+/// use gradeloft_policy::process::slot_split::parts;
 /// let of = |own| parts(own, 4, &[16, 16]);
 /// assert_eq!(of(0), [4, 4]);
 /// // Every slot is somebody's.
@@ -59,7 +59,7 @@
 
 /// What a region has to split.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Area {
+pub struct RegionSlots {
     /// Entries that take callers.
     pub entries: usize,
     /// Requests that come to them, a second.
@@ -75,18 +75,18 @@
 /// region has beyond that is lent, evenly from all its replicas, to the entries of regions that have too few.
 ///
 /// ```
-/// use gradeloft_policy::process::split::{Area, near_first};
-/// let area = |demand| Area { entries: 2, demand, slots: vec![8, 8] };
+/// use gradeloft_policy::process::slot_split::{RegionSlots, parts_by_region};
+/// let area = |demand| RegionSlots { entries: 2, demand, slots: vec![8, 8] };
 /// let balanced = [area(10.0), area(10.0)];
-/// assert_eq!(near_first(&balanced, 0, 0), [[4, 4], [0, 0]]);
+/// assert_eq!(parts_by_region(&balanced, 0, 0), [[4, 4], [0, 0]]);
 /// // The second region asks for three times as much, and gets half of the first one's slots.
 /// let short = [area(10.0), area(30.0)];
-/// assert_eq!(near_first(&short, 0, 0), [[2, 2], [0, 0]]);
-/// assert_eq!(near_first(&short, 1, 0), [[2, 2], [4, 4]]);
+/// assert_eq!(parts_by_region(&short, 0, 0), [[2, 2], [0, 0]]);
+/// assert_eq!(parts_by_region(&short, 1, 0), [[2, 2], [4, 4]]);
 /// ```
-pub fn near_first(areas: &[Area], home: usize, own: usize) -> Vec<Vec<u32>> {
+pub fn parts_by_region(areas: &[RegionSlots], home: usize, own: usize) -> Vec<Vec<u32>> {
     let lent = lent(areas);
-    let kept = |area: &Area, lent: u32| -> Vec<u32> {
+    let kept = |area: &RegionSlots, lent: u32| -> Vec<u32> {
         let lent = spread(&area.slots, lent);
         let slots = area.slots.iter().zip(lent);
         slots.map(|(all, lent)| all - lent).collect()
@@ -104,17 +104,17 @@
         .collect()
 }
 
-fn total(area: &Area) -> u32 {
+fn total(area: &RegionSlots) -> u32 {
     area.slots.iter().sum()
 }
 
 /// Slots that each region needs, by its part of all demand.
-fn needs(areas: &[Area]) -> Vec<f64> {
-    let serving = |it: &&Area| 0 < it.entries;
+fn needs(areas: &[RegionSlots]) -> Vec<f64> {
+    let serving = |it: &&RegionSlots| 0 < it.entries;
     let slots: u32 = areas.iter().map(total).sum();
     let demand: f64 = areas.iter().filter(serving).map(|it| it.demand).sum();
     let entries: usize = areas.iter().map(|it| it.entries).sum();
-    let part = |area: &Area| match area.entries {
+    let part = |area: &RegionSlots| match area.entries {
         0 => 0.0,
         // Nothing comes yet: callers choose among entries.
         entries_here if demand < LEAST_DEMAND => entries_here as f64 / entries.max(1) as f64,
@@ -124,7 +124,7 @@
 }
 
 /// Slots that each region lends.
-fn lent(areas: &[Area]) -> Vec<u32> {
+fn lent(areas: &[RegionSlots]) -> Vec<u32> {
     let needs = needs(areas);
     let surplus = areas.iter().zip(&needs);
     surplus
@@ -150,7 +150,7 @@
 /// Slots of each replica of each region that are lent to the entry at position `own` of the region `home`. All
 /// lent slots follow each other in a row, of which each region gets a stretch by what it lacks; in it they go
 /// to its entries by turns.
-fn borrowed(areas: &[Area], lent: &[u32], home: usize, own: usize) -> Vec<Vec<u32>> {
+fn borrowed(areas: &[RegionSlots], lent: &[u32], home: usize, own: usize) -> Vec<Vec<u32>> {
     let needs = needs(areas);
     let lacks: Vec<f64> = areas
         .iter()
@@ -186,22 +186,22 @@
 
 /// Requests of one kind that come to an entry in a second, lately.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
+pub struct RequestRate {
     memory_s: f64,
     rate: f64,
     at: Time,
 }
 
-impl Default for Demand {
-    fn default() -> Demand {
-        Demand::over(MEMORY_S)
+impl Default for RequestRate {
+    fn default() -> RequestRate {
+        RequestRate::over(MEMORY_S)
     }
 }
 
-impl Demand {
+impl RequestRate {
     /// Counts over so many seconds.
-    pub fn over(memory_s: f64) -> Demand {
-        Demand {
+    pub fn over(memory_s: f64) -> RequestRate {
+        RequestRate {
             memory_s,
             rate: 0.0,
             at: Time::ZERO,
@@ -223,7 +223,7 @@
 /// Requests that may have come to a replica since others reported what they have there, `age` ago, where
 /// `rate` come to it in a second: their mean, and a standard deviation more. As many may have ended, but
 /// of slots that are taken twice one request is late, and of one that is free none.
-pub fn unseen(rate: f64, age: Duration) -> f64 {
+pub fn unseen_requests(rate: f64, age: Duration) -> f64 {
     let mean = rate * age.as_secs_f64();
     mean + mean.sqrt()
 }
@@ -236,12 +236,12 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use gradeloft_policy::process::split::chance;
-/// let after_ms = |age| chance(10.0, 8, 25.0, Duration::from_millis(age));
+/// use gradeloft_policy::process::slot_split::overflow_probability;
+/// let after_ms = |age| overflow_probability(10.0, 8, 25.0, Duration::from_millis(age));
 /// assert_eq!(after_ms(0), 1.0);
 /// assert!(after_ms(100) < 0.2);
 /// ```
-pub fn chance(free: f64, others: usize, rate: f64, age: Duration) -> f64 {
+pub fn overflow_probability(free: f64, others: usize, rate: f64, age: Duration) -> f64 {
     let sent = others as f64 * rate * age.as_secs_f64();
     if sent <= 0.0 {
         1.0
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -53,7 +53,7 @@
 
 /// Who fetches.
 #[derive(Clone, Copy, Debug)]
-pub struct Caller {
+pub struct Fetcher {
     /// Its instance.
     pub address: Ipv4Addr,
     /// What it is.
@@ -62,7 +62,7 @@
 
 /// A value that is to be fetched.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Want {
+pub struct MissingValue {
     /// Key of its record.
     pub key: String,
     /// Position of its record in the table.
@@ -201,7 +201,7 @@
 
     /// Time for which a caller leaves it to others of its region to ask another region for what `key` names, in
     /// milliseconds.
-    pub fn far_wait_ms(&self, key: u64, caller: Caller, now: Time) -> u64 {
+    pub fn far_wait_ms(&self, key: u64, caller: Fetcher, now: Time) -> u64 {
         if caller.role == Role::Agent && self.near(now).next().is_some() {
             return AGENT_FAR_MS;
         }
@@ -260,9 +260,9 @@
     /// Ask this peer.
     Ask(Ipv4Addr),
     /// No peer that speaks has it.
-    Nobody,
+    NoHolder,
     /// Choose again after so long: whoever has it gives to others now.
-    Queue(Duration),
+    Wait(Duration),
     /// Choose again after so long: whoever has it did not answer.
     Retry(Duration),
 }
@@ -273,14 +273,14 @@
     /// There is more to come.
     More,
     /// What came is not the value that was announced: it begins anew.
-    Spoilt,
+    Corrupt,
     /// The whole value.
-    Whole(Bytes),
+    Complete(Bytes),
 }
 
 /// One value on its way.
 pub struct Transfer {
-    want: Want,
+    want: MissingValue,
     begun: Time,
     /// Never longer than the value.
     came: Vec<u8>,
@@ -289,7 +289,7 @@
 
 impl Transfer {
     /// A transfer of which nothing came yet.
-    pub fn new(want: Want, now: Time) -> Transfer {
+    pub fn new(want: MissingValue, now: Time) -> Transfer {
         // All at once: growing by doubling would need up to three times as much for a moment.
         let room = want.length.min(MAX_VALUE) as usize;
         Transfer {
@@ -301,7 +301,7 @@
     }
 
     /// What is fetched.
-    pub fn want(&self) -> &Want {
+    pub fn want(&self) -> &MissingValue {
         &self.want
     }
 
@@ -319,11 +319,11 @@
                 return Progress::More;
             }
             if Digest::of(&self.came) == self.want.digest {
-                return Progress::Whole(std::mem::take(&mut self.came).into());
+                return Progress::Complete(std::mem::take(&mut self.came).into());
             }
         }
         self.came.clear();
-        Progress::Spoilt
+        Progress::Corrupt
     }
 
     /// Forgets who did not have it: it was announced once more.
@@ -337,7 +337,7 @@
     pub fn choose(
         &self,
         holders: &Holders,
-        caller: Caller,
+        caller: Fetcher,
         now: Time,
         rng: &mut impl Rng,
     ) -> Choice {
@@ -356,7 +356,7 @@
         }
         let busy = |it: &&&Holder| it.near && matches!(bar(it), Some(Bar::Busy(_)));
         if let Some(soonest) = able.iter().filter(busy).filter_map(|it| until(it)).min() {
-            return Choice::Queue(soonest.since(now));
+            return Choice::Wait(soonest.since(now));
         }
         if let Some(holder) = free(false).choose(rng) {
             let wait_ms = holders.far_wait_ms(self.want.offset, caller, now);
@@ -364,26 +364,26 @@
             if turn <= now {
                 return Choice::Ask(holder.peer);
             }
-            return Choice::Queue(turn.since(now).min(FAR_LOOK));
+            return Choice::Wait(turn.since(now).min(FAR_LOOK));
         }
         let soonest = able
             .iter()
             .filter_map(|it| until(it).zip(bar(it)))
             .min_by_key(|it| it.0);
         match soonest {
-            Some((until, Bar::Busy(_))) => Choice::Queue(until.since(now)),
+            Some((until, Bar::Busy(_))) => Choice::Wait(until.since(now)),
             Some((until, _)) => Choice::Retry(until.since(now)),
-            None => Choice::Nobody,
+            None => Choice::NoHolder,
         }
     }
 
     /// Whether another peer is to be asked now rather than `peer`, which gives slowly. What came goes on
     /// from there, so that nothing is lost by it.
-    pub fn leaves(
+    pub fn should_switch(
         &self,
         peer: Ipv4Addr,
         holders: &Holders,
-        caller: Caller,
+        caller: Fetcher,
         now: Time,
         rng: &mut impl Rng,
     ) -> bool {
--- a/crates/gradeloft_policy/src/process/ages.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::{ends::Ends, whole::Whole};
+use super::{earliest_writes::EarliestWrites, latest_writes::LatestWrites};
 use crate::clock::Time;
 
 /// Pause between two good reads from which on reading was interrupted, in milliseconds: the pause between
@@ -46,13 +46,13 @@
 
 /// What is known of the times at which one table's records were written.
 #[derive(Clone, Debug, Default)]
-pub struct Ages {
+pub struct WriteTimes {
     /// The latest times.
-    known: Ends,
+    known: LatestWrites,
     /// The times that count: between the earliest and the latest.
-    counted: Ends,
+    counted: LatestWrites,
     /// The earliest times.
-    whole: Whole,
+    whole: EarliestWrites,
     /// Until when the copy was whole by this process's own reads.
     confirmed: Option<Time>,
     /// When the last good read ended.
@@ -61,7 +61,7 @@
     read_blind: bool,
 }
 
-impl Ages {
+impl WriteTimes {
     /// A peer's copy goes up to `end` now.
     pub fn heard_end(&mut self, end: u64, now: Time) {
         self.known.note(end, now);
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -9,7 +9,7 @@
     process::{
         document::Speed,
         replicas::{ReplicaKey, Replicas},
-        split,
+        slot_split,
     },
     request::{
         age::Patience,
@@ -267,7 +267,7 @@
         slots in 1u32..20,
     ) {
         let all = vec![slots; replicas];
-        let of: Vec<Vec<u32>> = (0..entries).map(|it| split::parts(it, entries, &all)).collect();
+        let of: Vec<Vec<u32>> = (0..entries).map(|it| slot_split::parts(it, entries, &all)).collect();
         for replica in 0..replicas {
             let sum: u32 = of.iter().map(|it| it[replica]).sum();
             prop_assert_eq!(sum, slots);
--- a/crates/gradeloft_policy/tests/ages.rs
+++ b/crates/gradeloft_policy/tests/ages.rs
@@ -5,10 +5,10 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        ages::{Ages, Read},
-        ends::Ends,
+        earliest_writes::EarliestWrites,
         gaps::Gaps,
-        whole::Whole,
+        latest_writes::LatestWrites,
+        write_times::{Read, WriteTimes},
     },
 };
 use proptest::prelude::*;
@@ -30,8 +30,8 @@
 }
 
 /// A copy of a table with five records, which was last read whole at one second, and confirmed.
-fn steady() -> Ages {
-    let mut ages = Ages::default();
+fn steady() -> WriteTimes {
+    let mut ages = WriteTimes::default();
     ages.read(0..5, read(900, 1_000));
     ages.confirm(5, at(900));
     ages
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_copy_that_was_never_whole_counts_from_the_read() {
-    let mut ages = Ages::default();
+    let mut ages = WriteTimes::default();
     ages.read(0..1, read(10_000, 10_100));
     assert_eq!(ages.counts_since(0), Some(at(10_100)));
 }
@@ -122,7 +122,7 @@
 
 #[test]
 fn only_own_reads_confirm_a_copy_to_peers() {
-    let mut ages = Ages::default();
+    let mut ages = WriteTimes::default();
     ages.heard_whole(5, 0, at(1_000));
     assert_eq!(ages.unconfirmed_ms(at(1_100)), None);
     ages.confirm(5, at(1_050));
@@ -131,7 +131,7 @@
 
 #[test]
 fn an_earlier_time_counts_also_if_it_is_told_later() {
-    let mut ends = Ends::default();
+    let mut ends = LatestWrites::default();
     ends.note(5, at(50));
     ends.note(9, at(90));
     ends.note(7, at(20));
@@ -177,7 +177,7 @@
             .scan(0, |sum, it| { *sum += it; Some(*sum) })
             .collect();
         let end_at = |time: u64| written.iter().filter(|it| **it <= time).count() as u64;
-        let (mut ends, mut whole) = (Ends::default(), Whole::default());
+        let (mut ends, mut whole) = (LatestWrites::default(), EarliestWrites::default());
         for (time, less, upper) in words {
             let end = end_at(time);
             if upper {
--- a/crates/gradeloft_policy/tests/capacity.rs
+++ b/crates/gradeloft_policy/tests/capacity.rs
@@ -5,8 +5,8 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        readers, speakers,
-        transfer::{Caller, Holders},
+        delegates, readers,
+        transfer::{Fetcher, Holders},
     },
     rendezvous,
 };
@@ -39,7 +39,7 @@
 
 fn first_readers(size: u16, ms: u64) -> usize {
     count(size, |own, others| {
-        readers::reads_first(readers::First {
+        readers::reads_first(readers::FirstRead {
             since_start: Duration::from_millis(ms),
             since_contact: Some(Duration::from_millis(ms)),
             seed: false,
@@ -57,7 +57,7 @@
         for peer in (0..size).filter(|it| *it != own) {
             holders.note(address(peer), Some(true), 0, Time::ZERO);
         }
-        let caller = Caller {
+        let caller = Fetcher {
             address: address(own),
             role: Role::Entry,
         };
@@ -68,13 +68,13 @@
 
 fn informers(size: u16) -> usize {
     count(size, |own, others| {
-        speakers::informs(7, own, others.iter().copied())
+        delegates::sends_changes_at_once(7, own, others.iter().copied())
     })
 }
 
 fn stand_ins(size: u16) -> usize {
     count(size, |own, others| {
-        speakers::stands_in(7, own, others.iter().copied())
+        delegates::is_fallback_sender(7, own, others.iter().copied())
     })
 }
 
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -6,12 +6,12 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{CallerLimits, Config, Denied, Document, Kind, Route, Target},
-        homes::Homes,
         mirror::{Mirror, Record, Update},
         readers,
-        repeats::{Bounds, Budget},
-        roster::{Acquaintance, Roster, State, Status},
+        retry_budget::{Bounds, Budget},
+        roster::{Discovery, Roster, State, Status},
     },
     request::attempt::{Failure, Progress, Ran},
 };
@@ -35,7 +35,7 @@
         max_attempts: 1,
         priority: 0,
         public,
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
     }
 }
 
@@ -384,15 +384,15 @@
                 repeats += 1;
             }
         };
-        spend(&roster, Acquaintance::None);
+        spend(&roster, Discovery::None);
         (1..=7)
             .filter(|it| *it != own)
             .for_each(|it| roster.learn(address(it), Some("z")));
-        spend(&roster, Acquaintance::Listed);
+        spend(&roster, Discovery::Listed);
     }
     assert!(f64::from(repeats) <= bounds.slack, "{repeats}");
     // Nothing is taken for good from who has met the others.
-    assert_eq!(Roster::default().sharers(Acquaintance::Met), Some(1));
+    assert_eq!(Roster::default().sharers(Discovery::Complete), Some(1));
 }
 
 #[rstest]
--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/homes.rs
@@ -3,13 +3,13 @@
 use std::{collections::HashMap, rc::Rc};
 
 use gradeloft_policy::process::{
+    allowed_regions::AllowedRegions,
     document::{CallerLimits, Config, Document, Kind, Route, Target},
-    homes::Homes,
 };
 use rstest::rstest;
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::of(regions.iter().map(|it| (*it).to_owned()))
+fn homes(regions: &[&str]) -> AllowedRegions {
+    AllowedRegions::of(regions.iter().map(|it| (*it).to_owned()))
 }
 
 fn route(prefix: &str, regions: &[&str]) -> Route {
@@ -63,7 +63,7 @@
     #[case] allowed: &str,
 ) {
     let config = config(vec![route("/r/", of_route)], of_team);
-    let homes = config.homes(&config.document.routes[0], team);
+    let homes = config.allowed_regions(&config.document.routes[0], team);
     let regions = ["a", "b"].into_iter().filter(|it| homes.allow(it));
     assert_eq!(regions.collect::<String>(), allowed);
 }
@@ -76,7 +76,7 @@
         route("/y/", &[]),
     ];
     let config = config(routes, &[]);
-    let homes = config.homes_of_host("H");
+    let homes = config.allowed_regions_of_host("H");
     assert_eq!(["a", "b"].map(|it| homes.allow(it)), [false, true]);
-    assert!(config.homes_of_host("unknown").everywhere());
+    assert!(config.allowed_regions_of_host("unknown").everywhere());
 }
--- a/crates/gradeloft_policy/tests/leave.rs
+++ b/crates/gradeloft_policy/tests/leave.rs
@@ -1,6 +1,6 @@
 //! Callers of an entry that was told to end.
 
-use gradeloft_policy::{clock::Time, process::leave::Leave};
+use gradeloft_policy::{clock::Time, process::drain::Drain};
 use rstest::rstest;
 
 const GRACE_MS: u64 = 8_000;
@@ -13,7 +13,7 @@
 /// beyond the process's end, and the process ends before it is killed.
 #[test]
 fn what_is_taken_is_over_before_the_process_is() {
-    let leave = Leave::begin(Time::ZERO, GRACE_MS);
+    let leave = Drain::begin(Time::ZERO, GRACE_MS);
     for sent_ms in 0..GRACE_MS {
         for time_ms in [1_000, 6_000] {
             let deadline = at(sent_ms + time_ms);
@@ -35,7 +35,7 @@
     #[case] now_ms: u64,
     #[case] over: bool,
 ) {
-    let leave = Leave::begin(Time::ZERO, GRACE_MS);
+    let leave = Drain::begin(Time::ZERO, GRACE_MS);
     assert_eq!(leave.over(connections, at(now_ms)), over);
 }
 
@@ -45,6 +45,6 @@
 #[case(2_000, 3_500)]
 #[case(5_000, 6_000)]
 fn how_long_a_connection_may_rest(#[case] rests_ms: u64, #[case] until_ms: u64) {
-    let leave = Leave::begin(Time::ZERO, GRACE_MS);
+    let leave = Drain::begin(Time::ZERO, GRACE_MS);
     assert_eq!(leave.rests_until(at(rests_ms)), at(until_ms));
 }
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use gradeloft_policy::{
     clock::Time,
-    process::replicas::{Listing, ReplicaKey, Replicas, Report, Trust},
+    process::replicas::{Listing, ReplicaKey, Replicas, Report, StoreTrust},
     request::placement::{self, Claim, Doubt, Wish},
 };
 use rand::SeedableRng;
@@ -160,7 +160,7 @@
 fn a_removal_after_an_outage_waits_and_is_undone_by_a_new_entry() {
     let mut replicas = Replicas::default();
     replicas.list(listing("a", Some(1)));
-    let doubtful = Trust::Doubtful(Time::ZERO.after_ms(2_000));
+    let doubtful = StoreTrust::Doubtful(Time::ZERO.after_ms(2_000));
     replicas.unlist("a", doubtful);
     assert!(replicas.expire(Time::ZERO.after_ms(1_999)).is_empty());
     replicas.list(listing("a", Some(1)));
@@ -168,7 +168,7 @@
     replicas.unlist("a", doubtful);
     assert_eq!(replicas.expire(Time::ZERO.after_ms(2_000)).len(), 1);
     replicas.list(listing("a", Some(1)));
-    replicas.unlist("a", Trust::Sound);
+    replicas.unlist("a", StoreTrust::Sound);
     assert!(replicas.is_empty());
 }
 
@@ -176,10 +176,16 @@
 fn a_removal_that_is_read_late_is_doubted_no_longer_than_one_that_is_read_at_once() {
     let written = Time::ZERO.after_ms(1_000);
     let read = Time::ZERO.after_ms(2_000);
-    let trust = Trust::Doubtful(read.after_ms(2_300));
+    let trust = StoreTrust::Doubtful(read.after_ms(2_300));
     let until = written.after_ms(2_300);
-    assert_eq!(trust.of_written(written, 2_300), Trust::Doubtful(until));
-    let sooner = Trust::Doubtful(written);
+    assert_eq!(
+        trust.of_written(written, 2_300),
+        StoreTrust::Doubtful(until)
+    );
+    let sooner = StoreTrust::Doubtful(written);
     assert_eq!(sooner.of_written(written, 2_300), sooner);
-    assert_eq!(Trust::Sound.of_written(written, 2_300), Trust::Sound);
+    assert_eq!(
+        StoreTrust::Sound.of_written(written, 2_300),
+        StoreTrust::Sound
+    );
 }
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -7,8 +7,10 @@
     clock::Time,
     process::{
         mirror::{Mirror, Record, Update},
-        pending::{Pending, Row},
-        transfer::{Caller, Choice, Holders, MAX_VALUE, Progress, Refusal, Slots, Transfer, Want},
+        pending_update::{PendingUpdate, Row},
+        transfer::{
+            Choice, Fetcher, Holders, MAX_VALUE, MissingValue, Progress, Refusal, Slots, Transfer,
+        },
     },
 };
 use gradeloft_wire::{frame::Role, id::Digest};
@@ -24,8 +26,8 @@
     }
 }
 
-fn want(key: &str, value: &str, offset: u64) -> Want {
-    Want {
+fn want(key: &str, value: &str, offset: u64) -> MissingValue {
+    MissingValue {
         key: key.to_owned(),
         offset,
         length: value.len() as u64,
@@ -46,8 +48,8 @@
     Ipv4Addr::new(10, 0, 0, last)
 }
 
-fn entry(last: u8) -> Caller {
-    Caller {
+fn entry(last: u8) -> Fetcher {
+    Fetcher {
         address: peer(last),
         role: Role::Entry,
     }
@@ -141,13 +143,13 @@
 #[test]
 fn records_before_a_missing_value_are_ready_and_those_behind_it_ahead() {
     let rows = vec![
-        Row::Here(record("a", Some("0"), 0)),
-        Row::Apart(want("config", "large", 1)),
-        Row::Here(record("b", Some("2"), 2)),
-        Row::Here(record("c", Some("3"), 3)),
-        Row::Here(record("b", None, 4)),
+        Row::Present(record("a", Some("0"), 0)),
+        Row::Missing(want("config", "large", 1)),
+        Row::Present(record("b", Some("2"), 2)),
+        Row::Present(record("c", Some("3"), 3)),
+        Row::Present(record("b", None, 4)),
     ];
-    let mut pending = Pending::new(false, rows, 5);
+    let mut pending = PendingUpdate::new(false, rows, 5);
     let ready = pending.ready(0).unwrap();
     assert_eq!(ready, follows(vec![record("a", Some("0"), 0)]));
     assert_eq!(pending.ready(1), None);
@@ -165,10 +167,10 @@
 #[test]
 fn a_snapshot_is_ready_once_it_is_whole() {
     let rows = vec![
-        Row::Here(record("a", Some("0"), 0)),
-        Row::Apart(want("config", "large", 6)),
+        Row::Present(record("a", Some("0"), 0)),
+        Row::Missing(want("config", "large", 6)),
     ];
-    let mut pending = Pending::new(true, rows, 9);
+    let mut pending = PendingUpdate::new(true, rows, 9);
     assert_eq!(pending.ready(2), None);
     assert!(!pending.outdated(8));
     assert!(pending.outdated(9));
@@ -180,21 +182,21 @@
 #[test]
 fn what_the_store_brought_meanwhile_is_not_taken_in_again() {
     let rows = vec![
-        Row::Apart(want("config", "large", 1)),
-        Row::Here(record("b", Some("2"), 2)),
+        Row::Missing(want("config", "large", 1)),
+        Row::Present(record("b", Some("2"), 2)),
     ];
-    let mut pending = Pending::new(false, rows, 3);
+    let mut pending = PendingUpdate::new(false, rows, 3);
     let ready = pending.ready(2).unwrap();
     assert_eq!(ready.records, [record("b", Some("2"), 2)]);
 }
 
 #[test]
 fn values_too_large_for_the_memory_are_refused() {
-    let huge = Want {
+    let huge = MissingValue {
         length: MAX_VALUE + 1,
         ..want("config", "", 0)
     };
-    assert!(Pending::new(false, vec![Row::Apart(huge)], 1).oversized());
+    assert!(PendingUpdate::new(false, vec![Row::Missing(huge)], 1).oversized());
 }
 
 #[test]
@@ -205,7 +207,7 @@
     assert_eq!(transfer.start(), 4, "what came is kept");
     assert_eq!(
         transfer.add(b"two"),
-        Progress::Whole(Bytes::from("one two"))
+        Progress::Complete(Bytes::from("one two"))
     );
 }
 
@@ -214,7 +216,7 @@
 #[case::too_long(b"one two three")]
 fn a_value_other_than_the_one_announced_is_refused(#[case] came: &[u8]) {
     let mut transfer = Transfer::new(want("config", "one two", 3), Time::ZERO);
-    assert_eq!(transfer.add(came), Progress::Spoilt);
+    assert_eq!(transfer.add(came), Progress::Corrupt);
     assert_eq!(transfer.start(), 0);
 }
 
@@ -241,7 +243,7 @@
     transfer.refused(peer(2), Refusal::NotHeld, Time::ZERO, &mut rng);
     transfer.refused(peer(3), Refusal::Busy, Time::ZERO, &mut rng);
     let queued = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
-    assert!(matches!(queued, Choice::Queue(_)), "{queued:?}");
+    assert!(matches!(queued, Choice::Wait(_)), "{queued:?}");
     transfer.refused(peer(3), Refusal::Faulty, Time::ZERO, &mut rng);
     let far = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
     assert_eq!(far, Choice::Ask(peer(1)));
@@ -251,7 +253,7 @@
     let later = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(4_000), &mut rng);
     assert_eq!(later, Choice::Ask(peer(3)));
     let silent = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(6_000), &mut rng);
-    assert_eq!(silent, Choice::Nobody);
+    assert_eq!(silent, Choice::NoHolder);
 }
 
 #[test]
@@ -381,7 +383,7 @@
                 continue;
             }
             let asker = &mut self.processes[idx];
-            let caller = Caller {
+            let caller = Fetcher {
                 address: peer(idx as u8),
                 role: asker.role,
             };
@@ -390,8 +392,8 @@
                 .choose(&asker.holders, caller, self.now, &mut self.rng)
             {
                 Choice::Ask(peer) => self.ask_one(idx, peer),
-                Choice::Queue(time) | Choice::Retry(time) => asker.asks_at = self.now.after(time),
-                Choice::Nobody => {}
+                Choice::Wait(time) | Choice::Retry(time) => asker.asks_at = self.now.after(time),
+                Choice::NoHolder => {}
             }
         }
     }
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -5,12 +5,11 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        elsewhere::{Elsewhere, Load, Part},
-        readers,
+        delegates, readers,
+        remote_loads::{Load, Part, RemoteLoads},
         roster::{self, Roster, State, Status},
-        speakers,
-        split::{self, Area},
-        transfer::{Caller, Holders},
+        slot_split::{self, RegionSlots},
+        transfer::{Fetcher, Holders},
     },
     rendezvous,
 };
@@ -18,20 +17,20 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn area() -> impl Strategy<Value = Area> {
+fn area() -> impl Strategy<Value = RegionSlots> {
     let slots = prop::collection::vec(1_u32..17, 0..12);
-    (0_usize..9, 0.0..300.0_f64, slots).prop_map(|(entries, demand, slots)| Area {
+    (0_usize..9, 0.0..300.0_f64, slots).prop_map(|(entries, demand, slots)| RegionSlots {
         entries,
         demand: if entries == 0 { 0.0 } else { demand },
         slots,
     })
 }
 
-fn all_parts(areas: &[Area]) -> Vec<Vec<Vec<u32>>> {
+fn all_parts(areas: &[RegionSlots]) -> Vec<Vec<Vec<u32>>> {
     let entries = areas.iter().enumerate();
     entries
         .flat_map(|(home, area)| (0..area.entries).map(move |own| (home, own)))
-        .map(|(home, own)| split::near_first(areas, home, own))
+        .map(|(home, own)| slot_split::parts_by_region(areas, home, own))
         .collect()
 }
 
@@ -57,7 +56,7 @@
     #[test]
     fn slots_go_only_from_regions_that_have_more_to_those_that_lack(areas in prop::collection::vec(area(), 2..6)) {
         for (home, area) in areas.iter().enumerate().filter(|(_, it)| 0 < it.entries) {
-            let parts: Vec<_> = (0..area.entries).map(|own| split::near_first(&areas, home, own)).collect();
+            let parts: Vec<_> = (0..area.entries).map(|own| slot_split::parts_by_region(&areas, home, own)).collect();
             let of = |region: usize| -> u32 { parts.iter().flat_map(|it| &it[region]).sum() };
             let own: u32 = area.slots.iter().sum();
             let borrowed: u32 = (0..areas.len()).filter(|it| *it != home).map(of).sum();
@@ -69,29 +68,32 @@
 #[test]
 fn slots_of_a_region_without_entries_are_lent() {
     let areas = [
-        Area {
+        RegionSlots {
             entries: 2,
             demand: 10.0,
             slots: vec![8],
         },
-        Area {
+        RegionSlots {
             entries: 0,
             demand: 0.0,
             slots: vec![8, 8],
         },
     ];
-    assert_eq!(split::near_first(&areas, 0, 0), [vec![4], vec![4, 4]]);
+    assert_eq!(
+        slot_split::parts_by_region(&areas, 0, 0),
+        [vec![4], vec![4, 4]]
+    );
 }
 
 #[test]
 fn before_any_traffic_each_entry_gets_the_same() {
     let areas = [
-        Area {
+        RegionSlots {
             entries: 1,
             demand: 0.0,
             slots: vec![8, 8],
         },
-        Area {
+        RegionSlots {
             entries: 3,
             demand: 0.0,
             slots: vec![8, 8],
@@ -116,13 +118,15 @@
             let own = *own;
             alive.iter().copied().filter(move |it| *it != own)
         };
-        let speaking = alive.iter().filter(|it| speakers::speaks(**it, others(it)));
+        let speaking = alive
+            .iter()
+            .filter(|it| delegates::is_delegate(**it, others(it)));
         speaking.copied().collect()
     };
     let first = speaking(&all);
     assert_eq!(first.len(), 2);
     // Those of other regions draw the same.
-    let relays: Vec<_> = (0..2).filter_map(|it| speakers::relay(&all, it)).collect();
+    let relays: Vec<_> = (0..2).filter_map(|it| delegates::relay(&all, it)).collect();
     assert!(first.iter().all(|it| relays.contains(it)));
     let left: Vec<Ipv4Addr> = all
         .iter()
@@ -131,8 +135,8 @@
         .collect();
     let second = speaking(&left);
     assert_eq!(second.len(), 2);
-    assert_eq!(speakers::relay(&[], 3), None);
-    assert_eq!(speakers::relay(&all[..1], 3), Some(all[0]));
+    assert_eq!(delegates::relay(&[], 3), None);
+    assert_eq!(delegates::relay(&all[..1], 3), Some(all[0]));
 }
 
 #[rstest]
@@ -167,7 +171,7 @@
     }
 }
 
-fn sums(elsewhere: &Elsewhere<u8>) -> Vec<(u32, u32)> {
+fn sums(elsewhere: &RemoteLoads<u8>) -> Vec<(u32, u32)> {
     let mut sums = HashMap::new();
     elsewhere.add_to(&mut sums);
     let mut sums: Vec<_> = sums.values().map(|it| (it.replica, it.running)).collect();
@@ -177,7 +181,7 @@
 
 #[test]
 fn each_word_replaces_the_one_before_it_and_parts_stand_for_themselves() {
-    let mut elsewhere = Elsewhere::default();
+    let mut elsewhere = RemoteLoads::default();
     let now = Time::ZERO.after_ms(1_000);
     elsewhere.receive(1, report(now, 0, 0, &[(7, 2), (8, 1)]));
     elsewhere.receive(2, report(now, 0, 0, &[(7, 3)]));
@@ -278,7 +282,7 @@
         (30, 249.0),
         (25, 201.0),
     ];
-    let areas = asked.map(|(entries, demand)| Area {
+    let areas = asked.map(|(entries, demand)| RegionSlots {
         entries,
         demand,
         slots: vec![8; 24],
@@ -286,7 +290,7 @@
     let mut near = 0;
     for (home, (entries, demand)) in asked.into_iter().enumerate() {
         let parts: Vec<_> = (0..entries)
-            .map(|own| split::near_first(&areas, home, own))
+            .map(|own| slot_split::parts_by_region(&areas, home, own))
             .collect();
         let slots: u32 = parts.iter().flatten().flatten().sum();
         // 960 slots for 1,069 requests a second.
@@ -318,7 +322,7 @@
     #[case] reads: bool,
 ) {
     let since_start = Duration::from_millis(ms);
-    let first = readers::First {
+    let first = readers::FirstRead {
         since_start,
         since_contact: Some(since_start),
         seed,
@@ -342,7 +346,7 @@
     #[case] contact_ms: Option<u64>,
     #[case] reads: bool,
 ) {
-    let first = readers::First {
+    let first = readers::FirstRead {
         since_start: Duration::from_millis(ms),
         since_contact: contact_ms.map(Duration::from_millis),
         seed: false,
@@ -365,7 +369,7 @@
         let mut others: Vec<u64> = others.collect();
         others.sort_unstable_by_key(|it| rendezvous::score(*own, *it));
         others.truncate(known);
-        readers::reads_first(readers::First {
+        readers::reads_first(readers::FirstRead {
             since_start: Duration::from_millis(ms),
             since_contact: Some(Duration::from_millis(ms)),
             seed: false,
@@ -404,13 +408,13 @@
     for agent in 0..20 {
         let stands_in = |own: &&u64| {
             let others = names.iter().copied().filter(|it| it != *own);
-            speakers::stands_in(rendezvous::hash(&[agent]), **own, others)
+            delegates::is_fallback_sender(rendezvous::hash(&[agent]), **own, others)
         };
         let senders = names.iter().filter(stands_in).count();
         assert_eq!(senders, names.len().min(2));
         let informs = |own: &&u64| {
             let others = names.iter().copied().filter(|it| it != *own);
-            speakers::informs(rendezvous::hash(&[agent]), **own, others)
+            delegates::sends_changes_at_once(rendezvous::hash(&[agent]), **own, others)
         };
         assert_eq!(names.iter().filter(informs).count(), names.len().min(4));
     }
@@ -433,7 +437,7 @@
         for peer in (0..size).filter(|it| *it != own) {
             holders.note(address(peer), Some(true), 0, Time::ZERO);
         }
-        let caller = Caller {
+        let caller = Fetcher {
             address: address(own),
             role: Role::Entry,
         };
--- a/crates/gradeloft_policy/tests/shares.rs
+++ b/crates/gradeloft_policy/tests/shares.rs
@@ -2,23 +2,23 @@
 
 use gradeloft_policy::{
     clock::Time,
-    process::shares::{
-        Ask, Borrower, CUT_OFF_FRACTION, Demand, Fleet, LEASE_MS, Lender, Reach, SILENT_FRACTION,
-        home,
+    process::rate_leases::{
+        Borrower, CUT_OFF_FRACTION, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
+        SILENT_FRACTION, home,
     },
 };
 use proptest::prelude::*;
 
 const ALLOWED: f64 = 700.0;
 const ENTRIES: usize = 7;
-const ALL: Fleet = Fleet {
+const ALL: FleetView = FleetView {
     allowed: ALLOWED,
     entries: ENTRIES,
     connected: ENTRIES,
 };
 
-fn ask(entry: u64, demand: f64) -> Ask {
-    Ask {
+fn ask(entry: u64, demand: f64) -> LeaseRequest {
+    LeaseRequest {
         entry,
         demand,
         held: 0.0,
@@ -67,7 +67,7 @@
         "{lent} beside a silent one"
     );
 
-    let cut_off = Fleet {
+    let cut_off = FleetView {
         connected: 6,
         ..ALL
     };
@@ -84,7 +84,7 @@
         "{lent} beside a cut-off one"
     );
     let alone = Borrower::default();
-    let used = alone.rate(ALLOWED, ENTRIES, Reach::CutOff, now);
+    let used = alone.rate(ALLOWED, ENTRIES, HomeReach::CutOff, now);
     assert!((used - part * CUT_OFF_FRACTION).abs() < 1e-9);
 }
 
@@ -96,19 +96,26 @@
         borrower.rate(
             ALLOWED,
             ENTRIES,
-            Reach::Home,
+            HomeReach::Home,
             Time::ZERO.after_ms(LEASE_MS - 1)
         ),
         100.0
     );
-    assert!(borrower.rate(ALLOWED, ENTRIES, Reach::Home, Time::ZERO.after_ms(LEASE_MS)) < 100.0);
+    assert!(
+        borrower.rate(
+            ALLOWED,
+            ENTRIES,
+            HomeReach::Home,
+            Time::ZERO.after_ms(LEASE_MS)
+        ) < 100.0
+    );
     assert_eq!(borrower.held(Time::ZERO.after_ms(LEASE_MS)), 0.0);
 }
 
 #[test]
 fn an_entry_without_a_majority_lends_nothing() {
     let (mut lender, now) = lender();
-    let cut_off = Fleet {
+    let cut_off = FleetView {
         connected: 3,
         ..ALL
     };
@@ -119,7 +126,7 @@
 #[test]
 fn a_new_home_lends_nobody_more_than_they_hold_until_old_leases_have_ended() {
     let mut lender = Lender::new(Time::ZERO);
-    let held = Ask {
+    let held = LeaseRequest {
         entry: 0,
         demand: 700.0,
         held: 300.0,
@@ -169,9 +176,9 @@
         for (entry, demand, wait) in asks {
             now = now.after_ms(wait);
             let held = borrowers[entry as usize].held(now);
-            let rate = lender.ask(Ask { entry, demand, held }, ALL, now);
+            let rate = lender.ask(LeaseRequest { entry, demand, held }, ALL, now);
             borrowers[entry as usize].granted(rate, now);
-            let used: f64 = borrowers.iter().map(|it| it.rate(ALLOWED, ENTRIES, Reach::Home, now)).sum();
+            let used: f64 = borrowers.iter().map(|it| it.rate(ALLOWED, ENTRIES, HomeReach::Home, now)).sum();
             prop_assert!(used <= ALLOWED * 1.000_001, "{used}");
         }
     }
--- a/crates/gradeloft_policy/tests/standing.rs
+++ b/crates/gradeloft_policy/tests/standing.rs
@@ -5,9 +5,9 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
-        ends::Ends,
+        freshness::Freshness,
+        latest_writes::LatestWrites,
         roster::{Roster, State, Status},
-        standing::Standing,
     },
 };
 use rstest::rstest;
@@ -59,33 +59,33 @@
 }
 
 #[rstest]
-#[case(None, true, Standing::Current)]
-#[case(Some(0), true, Standing::Behind)]
-#[case(Some(1_599), true, Standing::Behind)]
-#[case(Some(1_600), true, Standing::Aside)]
-#[case(Some(60_000), false, Standing::Behind)]
+#[case(None, true, Freshness::Current)]
+#[case(Some(0), true, Freshness::Behind)]
+#[case(Some(1_599), true, Freshness::Behind)]
+#[case(Some(1_600), true, Freshness::Stale)]
+#[case(Some(60_000), false, Freshness::Behind)]
 fn an_entry_steps_aside_after_a_while_if_others_know_more(
     #[case] lacked_ms: Option<u64>,
     #[case] most: bool,
-    #[case] expected: Standing,
+    #[case] expected: Freshness,
 ) {
     let lacked = lacked_ms.map(Duration::from_millis);
-    assert_eq!(Standing::of(lacked, APPLY, || most), expected);
+    assert_eq!(Freshness::of(lacked, APPLY, || most), expected);
     // Where the operator allows twice the time, so does the entry.
     let twice = lacked.map(|it| 2 * it);
-    assert_eq!(Standing::of(twice, 2 * APPLY, || most), expected);
+    assert_eq!(Freshness::of(twice, 2 * APPLY, || most), expected);
 }
 
 /// Standing over time of an entry that hears of a version each 330 ms and gets each so much later.
-fn in_a_storm(delay_ms: u64) -> Vec<Standing> {
-    let mut ends = Ends::default();
+fn in_a_storm(delay_ms: u64) -> Vec<Freshness> {
+    let mut ends = LatestWrites::default();
     let mut standings = Vec::new();
     for now_ms in (0..60_000).step_by(10) {
         let now = Time::ZERO.after_ms(now_ms);
         ends.note(now_ms / 330 + 1, now);
         let end = now_ms.checked_sub(delay_ms).map_or(0, |it| it / 330 + 1);
         let lacked = ends.known_since(end).map(|it| now.since(it));
-        standings.push(Standing::of(lacked, APPLY, || true));
+        standings.push(Freshness::of(lacked, APPLY, || true));
     }
     standings
 }
@@ -94,7 +94,7 @@
 fn an_entry_that_is_always_a_little_behind_serves_on() {
     for delay_ms in [10, 300, 500, 1_000, 1_590] {
         let standings = in_a_storm(delay_ms);
-        assert!(!standings.contains(&Standing::Aside), "{delay_ms}");
+        assert!(!standings.contains(&Freshness::Stale), "{delay_ms}");
     }
-    assert!(in_a_storm(1_900).contains(&Standing::Aside));
+    assert!(in_a_storm(1_900).contains(&Freshness::Stale));
 }
