--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -11,11 +11,11 @@
 
 use super::{
     Entry,
-    ending::Ending,
+    abort::Ending,
     forward::Job,
+    in_flight::Running,
     quarantine::Start,
     relay::{self, Passage, Source, Stored},
-    running::Running,
 };
 use crate::{
     h1::{
--- a/crates/gradeloft_gateway/src/entry/front.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -6,7 +6,7 @@
 use gradeloft_policy::{clock::Time, process::document::CallerLimits};
 use tokio::net::TcpStream;
 
-use super::{Entry, answer::Refusal, forward};
+use super::{Entry, forward, refusal::Refusal};
 use crate::h1::{
     body::{Decoder, Framing, Piece},
     head::{self, Request},
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -20,14 +20,14 @@
 
 use super::{
     Entry,
-    answer::Refusal,
+    abort::{Ending, Watched},
     attempt::Attempt,
-    choice::{self, Room},
-    course,
-    ending::{Ending, Watched},
-    front::{After, Received, refuse},
+    connection::{After, Received, refuse},
+    hedge,
     quarantine::Try,
+    refusal::Refusal,
     relay::Stored,
+    selection::{self, Room},
 };
 use crate::{
     events::Cursor,
@@ -250,8 +250,8 @@
                 Ran::Unknown => Refusal::Lost,
             });
         }
-        let Some(replica) = choice::choose(entry, &mut job, now) else {
-            match choice::room(entry, caller, &mut job, now).await {
+        let Some(replica) = selection::choose(entry, &mut job, now) else {
+            match selection::room(entry, caller, &mut job, now).await {
                 Room::MayBe => continue,
                 Room::None => break exhausted(&job),
                 Room::CallerGone => break Outcome::Gone(Ending::CallerLeft),
@@ -264,20 +264,20 @@
         }
         job.tried.push(replica);
         let ended = match Attempt::begin(entry, caller, &mut job, replica).await {
-            Ok(attempt) => course::follow(entry, caller, &mut job, attempt).await,
-            Err(ended) => course::unbegun(entry, &mut job, replica, ended),
+            Ok(attempt) => hedge::follow(entry, caller, &mut job, attempt).await,
+            Err(ended) => hedge::unbegun(entry, &mut job, replica, ended),
         };
         match ended {
-            course::End::Answered(status) => {
+            hedge::End::Answered(status) => {
                 entry.clear(&job);
                 break Outcome::Answered(status);
             }
-            course::End::Gone(ending) => break Outcome::Gone(ending),
-            course::End::TimedOut => {
+            hedge::End::Gone(ending) => break Outcome::Gone(ending),
+            hedge::End::TimedOut => {
                 job.progress.ran = Ran::Unknown;
                 break Outcome::Refused(Refusal::TimedOut);
             }
-            course::End::Failed(answer) => {
+            hedge::End::Failed(answer) => {
                 stored = answer.or(stored);
                 if !job.progress.may_repeat() {
                     break exhausted(&job);
--- a/crates/gradeloft_gateway/src/entry/course.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -9,11 +9,11 @@
 
 use super::{
     Entry,
+    abort::Ending,
     attempt::{Attempt, Ended},
-    choice,
-    ending::Ending,
     forward::{self, Job},
     relay::Stored,
+    selection,
 };
 use crate::h1::wire::Wire;
 
@@ -95,7 +95,7 @@
     if entry.suspects_request(job) {
         return None;
     }
-    let other = choice::another(entry, job, entry.node.clock.now())?;
+    let other = selection::another(entry, job, entry.node.clock.now())?;
     entry.take_repeat(&job.service).then_some(other)
 }
 
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -1,38 +1,38 @@
 //! The process that callers talk to.
 //!
-//! - [`answer`]: answers that an entry gives by itself.
+//! - [`abort`]: reasons why a request ends without a complete response.
 //! - [`attempt`]: one request sent to one replica.
-//! - [`choice`]: which replica gets a request, and how it waits where none has room.
-//! - `course`: an attempt, and another beside it while its replica is silent.
-//! - [`ending`]: what ended a request that got no whole answer.
+//! - [`connection`]: connections of callers.
 //! - [`forward`]: one request, from its route to its end.
-//! - [`front`]: connections of callers.
 //! - [`gossip`]: datagrams that it sends, and how often.
+//! - `hedge`: an attempt, and a second one beside it while its replica is silent.
+//! - [`in_flight`]: requests in flight at replicas.
 //! - [`learn`]: what an entry learns from the platform's tables.
 //! - [`lookup`]: addresses, readiness, metrics.
-//! - [`quarantine`]: requests under which replicas ended.
+//! - [`quarantine`]: quarantine of requests that crash replicas.
 //! - [`receive`]: datagrams that it receives.
+//! - [`refusal`]: error responses of the entry itself.
 //! - [`register`]: how it makes itself known to later ones.
-//! - [`relay`]: a replica's answer on its way to the caller.
-//! - [`running`]: requests that run at replicas.
+//! - [`relay`]: relaying of a replica's response to the caller.
+//! - [`selection`]: selection of a replica, and waiting for capacity.
 //! - [`upkeep`]: what it works out anew several times a second.
 //! - [`view`]: what it knows of other entries' requests, and when callers come back.
 
-pub mod answer;
+pub mod abort;
 pub mod attempt;
-pub mod choice;
-mod course;
-pub mod ending;
+pub mod connection;
 pub mod forward;
-pub mod front;
 pub mod gossip;
+mod hedge;
+pub mod in_flight;
 pub mod learn;
 pub mod lookup;
 pub mod quarantine;
 pub mod receive;
+pub mod refusal;
 pub mod register;
 pub mod relay;
-pub mod running;
+pub mod selection;
 pub mod upkeep;
 pub mod view;
 
@@ -492,7 +492,7 @@
         entry.open.set(entry.open.get() + 1);
         let serving = Rc::clone(&entry);
         entry.node.scope.spawn(async move {
-            front::serve(Rc::clone(&serving), stream).await;
+            connection::serve(Rc::clone(&serving), stream).await;
             serving.open.set(serving.open.get() - 1);
         });
     }
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -6,10 +6,10 @@
 //! they write themselves.
 //!
 //! - `crash`: how it is found out that a replica ended.
-//! - `keep`: what is kept in the store.
+//! - `store`: records of suspects in the platform's store.
 
 mod crash;
-mod keep;
+mod store;
 
 use std::{
     cell::{Cell, RefCell},
@@ -35,7 +35,7 @@
 use rand::Rng;
 use slog::info;
 
-use super::{Entry, answer::Refusal, forward::Job};
+use super::{Entry, forward::Job, refusal::Refusal};
 use crate::{
     logs::Topic,
     node::tables::Source,
@@ -45,7 +45,7 @@
 pub(super) use self::crash::{Evidence, Start};
 use self::{
     crash::Lost,
-    keep::{KEEP_HEARD_MS, KEPT_AT},
+    store::{KEEP_HEARD_MS, KEPT_AT},
 };
 
 /// Datagrams with requests that are sent at one turn, an eighth of a second. After a mass failure more are to be
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -7,10 +7,10 @@
 
 use super::{
     Entry,
+    abort::Ending,
     attempt::{Ended, Expected},
-    ending::Ending,
     forward::Job,
-    running::Running,
+    in_flight::Running,
 };
 use crate::{
     events::Splitter,
