--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -200,19 +200,19 @@
             closed_until: Cell::default(),
         });
         let observing = Rc::downgrade(&agent);
-        agent.node.observe(Rc::new(move |table, records| {
+        agent.node.set_observer(Rc::new(move |table, records| {
             if let Some(agent) = observing.upgrade() {
                 agent.changed(table, &records);
             }
         }));
-        agent.node.elect(Rc::new(Rc::downgrade(&agent)));
+        agent.node.set_election(Rc::new(Rc::downgrade(&agent)));
         let handler = Rc::new(share::Peers(Rc::clone(&agent)));
         let peers = peer_listener(&agent.node, handler).await?;
         let metrics = crate::entry::lookup::serve_metrics(&agent.node).await?;
         let scope = &agent.node.scope;
         let orders = Rc::clone(&agent.node).follow(Table::Operator, WAIT_ORDERS, PAUSE_ORDERS);
         scope.spawn(orders);
-        scope.spawn(Rc::clone(&agent.node).tick());
+        scope.spawn(Rc::clone(&agent.node).detect_stalls());
         scope.spawn(Rc::clone(&agent).watch());
         scope.spawn(Rc::clone(&agent).listen());
         scope.spawn(Rc::clone(&agent).update());
@@ -311,7 +311,7 @@
             match self.node.platform.decoder.order(record) {
                 Ok(Order::Config(document)) => self.configure(*document),
                 Ok(Order::Weights { model, version }) => {
-                    let written = self.node.written(table, record);
+                    let written = self.node.written_at(table, record);
                     self.name(model, version, written);
                 }
                 Ok(Order::Evacuation { .. } | Order::Other) => {}
@@ -345,7 +345,7 @@
     async fn watch(self: Rc<Agent>) {
         loop {
             self.ask().await;
-            self.node.show_traffic();
+            self.node.log_traffic();
             let pause = if self.loading.get() { ASK_LOADING } else { ASK };
             actix_rt::time::sleep(pause).await;
         }
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -90,7 +90,7 @@
     pub(super) async fn listen(self: Rc<Agent>) {
         loop {
             let (from, datagram) = self.node.next_datagram().await;
-            self.node.look();
+            self.node.detect_stall();
             if let Sender::Entry {
                 store, switched, ..
             } = datagram.sender
--- a/crates/gradeloft_gateway/src/entry/choice.rs
+++ b/crates/gradeloft_gateway/src/entry/choice.rs
@@ -42,7 +42,7 @@
         objective,
         job.deadline,
         since,
-        entry.refuses(&job.service, now),
+        entry.recently_refused(&job.service, now),
     );
     let Some(until) = until.filter(|it| now < *it && entry.speed(&job.service).is_some()) else {
         return Room::None;
@@ -51,7 +51,7 @@
     tokio::select! {
         biased;
         () = caller.gone() => Room::CallerGone,
-        () = entry.room.notified() => Room::MayBe,
+        () = entry.room_freed.notified() => Room::MayBe,
         () = entry.node.timers.sleep_until(look) => Room::MayBe,
     }
 }
@@ -61,7 +61,7 @@
     let chosen = another(entry, job, now);
     // One that waits was counted when it came.
     if job.waits_since.is_none() {
-        entry.count_choice(&job.service, chosen);
+        entry.count_placement(&job.service, chosen);
     }
     chosen
 }
@@ -111,7 +111,7 @@
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
-    let most = entry.connections_each(&job.service);
+    let most = entry.max_connections_per_replica(&job.service);
     let open = replicas
         .of(&job.service)
         .filter(|(key, it)| at_home(&settings, job, it) && entry.pool.used(*key) < most);
@@ -132,7 +132,7 @@
     speed: Option<&'a Speed>,
     now: Time,
 ) -> Wish<'a> {
-    let view = entry.view(&job.service, now);
+    let view = entry.staleness(&job.service, now);
     Wish {
         zone,
         oldest: None,
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -362,7 +362,7 @@
             conclude(entry, &job, refusal.row().status, refusal.row().name, None);
             let head = Some(&job.received.head);
             let refusal = match refusal {
-                Refusal::NoReplica(_) => Refusal::NoReplica(entry.back_in(&job)),
+                Refusal::NoReplica(_) => Refusal::NoReplica(entry.retry_after(&job)),
                 refusal => refusal,
             };
             let sent = refuse(entry, caller, refusal, head, close).await;
@@ -419,7 +419,7 @@
         return;
     };
     let trail: Vec<&str> = job.trail.iter().map(|it| it.name()).collect();
-    let tried = entry.names(&job.tried);
+    let tried = entry.replica_ids(&job.tried);
     info!(log, "request";
         "request" => id(entry, &job.received), "outcome" => outcome, "status" => status,
         "route" => &*job.route.name, "service" => &*job.service, "team" => team.unwrap_or("-"), "homes" => %job.homes,
--- a/crates/gradeloft_gateway/src/entry/front.rs
+++ b/crates/gradeloft_gateway/src/entry/front.rs
@@ -54,9 +54,13 @@
     let mut wire = Wire::accepted(stream);
     requests(&entry, &mut wire).await;
     // Who is slower than that has what it needs, or has gone.
-    entry.closing.set(entry.closing.get() + 1);
+    entry
+        .closing_connections
+        .set(entry.closing_connections.get() + 1);
     let _ = entry.node.timers.timeout(CLOSING, wire.finish()).await;
-    entry.closing.set(entry.closing.get() - 1);
+    entry
+        .closing_connections
+        .set(entry.closing_connections.get() - 1);
     if wire.unread() {
         entry.node.metrics.closed_unread.inc();
     }
@@ -74,7 +78,7 @@
                 return;
             }
         };
-        entry.node.look();
+        entry.node.detect_stall();
         let at = entry.node.clock.now();
         let keeps = head.keeps();
         let limits = limits(entry);
@@ -161,7 +165,7 @@
                 Ok(_) => {}
             },
             () = entry.node.timers.sleep_until(until) => {}
-            () = entry.left.notified(), if begun.is_none() => {}
+            () = entry.leave_started.notified(), if begun.is_none() => {}
         }
     }
 }
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -106,7 +106,7 @@
             tokio::select! {
                 () = actix_rt::time::sleep(TURN) => turn += 1,
                 // A stop is sent at once.
-                () = self.left.notified() => turn = 0,
+                () = self.leave_started.notified() => turn = 0,
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/upkeep.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -34,7 +34,7 @@
         let now = self.node.clock.now();
         self.node.show_behind();
         self.show_standing();
-        self.node.show_traffic();
+        self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
             if let Some(log) = self.node.logs.line(Topic::State) {
                 info!(log, "replica gone"; "replica" => &*id);
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -8,15 +8,15 @@
 //! - [`forward`]: one request, from its route to its end.
 //! - [`front`]: connections of callers.
 //! - [`gossip`]: datagrams that it sends, and how often.
-//! - [`learn`]: what an entry learns from the platform's tables.
+//! - [`table_updates`]: what an entry learns from the platform's tables.
 //! - [`lookup`]: addresses, readiness, metrics.
 //! - [`quarantine`]: requests under which replicas ended.
 //! - [`receive`]: datagrams that it receives.
-//! - [`register`]: how it makes itself known to later ones.
+//! - [`registration`]: how it makes itself known to later ones.
 //! - [`relay`]: a replica's answer on its way to the caller.
 //! - [`running`]: requests that run at replicas.
-//! - [`upkeep`]: what it works out anew several times a second.
-//! - [`view`]: what it knows of other entries' requests, and when callers come back.
+//! - [`maintenance`]: what it works out anew several times a second.
+//! - [`staleness`]: what it knows of other entries' requests, and when callers come back.
 
 pub mod answer;
 pub mod attempt;
@@ -26,15 +26,15 @@
 pub mod forward;
 pub mod front;
 pub mod gossip;
-pub mod learn;
 pub mod lookup;
+pub mod maintenance;
 pub mod quarantine;
 pub mod receive;
-pub mod register;
+pub mod registration;
 pub mod relay;
 pub mod running;
-pub mod upkeep;
-pub mod view;
+pub mod staleness;
+pub mod table_updates;
 
 use std::{
     cell::{Cell, RefCell},
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::Expected, quarantine::Suspicion, view::Demands};
+use self::{attempt::Expected, quarantine::Suspicion, staleness::Demands};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -111,7 +111,7 @@
 
 /// Oldest versions of weights on which a request may begin.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Oldest {
+pub struct OldestVersions {
     /// Where a replica with it has room; `None` for any.
     pub preferred: Option<u64>,
     /// At all; `None` for any.
@@ -129,9 +129,9 @@
     /// Connections to replicas.
     pub pool: Pool,
     /// Notified when the process begins to leave.
-    pub left: Notify,
+    pub leave_started: Notify,
     /// Notified when a replica may have room for one more request.
-    pub room: Notify,
+    pub room_freed: Notify,
     roster: RefCell<Roster>,
     /// Versions of each model's weights that replicas are to serve.
     weights: RefCell<HashMap<String, Named>>,
@@ -164,9 +164,9 @@
     /// Requests under which replicas ended.
     suspicion: Suspicion,
     /// Connections of callers.
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
     /// Of these, those that have ended but for the callers' side.
-    closing: Cell<usize>,
+    closing_connections: Cell<usize>,
     /// Set once it leaves.
     leave: Cell<Option<Leave>>,
 }
@@ -189,8 +189,8 @@
             node,
             config: RefCell::default(),
             replicas: RefCell::default(),
-            left: Notify::new(),
-            room: Notify::new(),
+            leave_started: Notify::new(),
+            room_freed: Notify::new(),
             roster: RefCell::default(),
             weights: RefCell::default(),
             budgets: RefCell::default(),
@@ -208,18 +208,18 @@
             logged_aside: Cell::default(),
             starts: RefCell::default(),
             suspicion: Suspicion::default(),
-            open: Cell::default(),
-            closing: Cell::default(),
+            open_connections: Cell::default(),
+            closing_connections: Cell::default(),
             leave: Cell::default(),
         });
         entry.meet_seeds();
         let observing = Rc::downgrade(&entry);
-        entry.node.observe(Rc::new(move |table, records| {
+        entry.node.set_observer(Rc::new(move |table, records| {
             if let Some(entry) = observing.upgrade() {
                 entry.changed(table, &records);
             }
         }));
-        entry.node.elect(Rc::new(Rc::downgrade(&entry)));
+        entry.node.set_election(Rc::new(Rc::downgrade(&entry)));
         let peers = peer_listener(&entry.node, Rc::new(Peers(Rc::clone(&entry.node)))).await?;
         let servers = lookup::start(&entry).await?;
         let listener = TcpListener::bind(frontend).await?;
@@ -233,7 +233,7 @@
 
     fn spawn_tasks(self: &Rc<Entry>, listener: TcpListener) {
         let node = &self.node;
-        node.scope.spawn(Rc::clone(node).tick());
+        node.scope.spawn(Rc::clone(node).detect_stalls());
         let follow = |table, wait, pause| Rc::clone(node).follow(table, wait, pause);
         node.scope
             .spawn(follow(Table::Operator, WAIT_ORDERS, PAUSE_ORDERS));
@@ -263,7 +263,7 @@
     /// What it makes of the operator's records that peers have and it lacks.
     pub fn standing(&self) -> Standing {
         // Keys may be gone and routes moved while it stood still; others know.
-        if self.node.unaware() {
+        if self.node.stale_after_stall() {
             return Standing::Aside;
         }
         let table = Table::Operator;
@@ -346,7 +346,7 @@
     }
 
     /// Ids of replicas, for logs.
-    pub fn names(&self, keys: &[ReplicaKey]) -> Vec<String> {
+    pub fn replica_ids(&self, keys: &[ReplicaKey]) -> Vec<String> {
         let replicas = self.replicas.borrow();
         let name = |it: &ReplicaKey| replicas.get(*it).map(|it| it.listing.id.to_string());
         let keys = keys.iter();
@@ -379,7 +379,7 @@
     }
 
     /// A replica began an answer.
-    pub fn began(&self, key: ReplicaKey, expected: Expected) {
+    pub fn record_answer_start(&self, key: ReplicaKey, expected: Expected) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
@@ -435,7 +435,7 @@
     }
 
     /// Connections that this entry may have to each replica of a service.
-    pub fn connections_each(&self, service: &str) -> usize {
+    pub fn max_connections_per_replica(&self, service: &str) -> usize {
         let config = self.config.borrow();
         let most = config
             .as_ref()
@@ -489,11 +489,13 @@
             actix_rt::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        entry.open.set(entry.open.get() + 1);
+        entry.open_connections.set(entry.open_connections.get() + 1);
         let serving = Rc::clone(&entry);
         entry.node.scope.spawn(async move {
             front::serve(Rc::clone(&serving), stream).await;
-            serving.open.set(serving.open.get() - 1);
+            serving
+                .open_connections
+                .set(serving.open_connections.get() - 1);
         });
     }
 }
@@ -507,12 +509,12 @@
         node.leaving.set(true);
         let leave = Leave::begin(node.clock.now(), node.settings().grace_ms);
         entry.leave.set(Some(leave));
-        info!(node.logs.root, "leaving"; "open" => entry.open.get());
-        entry.left.notify_waiters();
-        while !leave.over(entry.open.get(), node.clock.now()) {
+        info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
+        entry.leave_started.notify_waiters();
+        while !leave.over(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(LOOK).await;
         }
-        let cut = entry.open.get() - entry.closing.get();
+        let cut = entry.open_connections.get() - entry.closing_connections.get();
         info!(node.logs.root, "left"; "cut_off" => cut);
         node.scope.end();
         cut
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -36,7 +36,7 @@
     }
 
     fn receive(&self, from: Ipv4Addr, mut datagram: Datagram) {
-        self.node.look();
+        self.node.detect_stall();
         let now = self.node.clock.now();
 
         let passed_on = match &mut datagram.sender {
--- a/crates/gradeloft_gateway/src/entry/running.rs
+++ b/crates/gradeloft_gateway/src/entry/running.rs
@@ -87,6 +87,6 @@
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
             replica.own -= 1;
         }
-        self.entry.room.notify_waiters();
+        self.entry.room_freed.notify_waiters();
     }
 }
--- a/crates/gradeloft_gateway/src/entry/view.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -35,7 +35,7 @@
 
 /// How far what an entry knows of replicas may be off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct View {
+pub struct Staleness {
     /// For those of its region.
     pub near: Doubt,
     /// For those of other regions.
@@ -44,10 +44,10 @@
 
 impl Entry {
     /// How far what this entry knows of a service's replicas may be off.
-    pub fn view(&self, service: &str, now: Time) -> View {
+    pub fn staleness(&self, service: &str, now: Time) -> Staleness {
         let demands = self.demands.borrow();
         let Some(demand) = demands.get(service) else {
-            return View::default();
+            return Staleness::default();
         };
         let near_loads = self.near_loads.borrow();
         let near = Others {
@@ -77,14 +77,14 @@
                 unseen,
             }
         };
-        View {
+        Staleness {
             near: doubt(true, near),
             far: doubt(false, far),
         }
     }
 
     /// Counts a request that goes to a replica, or to none, if that is not to a slot of this entry's part.
-    pub fn count_choice(&self, service: &Rc<str>, chosen: Option<ReplicaKey>) {
+    pub fn count_placement(&self, service: &Rc<str>, chosen: Option<ReplicaKey>) {
         let replicas = self.replicas.borrow();
         let chosen = chosen.and_then(|it| replicas.get(it));
         if chosen.is_some_and(Replica::has_own_slot) {
@@ -97,13 +97,13 @@
     }
 
     /// Whether callers of a service have been refused for want of room a moment ago.
-    pub fn refuses(&self, service: &str, now: Time) -> bool {
+    pub fn recently_refused(&self, service: &str, now: Time) -> bool {
         let shortages = self.shortages.borrow();
         shortages.get(service).is_some_and(|it| it.lasts(now))
     }
 
     /// When the caller of a request that found no replica is to come back.
-    pub fn back_in(&self, job: &Job) -> Duration {
+    pub fn retry_after(&self, job: &Job) -> Duration {
         let now = self.node.clock.now();
         let mut shortages = self.shortages.borrow_mut();
         let shortage = shortages.entry(Rc::clone(&job.service)).or_default();
--- a/crates/gradeloft_gateway/src/entry/learn.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -15,7 +15,7 @@
 use gradeloft_wire::{frame::Table, quarantine};
 use slog::{info, warn};
 
-use super::{Entry, Oldest};
+use super::{Entry, OldestVersions};
 use crate::{logs::Topic, node::tables::Source};
 
 /// Time before the end of that for new weights from which on requests go to replicas that hold them, if
@@ -34,9 +34,9 @@
 impl Entry {
     /// Oldest versions of weights on which a request to a service begins now: where a replica has
     /// room, and at all.
-    pub fn oldest_versions(&self, service: &str) -> Oldest {
+    pub fn oldest_versions(&self, service: &str) -> OldestVersions {
         let now = self.node.clock.now();
-        let oldest = |named: &Named| Oldest {
+        let oldest = |named: &Named| OldestVersions {
             preferred: named.oldest_preferred(now),
             allowed: named.oldest_allowed(now),
         };
@@ -94,11 +94,11 @@
     fn apply_order(&self, record: &Record) {
         match self.node.platform.decoder.order(record) {
             Ok(Order::Config(document)) => {
-                let written = self.node.written(Table::Operator, record);
+                let written = self.node.written_at(Table::Operator, record);
                 self.configure(*document, written);
             }
             Ok(Order::Weights { model, version }) => {
-                let written = self.node.written(Table::Operator, record);
+                let written = self.node.written_at(Table::Operator, record);
                 self.name_weights(model, version, written);
             }
             Ok(Order::Evacuation { zone, active }) => self.evacuate(&zone, active),
@@ -145,7 +145,7 @@
     fn name_weights(&self, model: String, version: u64, named_at: Time) {
         let now = self.node.clock.now();
         // What was named before this process started may be due already.
-        let started = self.node.beginning() || self.config.borrow().is_none();
+        let started = self.node.is_initial_load() || self.config.borrow().is_none();
         let version_ms = self.node.settings().version_ms;
         let before_end = |ms: u64| match started {
             true => now,
--- a/crates/gradeloft_gateway/src/node/ages.rs
+++ b/crates/gradeloft_gateway/src/node/ages.rs
@@ -49,16 +49,16 @@
 
 impl Node {
     /// Looks again and again whether the process stood still.
-    pub async fn tick(self: Rc<Node>) {
+    pub async fn detect_stalls(self: Rc<Node>) {
         loop {
-            self.look();
+            self.detect_stall();
             actix_rt::time::sleep(TICK).await;
         }
     }
 
     /// Looks whether the process stood still a moment ago, or its machine was suspended: before anything is
     /// acted on, as what a process believed before it stood still is old by then.
-    pub fn look(&self) {
+    pub fn detect_stall(&self) {
         self.disturbances.borrow_mut().ticks.seen(self.clock.now());
         let suspended = self.timers.look();
         if !suspended.is_zero()
@@ -75,7 +75,7 @@
 
     /// Whether the process stood still and has not learned since how far others are: what its copies lack by
     /// now it doesn't know.
-    pub fn unaware(&self) -> bool {
+    pub fn stale_after_stall(&self) -> bool {
         let now = self.clock.now();
         let Some(woke) = self.disturbances.borrow().ticks.last_end(now) else {
             return false;
@@ -86,7 +86,7 @@
 
     /// Since when a record of a table counts as written: what was read after an interruption counts from
     /// before it, and what a peer gave is at least as old as it was to the peer.
-    pub fn written(&self, table: Table, record: &Record) -> Time {
+    pub fn written_at(&self, table: Table, record: &Record) -> Time {
         let now = self.clock.now();
         let counts = self.ages.borrow()[index(table)].counts_since(record.offset);
         counts.map_or(now, |it| it.min(now))
@@ -128,7 +128,7 @@
 
     /// For how long a record has counted as written, in milliseconds; the largest number for longer.
     pub(super) fn age_ms(&self, table: Table, record: &Record) -> u16 {
-        let written = self.written(table, record);
+        let written = self.written_at(table, record);
         saturate(self.clock.now().since(written).as_millis() as u64)
     }
 
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -10,7 +10,7 @@
     /// Until when the copy of a table is known to have been whole, by own reads and by peers' words on
     /// theirs: a record that it lacked then had not been written. While a read is being taken in, the time
     /// before that read. In steady reading this is up to the wait of one read ago, and a round trip.
-    pub fn confirmed(&self, table: Table) -> Option<Time> {
+    pub fn confirmed_until(&self, table: Table) -> Option<Time> {
         self.ages.borrow()[index(table)].whole_until(self.end(table))
     }
 
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -1,20 +1,20 @@
 //! What entries and agents share: copies of the platform's tables, peers, datagrams.
 //!
 //! - [`ages`]: since when records count as written.
-//! - [`brief`]: the operator's records without what only entries need.
+//! - [`abridged`]: the operator's records without what only entries need.
 //! - [`confirmed`]: until when each copy is known to have been whole.
-//! - [`foreign`]: records that other writers left, and that nothing can be made of.
+//! - [`unreadable`]: records that other writers left, and that nothing can be made of.
 //! - [`parts`]: large values, which processes give each other in parts.
 //! - [`records`]: what peers bring of the tables, and what they are given.
 //! - [`tables`]: who reads the tables from the store.
 
+pub mod abridged;
 pub mod ages;
-pub mod brief;
 pub mod confirmed;
-pub mod foreign;
 pub mod parts;
 pub mod records;
 pub mod tables;
+pub mod unreadable;
 
 use std::{
     cell::{Cell, RefCell},
@@ -49,8 +49,8 @@
 use slog::warn;
 use tokio::{net::UdpSocket, sync::Notify};
 
+use abridged::Brief;
 use ages::Disturbances;
-use brief::Brief;
 use records::Inbox;
 use tables::{Reading, Source};
 
@@ -214,12 +214,12 @@
     }
 
     /// Sets who learns what changed.
-    pub fn observe(&self, observer: Observer) {
+    pub fn set_observer(&self, observer: Observer) {
         *self.observer.borrow_mut() = Some(observer);
     }
 
     /// Sets who decides which process reads the tables.
-    pub fn elect(&self, election: Rc<dyn Election>) {
+    pub fn set_election(&self, election: Rc<dyn Election>) {
         *self.election.borrow_mut() = Some(election);
     }
 
@@ -294,7 +294,7 @@
 
     /// Counts a call to the store.
     pub fn count_call(&self, table: Table) {
-        let reason = foreign::table_name(table);
+        let reason = unreadable::table_name(table);
         self.metrics
             .store_calls
             .get_or_create(&Reason { reason })
@@ -312,7 +312,7 @@
     }
 
     /// Logs what was sent, now and then.
-    pub fn show_traffic(&self) {
+    pub fn log_traffic(&self) {
         let now = self.clock.now();
         self.traffic.show(&self.logs.root, &self.metrics, now);
     }
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -130,7 +130,7 @@
 
     /// Whether what is being taken in is the first of its table. Nothing is known of when it was written, also
     /// not by peers: their words reach back to the start of this process.
-    pub fn beginning(&self) -> bool {
+    pub fn is_initial_load(&self) -> bool {
         self.beginning.get()
     }
 
--- a/crates/gradeloft_gateway/tests/entry/cut_off.rs
+++ b/crates/gradeloft_gateway/tests/entry/cut_off.rs
@@ -139,19 +139,19 @@
         let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
         let node = &world.entry.entry().node;
         let table = Table::Operator;
-        until(|| async { node.confirmed(table).is_some() }).await;
+        until(|| async { node.confirmed_until(table).is_some() }).await;
         assert!(!node.after_interruption(table));
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
         until(|| async { node.access() == Access::Unserved }).await;
-        let before = node.confirmed(table);
+        let before = node.confirmed_until(table);
         let away = node.clock.now();
         world.tables.write(table, "config", Some("7"));
         assert!(before < Some(away));
         world.tables.mood.set(Mood::Well);
-        until(|| async { node.end(table) == 2 && before < node.confirmed(table) }).await;
+        until(|| async { node.end(table) == 2 && before < node.confirmed_until(table) }).await;
         assert!(node.after_interruption(table));
-        assert!(Some(away) < node.confirmed(table));
+        assert!(Some(away) < node.confirmed_until(table));
     });
 }
 
@@ -213,7 +213,7 @@
         world.tables.write(Table::Operator, "weights/m", Some("2"));
         world.tables.mood.set(Mood::Well);
         until(|| async { named(node).is_some() }).await;
-        let written = node.written(Table::Operator, &named(node).unwrap());
+        let written = node.written_at(Table::Operator, &named(node).unwrap());
         assert!(
             written <= away,
             "{written:?}, and the copy was whole before {away:?}"
@@ -240,7 +240,7 @@
         world.tables.write(Table::Operator, "weights/m", Some("2"));
         world.tables.mood.set(Mood::Well);
         until(|| async { named(node).is_some() }).await;
-        let written = node.written(Table::Operator, &named(node).unwrap());
+        let written = node.written_at(Table::Operator, &named(node).unwrap());
         assert!(
             written <= away,
             "{written:?}, and the peer's copy was whole before {away:?}"
@@ -263,7 +263,7 @@
         // Everything stands still, the read that waits for the version as well.
         std::thread::sleep(Duration::from_millis(1_500));
         until(|| async { named(node).is_some() }).await;
-        let written = node.written(Table::Operator, &named(node).unwrap());
+        let written = node.written_at(Table::Operator, &named(node).unwrap());
         assert!(written <= before, "{written:?}, stood still at {before:?}");
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -396,10 +396,10 @@
         let still = Some(node.clock.now());
         std::thread::sleep(Duration::from_millis(1_500));
         until(|| async { node.behind(Table::Replicas).is_some() }).await;
-        assert!(node.confirmed(Table::Operator) < still);
+        assert!(node.confirmed_until(Table::Operator) < still);
         until(|| async {
             tell().await.unwrap();
-            still < node.confirmed(Table::Operator)
+            still < node.confirmed_until(Table::Operator)
         })
         .await;
     });
