--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -7,10 +7,10 @@
 
 use super::{
     Entry,
+    abort::Ending,
     attempt::{Ended, Expected},
-    ending::Ending,
     forward::Job,
-    running::Running,
+    in_flight::Running,
 };
 use crate::{
     events::Splitter,
@@ -415,7 +415,7 @@
     entry.note_activity(replica);
     source.running.begun();
     if let Some(expected) = source.expected.take() {
-        entry.began(replica, expected);
+        entry.record_answer_start(replica, expected);
     }
 }
 
