--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -51,7 +51,7 @@
 
 /// When a replica is to begin an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Expected {
+pub struct FirstTokenForecast {
     /// When the request was sent.
     pub sent: Time,
     /// Time until the first token by the published speed, in milliseconds.
@@ -69,7 +69,7 @@
     pub(super) link: Link,
     pub(super) running: Running,
     /// When it is to begin its answer, until it does.
-    pub(super) expected: Option<Expected>,
+    pub(super) expected: Option<FirstTokenForecast>,
     stage: Stage,
 }
 
@@ -332,13 +332,13 @@
 }
 
 /// When a replica is to begin the answer, for services that run a model.
-fn expect(entry: &Entry, job: &mut Job, replica: ReplicaKey) -> Option<Expected> {
+fn expect(entry: &Entry, job: &mut Job, replica: ReplicaKey) -> Option<FirstTokenForecast> {
     let replicas = entry.replicas.borrow();
     let speed = entry.speed(&job.service)?;
     let replica = replicas.get(replica)?;
     let after_ms = forecast::first_token_ms(&speed, replica.queue(&speed), job.prompt_tokens);
     job.expected_ms = (after_ms * replica.slowness.factor()) as u64;
-    Some(Expected {
+    Some(FirstTokenForecast {
         sent: entry.node.clock.now(),
         after_ms,
     })
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -33,7 +33,7 @@
     }
 
     /// The start of a replica that `ended` names is over: what was under way there gets no answer any more.
-    pub(super) fn restarted(&self, ended: ReplicaKey) {
+    pub(super) fn replica_restarted(&self, ended: ReplicaKey) {
         let token = self.starts.borrow_mut().remove(&ended);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -44,7 +44,7 @@
         self.pool.expire(|it| replicas.get(it).is_some());
         drop(replicas);
         self.forget_starts();
-        self.review_suspects(now);
+        self.maintain_quarantine(now);
         let seeds = self.node.settings().seeds.clone();
         self.roster
             .borrow_mut()
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::Expected, quarantine::Suspicion, staleness::Demands};
+use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, staleness::Demands};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -162,7 +162,7 @@
     /// What signals to requests that the start of their replica is over, for replicas that got any.
     starts: RefCell<HashMap<ReplicaKey, CancellationToken>>,
     /// Requests under which replicas ended.
-    suspicion: Suspicion,
+    quarantine: QuarantineState,
     /// Connections of callers.
     open_connections: Cell<usize>,
     /// Of these, those that have ended but for the callers' side.
@@ -207,7 +207,7 @@
             sent_to_regions: Cell::default(),
             logged_aside: Cell::default(),
             starts: RefCell::default(),
-            suspicion: Suspicion::default(),
+            quarantine: QuarantineState::default(),
             open_connections: Cell::default(),
             closing_connections: Cell::default(),
             leave: Cell::default(),
@@ -379,7 +379,7 @@
     }
 
     /// A replica began an answer.
-    pub fn record_answer_start(&self, key: ReplicaKey, expected: Expected) {
+    pub fn record_answer_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -86,7 +86,7 @@
             return;
         }
         let now = self.node.clock.now();
-        let mut all = self.suspicion.lost.borrow_mut();
+        let mut all = self.quarantine.lost.borrow_mut();
         let lost = all.entry(start.key).or_insert_with(|| Lost {
             hash: start.hash,
             since: now,
@@ -111,7 +111,7 @@
             self.node.timers.sleep_until(lost_at.after(after)).await;
             if self.lives(start.key) {
                 // It was the connection.
-                let lost = self.suspicion.lost.borrow_mut().remove(&start.key);
+                let lost = self.quarantine.lost.borrow_mut().remove(&start.key);
                 drop(lost);
                 return;
             }
@@ -122,14 +122,14 @@
                 return;
             }
         }
-        if let Some(lost) = self.suspicion.lost.borrow_mut().get_mut(&start.key) {
+        if let Some(lost) = self.quarantine.lost.borrow_mut().get_mut(&start.key) {
             lost.looking = false;
         }
     }
 
     /// Whether a replica has sent something since requests were lost there.
     fn lives(&self, key: ReplicaKey) -> bool {
-        let lost = self.suspicion.lost.borrow();
+        let lost = self.quarantine.lost.borrow();
         let replicas = self.replicas.borrow();
         let spoke = replicas.get(key).map(|it| it.spoke);
         let lost_at = lost.get(&key).map(|it| it.since);
@@ -141,14 +141,14 @@
     /// Settles what was lost at replicas that are gone by now, and lets go of what can no longer be settled.
     pub(super) fn settle_lost(&self, now: Time) {
         let replicas = self.replicas.borrow();
-        let lost = self.suspicion.lost.borrow();
+        let lost = self.quarantine.lost.borrow();
         let gone = lost.keys().filter(|it| replicas.get(**it).is_none());
         let gone: Vec<ReplicaKey> = gone.copied().collect();
         drop((lost, replicas));
         for key in gone {
             self.ended(key, Evidence::Gone);
         }
-        let mut all = self.suspicion.lost.borrow_mut();
+        let mut all = self.quarantine.lost.borrow_mut();
         let over = all.extract_if(|_, it| it.since.after_ms(LOST_MS) <= now);
         let over: Vec<(ReplicaKey, Lost)> = over.collect();
         drop(all);
@@ -158,7 +158,7 @@
 
     /// A start of a replica is over: it may be the fault of each request that was lost there.
     pub(in crate::entry) fn ended(&self, key: ReplicaKey, evidence: Evidence) {
-        let lost = self.suspicion.lost.borrow_mut().remove(&key);
+        let lost = self.quarantine.lost.borrow_mut().remove(&key);
         let Some(lost) = lost else {
             return;
         };
@@ -176,7 +176,7 @@
         }
         for (request, _) in &lost.requests {
             let news = self
-                .suspicion
+                .quarantine
                 .known
                 .borrow_mut()
                 .blame(*request, lost.hash, now);
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -70,14 +70,14 @@
 impl Drop for Try {
     fn drop(&mut self) {
         if let Some(entry) = self.entry.upgrade() {
-            entry.suspicion.known.borrow_mut().end_try(self.request);
+            entry.quarantine.known.borrow_mut().end_try(self.request);
         }
     }
 }
 
 /// What an entry knows of requests under which replicas ended.
 #[derive(Default)]
-pub(super) struct Suspicion {
+pub(super) struct QuarantineState {
     known: RefCell<Quarantine>,
     /// Requests of which it is not clear whether their replica ended.
     lost: RefCell<HashMap<ReplicaKey, Lost>>,
@@ -96,21 +96,21 @@
 impl Entry {
     /// Requests of which something is known, with their crashes that count, for tests and operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         let all = known.fingerprints();
         all.map(|it| (it, known.crashes(it))).collect()
     }
 
     /// Requests that were lost with a replica of which it is not clear yet whether it ended.
     pub fn unsettled(&self) -> usize {
-        let lost = self.suspicion.lost.borrow();
+        let lost = self.quarantine.lost.borrow();
         lost.values().map(|it| it.requests.len()).sum()
     }
 
     /// Whether a request may go to a replica; gives what to tell its caller if not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
         job.only = None;
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         if known.is_empty() || !known.knows(job.fingerprint()) {
             return None;
         }
@@ -121,7 +121,7 @@
         match verdict {
             Verdict::Admitted => None,
             Verdict::Alone => {
-                self.suspicion.known.borrow_mut().begin_try(request);
+                self.quarantine.known.borrow_mut().begin_try(request);
                 job.only = Some(Try {
                     entry: Rc::downgrade(self),
                     request,
@@ -144,18 +144,18 @@
 
     /// Whether replicas ended under a request.
     pub(super) fn suspects_request(&self, job: &Job) -> bool {
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         !known.is_empty() && known.knows(job.fingerprint())
     }
 
     /// A request was answered: it does not end replicas.
     pub(super) fn clear(&self, job: &Job) {
-        let suspicion = &self.suspicion;
-        if suspicion.known.borrow().is_empty() {
+        let quarantine = &self.quarantine;
+        if quarantine.known.borrow().is_empty() {
             return;
         }
         let request = job.fingerprint();
-        let news = suspicion.known.borrow_mut().clear(request);
+        let news = quarantine.known.borrow_mut().clear(request);
         if news {
             self.learned(request, Source::Own, self.node.clock.now());
             self.send_suspects();
@@ -165,14 +165,14 @@
     /// Another entry told of requests, or the store brought them.
     pub(super) fn receive_suspects(&self, suspects: &[Suspect], source: Source, now: Time) {
         for suspect in suspects {
-            let merged = self.suspicion.known.borrow_mut().merge(suspect, now);
+            let merged = self.quarantine.known.borrow_mut().merge(suspect, now);
             if merged.news {
                 self.learned(suspect.request, source, now);
             }
             if source == Source::Store {
                 continue;
             }
-            let mut news = self.suspicion.news.borrow_mut();
+            let mut news = self.quarantine.news.borrow_mut();
             if merged.lacking {
                 let wait = self.node.with_rng(|it| it.random_range(0..ANSWER_MS));
                 news.answer(suspect.request, now.after_ms(wait));
@@ -184,7 +184,7 @@
 
     /// Something is known now of a request that was not before.
     fn learned(&self, request: Fingerprint, source: Source, now: Time) {
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         let crashes = known.crashes(request);
         self.node.metrics.quarantined.set(known.shut_out() as i64);
         if (SHUT_OUT_AT <= crashes || source == Source::Own)
@@ -203,7 +203,7 @@
         }
         drop(known);
         if source == Source::Own {
-            self.suspicion.news.borrow_mut().add(request, now);
+            self.quarantine.news.borrow_mut().add(request, now);
         }
         let wait = match source {
             Source::Own => 0,
@@ -212,12 +212,12 @@
                 self.node.with_rng(|it| it.random_range(from..to))
             }
         };
-        let mut unkept = self.suspicion.unkept.borrow_mut();
+        let mut unkept = self.quarantine.unkept.borrow_mut();
         unkept.insert(request, now.after_ms(wait));
     }
 
     /// Settles what can be settled, forgets what is too old, and writes what the store lacks.
-    pub(super) fn review_suspects(self: &Rc<Entry>, now: Time) {
+    pub(super) fn maintain_quarantine(self: &Rc<Entry>, now: Time) {
         self.settle_lost(now);
         self.forget_suspects(now);
         self.keep_suspects(now);
@@ -226,12 +226,12 @@
     /// Tells others what is due.
     pub(super) fn send_suspects(&self) {
         let now = self.node.clock.now();
-        if now < self.suspicion.quiet_until.get() {
+        if now < self.quarantine.quiet_until.get() {
             return;
         }
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         let weight = |it| known.crashes(it);
-        let mut news = self.suspicion.news.borrow_mut();
+        let mut news = self.quarantine.news.borrow_mut();
         let due = news.take_due(now, IN_DATAGRAM * WORDS, weight);
         drop(news);
         let suspects: Vec<Suspect> = due
@@ -242,8 +242,8 @@
         if suspects.is_empty() {
             return;
         }
-        let round = self.suspicion.rounds.get();
-        self.suspicion.rounds.set(round + 1);
+        let round = self.quarantine.rounds.get();
+        self.quarantine.rounds.set(round + 1);
         let near = |it: &str| self.node.near(it);
         let near: Vec<Ipv4Addr> = self.roster.borrow().addresses_in(near).collect();
         let far: Vec<Ipv4Addr> = self
@@ -264,14 +264,14 @@
         }
         let bytes = codec::body(&suspects).len();
         let pause = TELLING.pause(near.len() + far.len(), bytes);
-        self.suspicion.quiet_until.set(now.after(pause));
+        self.quarantine.quiet_until.set(now.after(pause));
     }
 
     /// Tells an entry that has just started of the requests that have the most crashes: the store, which keeps
     /// them, may be away.
     pub(super) fn send_suspects_to(&self, newcomer: Ipv4Addr) {
         let now = self.node.clock.now();
-        let known = self.suspicion.known.borrow();
+        let known = self.quarantine.known.borrow();
         let all = known
             .fingerprints()
             .filter(|it| KEPT_AT <= known.crashes(*it));
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -31,14 +31,14 @@
 const KEPT_AT_ONCE: usize = 32;
 impl Entry {
     pub(super) fn forget_suspects(&self, now: Time) {
-        let mut known = self.suspicion.known.borrow_mut();
+        let mut known = self.quarantine.known.borrow_mut();
         if known.is_empty() {
             return;
         }
         known.expire(now);
         self.node.metrics.quarantined.set(known.shut_out() as i64);
-        let kept = self.suspicion.kept.borrow();
-        let mut unkept = self.suspicion.unkept.borrow_mut();
+        let kept = self.quarantine.kept.borrow();
+        let mut unkept = self.quarantine.unkept.borrow_mut();
         for request in kept.keys().filter(|it| !known.knows(**it)) {
             let (from, to) = DELETE_MS;
             let wait = || now.after_ms(self.node.with_rng(|it| it.random_range(from..to)));
@@ -47,7 +47,10 @@
     }
 
     /// The store's records of requests changed.
-    pub(in crate::entry) fn suspects_kept<'a>(&self, records: impl Iterator<Item = &'a Record>) {
+    pub(in crate::entry) fn apply_suspect_records<'a>(
+        &self,
+        records: impl Iterator<Item = &'a Record>,
+    ) {
         let now = self.node.clock.now();
         for record in records {
             let Some(request) = quarantine::request(&record.key) else {
@@ -55,7 +58,7 @@
             };
             let value = record.value.as_deref();
             let Some(kept) = value.and_then(|it| codec::parse::<Kept>(it).ok()) else {
-                self.suspicion.kept.borrow_mut().remove(&request);
+                self.quarantine.kept.borrow_mut().remove(&request);
                 continue;
             };
             let age_ms = unix_ms().saturating_sub(kept.crashed_ms);
@@ -64,7 +67,7 @@
                 crashes: kept.crashes.clone(),
                 age_ms: age_ms.min(u64::from(u32::MAX)) as u32,
             };
-            self.suspicion
+            self.quarantine
                 .kept
                 .borrow_mut()
                 .insert(request, kept.crashes);
@@ -74,32 +77,32 @@
 
     /// Writes what is due and the store lacks.
     pub(super) fn keep_suspects(self: &Rc<Entry>, now: Time) {
-        let suspicion = &self.suspicion;
-        if suspicion.writing.get() || suspicion.unkept.borrow().is_empty() {
+        let quarantine = &self.quarantine;
+        if quarantine.writing.get() || quarantine.unkept.borrow().is_empty() {
             return;
         }
-        let unkept = suspicion.unkept.borrow();
+        let unkept = quarantine.unkept.borrow();
         let due = unkept.iter().filter(|(_, at)| **at <= now);
         let due: Vec<Fingerprint> = due.map(|it| *it.0).take(KEPT_AT_ONCE).collect();
         drop(unkept);
         let rows = due.iter().filter_map(|it| self.row(*it, now));
         let rows: Vec<Put> = rows.collect();
-        suspicion
+        quarantine
             .unkept
             .borrow_mut()
             .retain(|it, _| !due.contains(it));
         if rows.is_empty() {
             return;
         }
-        suspicion.writing.set(true);
+        quarantine.writing.set(true);
         let writing = Rc::clone(self).write_suspects(due, rows);
         self.node.scope.spawn(writing);
     }
 
     /// The record that the store lacks of a request, if it lacks one.
     fn row(&self, request: Fingerprint, now: Time) -> Option<Put> {
-        let known = self.suspicion.known.borrow();
-        let kept = self.suspicion.kept.borrow();
+        let known = self.quarantine.known.borrow();
+        let kept = self.quarantine.kept.borrow();
         let kept = kept.get(&request);
         let key = quarantine::key(request);
         let Some(word) = known.word(request, now) else {
@@ -127,7 +130,7 @@
     async fn write_suspects(self: Rc<Entry>, requests: Vec<Fingerprint>, rows: Vec<Put>) {
         self.node.count_call(Table::Entries);
         let written = self.node.platform.store.write(rows).await;
-        self.suspicion.writing.set(false);
+        self.quarantine.writing.set(false);
         let Err(fault) = written else {
             return;
         };
@@ -136,7 +139,7 @@
             warn!(log, "suspects not kept"; "count" => requests.len(), "fault" => %fault);
         }
         let again = self.node.clock.now().after_ms(KEEP_AGAIN_MS);
-        let mut unkept = self.suspicion.unkept.borrow_mut();
+        let mut unkept = self.quarantine.unkept.borrow_mut();
         for request in requests {
             unkept.entry(request).or_insert(again);
         }
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -204,7 +204,7 @@
         if !ended.is_empty() {
             self.begin_warmup(address);
         }
-        ended.into_iter().for_each(|it| self.restarted(it));
+        ended.into_iter().for_each(|it| self.replica_restarted(it));
     }
 
     /// Counts the replica at an address as cold, as it has just started: its own record comes later.
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use super::{
     Entry,
     abort::Ending,
-    attempt::{Ended, Expected},
+    attempt::{Ended, FirstTokenForecast},
     forward::Job,
     in_flight::Running,
 };
@@ -103,7 +103,7 @@
     /// The request's place at the replica.
     pub(super) running: &'a Running,
     /// When the answer is to begin, until it does.
-    pub(super) expected: &'a mut Option<Expected>,
+    pub(super) expected: &'a mut Option<FirstTokenForecast>,
 }
 
 /// What reading on gave.
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -78,7 +78,7 @@
 
     fn entries_changed(&self, records: &[Record]) {
         let requests = |it: &&Record| quarantine::request(&it.key).is_some();
-        self.suspects_kept(records.iter().filter(requests));
+        self.apply_suspect_records(records.iter().filter(requests));
         let own = self.node.settings().address;
         let mut roster = self.roster.borrow_mut();
         for record in records.iter().filter(|it| it.value.is_some()) {
@@ -203,7 +203,7 @@
                 }
                 drop(replicas);
                 if let Some(ended) = key_before.filter(|it| *it != key) {
-                    self.restarted(ended);
+                    self.replica_restarted(ended);
                 }
             }
             Err(error) => {
