--- a/crates/gradeloft_daemon/src/agent/chunks.rs
+++ b/crates/gradeloft_daemon/src/agent/chunks.rs
@@ -80,7 +80,7 @@
         if self.manifests.contains_key(&manifest.digest) {
             return;
         }
-        let distinct = manifest.distinct();
+        let distinct = manifest.distinct_chunks();
         let positions: HashMap<Digest, u32> = distinct
             .iter()
             .enumerate()
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -90,7 +90,7 @@
     };
     let missing = |it: Digest| agent.chunks.borrow().holds(it) && !staged.contains(&it);
     let to_stage: Vec<Digest> = manifest
-        .distinct()
+        .distinct_chunks()
         .iter()
         .map(|it| it.digest)
         .filter(|it| missing(*it))
--- a/crates/gradeloft_daemon/src/agent/turn.rs
+++ b/crates/gradeloft_daemon/src/agent/turn.rs
@@ -176,7 +176,7 @@
         .map(|(node, zone)| (node.as_str(), zone.as_str()));
     let own = &agent.node.settings.node.zone;
     turns::zone_open(&order, own, pairs, |node| {
-        folded.done(node, version.manifest)
+        folded.is_done(node, version.manifest)
     })
 }
 
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -6,7 +6,7 @@
 use futures_util::stream;
 use gradeloft_http::message::{Answer, Request, stream as streamed, with_header};
 use gradeloft_policy::{
-    clock::Time, rendezvous, request::retry::Repeat, version::rollout::Serving,
+    clock::Time, rendezvous, request::retry::Repeat, version::rollout::ServedVersion,
 };
 use gradeloft_wire::{
     border::{
@@ -146,9 +146,9 @@
                 *serving.entry(&pin.version).or_default() += 1;
             }
         }
-        let serving: Vec<Serving> = serving
+        let serving: Vec<ServedVersion> = serving
             .into_iter()
-            .map(|(version, replicas)| Serving {
+            .map(|(version, replicas)| ServedVersion {
                 version: version.to_owned(),
                 replicas,
             })
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -29,7 +29,7 @@
 };
 use gradeloft_policy::{
     request::{admission::Rate, retry::Budget, route::Scheme},
-    version::{bundle, rollout::Pinner},
+    version::{bundle, rollout::VersionPinner},
 };
 use gradeloft_wire::{
     border::{caller::VersionStatus, settings},
@@ -58,7 +58,7 @@
     limits: RefCell<limits::Limits>,
     budget: RefCell<Budget>,
     /// For each model and adapter of the bundle.
-    pinners: RefCell<HashMap<(String, Option<String>), Pinner>>,
+    pinners: RefCell<HashMap<(String, Option<String>), VersionPinner>>,
     /// Callers' requests that are being answered.
     running: Cell<usize>,
     /// Where callers connect; set once it listens.
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -255,7 +255,7 @@
     /// Owners of the pieces that this agent is the one of its region to take from elsewhere. From them it has such a
     /// piece at once; its partners there may get it last.
     fn owners_to_follow(&self) -> HashSet<u64> {
-        let chunks = self.manifest.distinct();
+        let chunks = self.manifest.distinct_chunks();
         let fetch = self.fetch.borrow();
         let near = self.near();
         let mine = (0..chunks.len()).filter(|it| self.is_first(chunks[*it], &near));
@@ -425,7 +425,7 @@
             self.fetch.borrow_mut().add_held(key, positions.into_iter());
             return;
         }
-        let chunks = self.manifest.distinct();
+        let chunks = self.manifest.distinct_chunks();
         let near = self.near();
         let first = |idx: &usize| {
             let chunk = chunks.get(*idx);
--- a/crates/gradeloft_policy/src/version/bundle.rs
+++ b/crates/gradeloft_policy/src/version/bundle.rs
@@ -42,23 +42,23 @@
 /// Faults that the schema can't express: names that are used twice or not defined.
 pub fn check(bundle: &Bundle) -> Vec<Fault> {
     let mut faults = Vec::new();
-    unique(
+    check_unique(
         "/publishers",
         bundle.publishers.iter().map(|it| &it.name),
         &mut faults,
     );
-    unique("/classes", bundle.classes.iter(), &mut faults);
-    unique(
+    check_unique("/classes", bundle.classes.iter(), &mut faults);
+    check_unique(
         "/teams",
         bundle.teams.iter().map(|it| &it.name),
         &mut faults,
     );
-    unique(
+    check_unique(
         "/models",
         bundle.models.iter().map(|it| &it.name),
         &mut faults,
     );
-    unique(
+    check_unique(
         "/services",
         bundle.services.iter().map(|it| &it.name),
         &mut faults,
@@ -68,7 +68,7 @@
     }
     for (idx, model) in bundle.models.iter().enumerate() {
         let names = model.adapters.iter().map(|it| &it.name);
-        unique(&format!("/models/{idx}/adapters"), names, &mut faults);
+        check_unique(&format!("/models/{idx}/adapters"), names, &mut faults);
     }
     if (bundle.number == 1) != bundle.parent.is_none() {
         faults.push(Fault::new(
@@ -99,7 +99,7 @@
     }
 }
 
-fn unique<'a>(path: &str, names: impl Iterator<Item = &'a String>, faults: &mut Vec<Fault>) {
+fn check_unique<'a>(path: &str, names: impl Iterator<Item = &'a String>, faults: &mut Vec<Fault>) {
     let mut seen = HashSet::new();
     for (idx, name) in names.enumerate() {
         if !seen.insert(name) {
@@ -195,7 +195,7 @@
     }
 
     /// Whether the publisher signed it.
-    pub fn signed(&self, bundle: &SignedBundle) -> bool {
+    pub fn verifies(&self, bundle: &SignedBundle) -> bool {
         let signature = Signature::from_bytes(&bundle.signature);
         self.name == bundle.signer && self.key.verify_strict(&bundle.payload, &signature).is_ok()
     }
@@ -211,6 +211,6 @@
 }
 
 /// Digest of a parent field.
-pub fn parent(bundle: &Bundle) -> Option<Digest> {
+pub fn parent_digest(bundle: &Bundle) -> Option<Digest> {
     bundle.parent.as_ref().and_then(|it| it.parse().ok())
 }
--- a/crates/gradeloft_policy/src/version/chain.rs
+++ b/crates/gradeloft_policy/src/version/chain.rs
@@ -84,14 +84,14 @@
 
     /// Folds the next published record of the log.
     pub fn fold(&mut self, signed: &SignedBundle) -> Verdict {
-        let (bundle, digest) = match self.sound(signed) {
+        let (bundle, digest) = match self.verify(signed) {
             Ok(it) => it,
             Err(verdict) => return verdict,
         };
-        let parent = bundle::parent(&bundle);
+        let parent = bundle::parent_digest(&bundle);
         let head = self.head.as_ref().map(|it| it.digest);
         if parent != head || bundle.number != self.number() + 1 {
-            return Verdict::Refused(self.outrun(&bundle));
+            return Verdict::Refused(self.refusal(&bundle));
         }
         self.accept(bundle, digest, signed)
     }
@@ -99,17 +99,17 @@
     /// Takes over a bundle that a peer, or a checkpoint on the log, says is in force. Numbers in
     /// between may be missing, so the parent can't be checked here; whoever accepted it did.
     pub fn adopt(&mut self, signed: &SignedBundle) -> Verdict {
-        let (bundle, digest) = match self.sound(signed) {
+        let (bundle, digest) = match self.verify(signed) {
             Ok(it) => it,
             Err(verdict) => return verdict,
         };
         if bundle.number <= self.number() {
-            return Verdict::Refused(self.outrun(&bundle));
+            return Verdict::Refused(self.refusal(&bundle));
         }
         self.accept(bundle, digest, signed)
     }
 
-    fn sound(&self, signed: &SignedBundle) -> Result<(Bundle, Digest), Verdict> {
+    fn verify(&self, signed: &SignedBundle) -> Result<(Bundle, Digest), Verdict> {
         let digest = signed.digest();
         if self.head.as_ref().is_some_and(|it| it.digest == digest) {
             return Err(Verdict::Known);
@@ -129,12 +129,12 @@
         match &self.head {
             Some(head) => bundle::publishers(&head.bundle)
                 .iter()
-                .any(|it| it.signed(signed)),
-            None => self.roots.iter().any(|it| it.signed(signed)),
+                .any(|it| it.verifies(signed)),
+            None => self.roots.iter().any(|it| it.verifies(signed)),
         }
     }
 
-    fn outrun(&self, bundle: &Bundle) -> Refusal {
+    fn refusal(&self, bundle: &Bundle) -> Refusal {
         match &self.head {
             Some(head) if bundle.number <= head.bundle.number => Refusal::Outrun {
                 number: head.bundle.number,
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -67,7 +67,7 @@
         now: Time,
     ) -> Fetch {
         let items: Vec<Item> = manifest
-            .distinct()
+            .distinct_chunks()
             .into_iter()
             .map(|it| Item::new(it, held(it.digest), now))
             .collect();
--- a/crates/gradeloft_policy/src/version/manifest.rs
+++ b/crates/gradeloft_policy/src/version/manifest.rs
@@ -64,7 +64,7 @@
     }
 
     /// Each distinct chunk once, in order.
-    pub fn distinct(&self) -> Vec<Chunk> {
+    pub fn distinct_chunks(&self) -> Vec<Chunk> {
         let mut seen = HashMap::new();
         let chunks = self.chunks.iter();
         chunks
--- a/crates/gradeloft_policy/src/version/rollout.rs
+++ b/crates/gradeloft_policy/src/version/rollout.rs
@@ -2,7 +2,7 @@
 
 /// Replicas that serve one version of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Serving {
+pub struct ServedVersion {
     /// Version.
     pub version: String,
     /// Replicas that serve it, take work and are in the team's availability zones.
@@ -14,14 +14,14 @@
 /// A new version counts as in service once enough replicas serve it, and stays so: the pin never
 /// goes back to an older version while the bundle stands.
 #[derive(Clone, Debug, Default)]
-pub struct Pinner {
+pub struct VersionPinner {
     target: String,
     /// The version that served before; empty for none.
     previous: String,
     in_service: bool,
 }
 
-impl Pinner {
+impl VersionPinner {
     /// Takes over the version that the bundle names.
     pub fn retarget(&mut self, version: &str) {
         if self.target == version {
@@ -35,7 +35,7 @@
     }
 
     /// The version to pin a request to, given what serves now; `None` when none can.
-    pub fn pin(&mut self, serving: &[Serving], required: u32) -> Option<String> {
+    pub fn pin(&mut self, serving: &[ServedVersion], required: u32) -> Option<String> {
         let ready = |version: &str| {
             serving
                 .iter()
--- a/crates/gradeloft_policy/src/version/turns.rs
+++ b/crates/gradeloft_policy/src/version/turns.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether the version serves on `node`.
-    pub fn done(&self, node: &str, manifest: Digest) -> bool {
+    pub fn is_done(&self, node: &str, manifest: Digest) -> bool {
         let ask = self
             .asks
             .get(node)
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -11,7 +11,7 @@
     version::{
         bundle,
         placement::{self, Replica},
-        rollout::{Pinner, Serving},
+        rollout::{ServedVersion, VersionPinner},
     },
 };
 use gradeloft_wire::{
@@ -129,8 +129,8 @@
     assert!(!health.suspect(Time::ZERO));
 }
 
-fn serving(version: &str, replicas: u32) -> Serving {
-    Serving {
+fn serving(version: &str, replicas: u32) -> ServedVersion {
+    ServedVersion {
         version: version.to_owned(),
         replicas,
     }
@@ -138,7 +138,7 @@
 
 #[test]
 fn requests_stay_on_the_old_version_until_enough_replicas_serve_the_new_one_and_never_go_back() {
-    let mut pinner = Pinner::default();
+    let mut pinner = VersionPinner::default();
     pinner.retarget("v1");
     assert_eq!(pinner.pin(&[serving("v1", 4)], 2).as_deref(), Some("v1"));
     pinner.retarget("v2");
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_young_entry_pins_to_what_most_replicas_serve_until_the_new_version_is_ready() {
-    let mut pinner = Pinner::default();
+    let mut pinner = VersionPinner::default();
     pinner.retarget("v3");
     let older = [serving("v1", 1), serving("v2", 3)];
     assert_eq!(pinner.pin(&older, 1).as_deref(), Some("v2"));
--- a/crates/gradeloft_policy/tests/turns.rs
+++ b/crates/gradeloft_policy/tests/turns.rs
@@ -44,7 +44,7 @@
     assert_eq!(holders(&turns, 2), ["a", "c"]);
     fold(&mut turns, &[(1, said(1, "c", Step::Done))]);
     assert_eq!(holders(&turns, 1), ["a"]);
-    assert!(turns.done("c", version(1)));
+    assert!(turns.is_done("c", version(1)));
 }
 
 #[test]
@@ -92,7 +92,7 @@
         &mut turns,
         &[(0, said(1, "a", Step::Done)), (0, said(2, "b", Step::Ask))],
     );
-    assert!(turns.done("a", version(1)));
+    assert!(turns.is_done("a", version(1)));
     fold(
         &mut turns,
         &[(0, said(10, "a", Step::Ask)), (0, said(2, "b", Step::Ask))],
