--- a/crates/gradeloft_gateway/src/agent/change.rs
+++ b/crates/gradeloft_gateway/src/agent/change.rs
@@ -123,7 +123,7 @@
                 Err(Stop::Ended(reason)) => {
                     let known = orders.take().filter(|it| it.0 == version);
                     let mut ends = known.map_or(OrderBackoff::default(), |it| it.1);
-                    let pause = RETRY.max(ends.order_failed());
+                    let pause = RETRY.max(ends.record_exit());
                     orders = Some((version.clone(), ends));
                     self.not_loaded(&version, reason, pause).await;
                 }
--- a/crates/gradeloft_policy/src/version/bundle.rs
+++ b/crates/gradeloft_policy/src/version/bundle.rs
@@ -1,4 +1,4 @@
-//! Checks, canonical form and signatures of bundles.
+//! Validation, canonical form and signatures of bundles.
 
 use std::collections::HashSet;
 
@@ -11,13 +11,13 @@
     schema::{self, Fault, Schema},
 };
 
-/// The bytes that are signed and digested: JSON with fields in the schema's order.
+/// Returns the bytes that are signed and digested: JSON with fields in the schema's order.
 pub fn canonical(bundle: &Bundle) -> Vec<u8> {
-    // Plain data with text keys always serializes.
+    // Serialization of plain data with string keys can't fail.
     serde_json::to_vec(bundle).unwrap_or_default()
 }
 
-/// Reads a YAML bundle and gives every fault of it.
+/// Parses a YAML bundle, and returns all of its faults if it is invalid.
 pub fn parse(yaml: &str) -> Result<Bundle, Vec<Fault>> {
     let bundle = schema::from_yaml(Schema::Bundle, yaml)?;
     let faults = check(&bundle);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads the canonical form.
+/// Parses the canonical form of a bundle.
 pub fn parse_canonical(payload: &[u8]) -> Result<Bundle, Vec<Fault>> {
     let bundle = schema::from_json(Schema::Bundle, payload)?;
     let faults = check(&bundle);
@@ -39,7 +39,8 @@
     }
 }
 
-/// Faults that the schema can't express: names that are used twice or not defined.
+/// Returns faults that the schema can't express: duplicate and undefined names, and a missing or
+/// unexpected parent.
 pub fn check(bundle: &Bundle) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_unique(
@@ -73,7 +74,7 @@
     if (bundle.number == 1) != bundle.parent.is_none() {
         faults.push(Fault::new(
             "/parent",
-            "the first bundle has no parent, every later one has",
+            "must be absent from the first bundle and present in all later ones",
         ));
     }
     faults
@@ -82,18 +83,21 @@
 fn check_team(bundle: &Bundle, team: &Team, path: &str, faults: &mut Vec<Fault>) {
     if !bundle.classes.contains(&team.class) {
         let classes = bundle.classes.join(", ");
-        let message = format!("\"{}\" is no class of this bundle: {classes}", team.class);
+        let message = format!(
+            "\"{}\" is not a class of this bundle: {classes}",
+            team.class
+        );
         faults.push(Fault::new(format!("{path}/class"), message));
     }
     for (idx, name) in team.models.iter().enumerate() {
         if !bundle.models.iter().any(|it| it.name == *name) {
-            let message = format!("\"{name}\" is no model of this bundle");
+            let message = format!("\"{name}\" is not a model of this bundle");
             faults.push(Fault::new(format!("{path}/models/{idx}"), message));
         }
     }
     for (idx, name) in team.services.iter().enumerate() {
         if !bundle.services.iter().any(|it| it.name == *name) {
-            let message = format!("\"{name}\" is no service of this bundle");
+            let message = format!("\"{name}\" is not a service of this bundle");
             faults.push(Fault::new(format!("{path}/services/{idx}"), message));
         }
     }
@@ -105,25 +109,25 @@
         if !seen.insert(name) {
             faults.push(Fault::new(
                 format!("{path}/{idx}"),
-                format!("\"{name}\" stands twice"),
+                format!("duplicate name \"{name}\""),
             ));
         }
     }
 }
 
-/// Weights that a bundle names: a model at its version, or an adapter on it.
+/// Weights named in a bundle: a model at its version, or an adapter of it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Weights {
     /// Index of the model in the bundle.
     pub model: usize,
-    /// What requests are pinned to. The version of an adapter holds that of its model, `v1+a1`,
-    /// because both decide the answer.
+    /// Weights to which requests are pinned. The version of an adapter includes that of its model
+    /// (`v1+a1`), because the answer depends on both.
     pub pin: Pin,
     /// Digest of the manifest.
     pub manifest: Digest,
 }
 
-/// All weights of a bundle, each model before its adapters.
+/// Returns all weights of a bundle, each model before its adapters.
 pub fn weights(bundle: &Bundle) -> Vec<Weights> {
     let mut weights = Vec::new();
     for (idx, model) in bundle.models.iter().enumerate() {
@@ -152,17 +156,17 @@
 pub struct Key(SigningKey);
 
 impl Key {
-    /// A key from its 32 secret bytes.
+    /// Creates a key from its 32 secret bytes.
     pub fn new(secret: [u8; 32]) -> Key {
         Key(SigningKey::from_bytes(&secret))
     }
 
-    /// The public key, in hex.
+    /// Returns the public key, in hex.
     pub fn public(&self) -> String {
         hex::encode(self.0.verifying_key().as_bytes())
     }
 
-    /// Signs a bundle in the name of a publisher.
+    /// Signs a bundle on behalf of the publisher `signer`.
     pub fn sign(&self, bundle: &Bundle, signer: &str) -> SignedBundle {
         let payload = canonical(bundle);
         let signature = self.0.sign(&payload).to_bytes();
@@ -177,13 +181,13 @@
 /// A publisher whose bundles are trusted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Publisher {
-    /// Name.
+    /// Name of the publisher.
     pub name: String,
     key: VerifyingKey,
 }
 
 impl Publisher {
-    /// A publisher by name and public key in hex; `None` when that is no key.
+    /// Creates a publisher from its name and its public key in hex; `None` if the key is invalid.
     pub fn new(name: &str, key: &str) -> Option<Publisher> {
         let mut bytes = [0; 32];
         hex::decode_to_slice(key, &mut bytes).ok()?;
@@ -194,14 +198,14 @@
         })
     }
 
-    /// Whether the publisher signed it.
+    /// Returns whether the publisher signed the bundle.
     pub fn verifies(&self, bundle: &SignedBundle) -> bool {
         let signature = Signature::from_bytes(&bundle.signature);
         self.name == bundle.signer && self.key.verify_strict(&bundle.payload, &signature).is_ok()
     }
 }
 
-/// The publishers that a bundle names for its successor.
+/// Returns the publishers that are trusted to sign the successor of a bundle.
 pub fn publishers(bundle: &Bundle) -> Vec<Publisher> {
     bundle
         .publishers
@@ -210,7 +214,7 @@
         .collect()
 }
 
-/// Digest of a parent field.
+/// Returns the digest of a bundle's parent.
 pub fn parent_digest(bundle: &Bundle) -> Option<Digest> {
     bundle.parent.as_ref().and_then(|it| it.parse().ok())
 }
--- a/crates/gradeloft_policy/src/version/chain.rs
+++ b/crates/gradeloft_policy/src/version/chain.rs
@@ -1,9 +1,9 @@
-//! Which published bundle is in force: a pure fold over the log.
+//! Selection of the published bundle that is in force: a pure fold over the log.
 //!
-//! A bundle is accepted when a trusted publisher signed it, its parent is the head and it passes
-//! its checks. The first such record by offset wins, so every node that reads the log decides
-//! alike, and racers learn who won. Nodes also learn bundles from peers, which accepted them from
-//! the log. The number of the head only grows.
+//! A bundle is accepted if a trusted publisher signed it, its parent is the head and it is valid.
+//! The first such record by offset wins, so every node that reads the log selects the same bundle,
+//! and concurrent publishers learn whose bundle won. Nodes also adopt bundles from peers that
+//! accepted them from the log. The number of the head never decreases.
 
 use gradeloft_wire::{border::bundle::Bundle, id::Digest, record::SignedBundle};
 
@@ -12,77 +12,78 @@
 /// The bundle in force.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Content.
+    /// Content of the bundle.
     pub bundle: Bundle,
-    /// Its digest.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// The signed form, to pass on.
+    /// Signed form, for forwarding to peers.
     pub signed: SignedBundle,
 }
 
-/// What became of a bundle.
+/// Outcome of offering a bundle to the chain.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It is in force now.
+    /// The bundle is in force now.
     Accepted,
-    /// It was accepted before.
+    /// The bundle is already in force.
     Known,
-    /// It never will be in force.
+    /// The bundle is rejected.
     Refused(Refusal),
 }
 
 /// Why a bundle was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// It does not pass its checks, or is not in canonical form.
+    /// The bundle is invalid or not in canonical form.
     Faulty,
-    /// Another bundle with this number won, or a later one is in force.
+    /// Another bundle with this number was accepted first, or a later one is in force.
     Outrun {
-        /// Number in force.
+        /// Number of the bundle in force.
         number: u64,
-        /// Who signed what is in force.
+        /// Publisher that signed the bundle in force.
         signer: String,
     },
-    /// Its parent is not known to be the head.
+    /// The parent of the bundle is not the head of this chain.
     ParentUnknown,
-    /// No trusted publisher signed it.
+    /// No trusted publisher signed the bundle.
     Untrusted,
 }
 
-/// Part of the time between checkpoints over which nodes spread theirs, so that seldom two append.
+/// Fraction of the checkpoint interval over which nodes spread their checkpoints, so that two nodes
+/// rarely append one each.
 const CHECKPOINT_SPREAD: f64 = 0.1;
 
-/// Whether this node appends the head to the log again, so that the log never drops it: the last
-/// record that holds it was taken at `last_ms`, and `draw` is a number of this node from 0 to 1.
-/// Times are in milliseconds since 1970.
+/// Returns whether this node is due to append the head to the log again, which keeps it within the
+/// log's retention. `last_ms` is the time at which the log accepted the latest record of the head, and
+/// `draw` a random number of this node from 0 to 1. Times are in milliseconds since 1970.
 pub fn checkpoint_due(last_ms: u64, now_ms: u64, every_ms: u64, draw: f64) -> bool {
     let spread = every_ms as f64 * CHECKPOINT_SPREAD * (1.0 - draw);
     last_ms.saturating_add(every_ms - spread as u64) <= now_ms
 }
 
-/// The fold's state on one node.
+/// State of the fold on one node.
 pub struct Chain {
     roots: Vec<Publisher>,
     head: Option<Head>,
 }
 
 impl Chain {
-    /// A chain without a head, which trusts `roots` until a bundle names its publishers.
+    /// Creates a chain without a head, which trusts `roots` until a bundle names its publishers.
     pub fn new(roots: Vec<Publisher>) -> Chain {
         Chain { roots, head: None }
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// Number of the bundle in force; 0 for none.
+    /// Returns the number of the bundle in force; 0 if there is none.
     pub fn number(&self) -> u64 {
         self.head.as_ref().map_or(0, |it| it.bundle.number)
     }
 
-    /// Folds the next published record of the log.
+    /// Applies the next published record of the log.
     pub fn fold(&mut self, signed: &SignedBundle) -> Verdict {
         let (bundle, digest) = match self.verify(signed) {
             Ok(it) => it,
@@ -96,8 +97,8 @@
         self.accept(bundle, digest, signed)
     }
 
-    /// Takes over a bundle that a peer, or a checkpoint on the log, says is in force. Numbers in
-    /// between may be missing, so the parent can't be checked here; whoever accepted it did.
+    /// Adopts a bundle that a peer or a checkpoint on the log reports as in force. Bundles in between
+    /// may be missing, so the parent can't be checked here; the node that accepted the bundle checked it.
     pub fn adopt(&mut self, signed: &SignedBundle) -> Verdict {
         let (bundle, digest) = match self.verify(signed) {
             Ok(it) => it,
--- a/crates/gradeloft_policy/src/version/manifest.rs
+++ b/crates/gradeloft_policy/src/version/manifest.rs
@@ -1,4 +1,4 @@
-//! The chunks of a version.
+//! List of the chunks of a version.
 
 use std::collections::HashMap;
 
@@ -8,26 +8,26 @@
     schema::{self, Fault, Schema},
 };
 
-/// One chunk.
+/// A chunk of a version's weights.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Chunk {
-    /// Its content's digest.
+    /// Digest of the content.
     pub digest: Digest,
-    /// Its size, in bytes.
+    /// Size of the content, in bytes.
     pub size_bytes: u64,
 }
 
-/// The chunks of one version, in order.
+/// Ordered list of the chunks of one version.
 #[derive(Clone, Debug)]
 pub struct Manifest {
     /// Digest of the manifest itself.
     pub digest: Digest,
-    /// Chunks in order. A digest may stand more than once.
+    /// Chunks in order. The same digest may occur more than once.
     pub chunks: Vec<Chunk>,
 }
 
 impl Manifest {
-    /// Reads a manifest whose digest has been checked, and checks its sizes against
+    /// Parses a manifest whose digest has been verified, and checks its chunk sizes against
     /// `max_chunk_bytes`.
     pub fn parse(json: &[u8], max_chunk_bytes: u64) -> Result<Manifest, Vec<Fault>> {
         let parsed: border::manifest::Manifest = schema::from_json(Schema::Manifest, json)?;
@@ -35,9 +35,12 @@
         for (idx, chunk) in parsed.chunks.iter().enumerate() {
             let path = format!("/chunks/{idx}");
             let digest = chunk.digest.parse();
-            let digest = digest.map_err(|_| vec![Fault::new(path.clone(), "no digest")])?;
+            let digest = digest.map_err(|_| vec![Fault::new(path.clone(), "not a digest")])?;
             if max_chunk_bytes < chunk.size_bytes {
-                let message = format!("{} bytes are over {max_chunk_bytes}", chunk.size_bytes);
+                let message = format!(
+                    "chunk size of {} bytes exceeds the limit of {max_chunk_bytes} bytes",
+                    chunk.size_bytes
+                );
                 return Err(vec![Fault::new(path, message)]);
             }
             chunks.push(Chunk {
@@ -49,7 +52,7 @@
         if sum != parsed.size_bytes {
             return Err(vec![Fault::new(
                 "/size_bytes",
-                format!("the chunks' sum is {sum}"),
+                format!("the sizes of the chunks sum to {sum}"),
             )]);
         }
         Ok(Manifest {
@@ -58,12 +61,12 @@
         })
     }
 
-    /// Sum of the chunks' sizes, in bytes.
+    /// Returns the total size of the chunks, in bytes.
     pub fn size_bytes(&self) -> u64 {
         self.chunks.iter().map(|it| it.size_bytes).sum()
     }
 
-    /// Each distinct chunk once, in order.
+    /// Returns each distinct chunk once, in order of first occurrence.
     pub fn distinct_chunks(&self) -> Vec<Chunk> {
         let mut seen = HashMap::new();
         let chunks = self.chunks.iter();
--- a/crates/gradeloft_policy/src/version/mod.rs
+++ b/crates/gradeloft_policy/src/version/mod.rs
@@ -1,19 +1,19 @@
-//! What lives for a bundle or a version of weights.
+//! Decisions about configuration bundles and versions of weights.
 //!
-//! - [`bundle`]: checks, canonical form, signatures.
-//! - [`chain`]: which published bundle is in force.
-//! - [`manifest`]: the chunks of a version.
-//! - [`order_backoff`]: how soon a replica is ordered again to load a version.
-//! - [`outside_sources`]: when to read the weight store or the origin.
-//! - [`partners`]: which agents tell each other what they hold.
-//! - [`named_versions`]: which versions requests may begin on.
-//! - [`placement`]: which replica holds which model.
-//! - [`readers`]: which agents read a version from the origin.
-//! - [`fetch`]: which chunk to fetch next, and from where.
-//! - [`upload`]: which peer's request for a chunk is served when.
-//! - [`rollout`]: which version requests are pinned to.
-//! - [`turns`]: which replica may be taken down now.
-//! - [`waves`]: when each replica takes a new version.
+//! - [`bundle`]: validation, canonical form and signatures of bundles.
+//! - [`chain`]: selection of the published bundle that is in force.
+//! - [`manifest`]: list of the chunks of a version.
+//! - [`order_backoff`]: pause between orders to a replica to load a version.
+//! - [`outside_sources`]: access to the weight store and the origin.
+//! - [`partners`]: selection of the peers whose holdings an agent follows.
+//! - [`named_versions`]: versions on which requests may begin.
+//! - [`placement`]: assignment of models to replicas.
+//! - [`readers`]: selection of the agents that read a version from the origin.
+//! - [`fetch`]: selection of the next chunk to fetch and of its source.
+//! - [`upload`]: admission of peers' requests for chunks.
+//! - [`rollout`]: version to which requests are pinned.
+//! - [`turns`]: leases that bound how many replicas are down at once.
+//! - [`waves`]: time at which each replica loads a new version.
 
 pub mod bundle;
 pub mod chain;
--- a/crates/gradeloft_policy/src/version/order_backoff.rs
+++ b/crates/gradeloft_policy/src/version/order_backoff.rs
@@ -1,43 +1,44 @@
-//! How soon a replica is ordered again to load a version.
+//! Pause between orders to a replica to load a version.
 //!
-//! An order that has no effect is given again at once, as most reasons pass. A replica that ends each time it loads
-//! a version is ended by the version, and there is nothing that its next start would do better.
+//! An order that has no effect is repeated at once, because most causes are transient. A replica that exits each
+//! time it loads a version is crashed by the version, and a further start would not help.
 
 use std::time::Duration;
 
-/// Ends in a row, each during an order, from which on they count as the version's fault: one or two happen while
-/// replicas crash for other reasons.
-const AT_FAULT: u32 = 3;
-/// First pause from then on; doubles with each further end. A start of a replica takes some seconds, so this
-/// halves at least how often it ends for nothing.
+/// Number of consecutive exits during orders from which on they are attributed to the version: one or two also
+/// happen while replicas crash for other reasons.
+const VERSION_FAULT_EXITS: u32 = 3;
+/// First pause after [`VERSION_FAULT_EXITS`] exits; doubles with each further one. A replica takes some seconds to
+/// start, so this at least halves the rate of futile starts.
 const FIRST_PAUSE: Duration = Duration::from_secs(10);
-/// Longest pause: an operator who has mended what was wrong waits no longer.
+/// Longest pause, which bounds the wait of an operator who has fixed the cause.
 const LONGEST_PAUSE: Duration = Duration::from_secs(300);
 
-/// Ends of a replica while it was to load one version.
+/// Exits of a replica during orders to load one version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OrderBackoff {
-    ends: u32,
+    exits: u32,
 }
 
 impl OrderBackoff {
-    /// The replica ended before it had loaded what it was ordered to; gives the pause before the next order.
+    /// Records that the replica exited before it had loaded the version, and returns the pause before the
+    /// next order.
     ///
     /// ```
     /// use std::time::Duration;
     /// use gradeloft_policy::version::order_backoff::OrderBackoff;
     /// let mut backoff = OrderBackoff::default();
-    /// assert_eq!(backoff.order_failed(), Duration::ZERO);
-    /// assert_eq!(backoff.order_failed(), Duration::ZERO);
-    /// assert_eq!(backoff.order_failed(), Duration::from_secs(10));
-    /// assert_eq!(backoff.order_failed(), Duration::from_secs(20));
+    /// assert_eq!(backoff.record_exit(), Duration::ZERO);
+    /// assert_eq!(backoff.record_exit(), Duration::ZERO);
+    /// assert_eq!(backoff.record_exit(), Duration::from_secs(10));
+    /// assert_eq!(backoff.record_exit(), Duration::from_secs(20));
     /// ```
-    pub fn order_failed(&mut self) -> Duration {
-        self.ends = self.ends.saturating_add(1);
-        if self.ends < AT_FAULT {
+    pub fn record_exit(&mut self) -> Duration {
+        self.exits = self.exits.saturating_add(1);
+        if self.exits < VERSION_FAULT_EXITS {
             return Duration::ZERO;
         }
-        let doublings = (self.ends - AT_FAULT).min(8);
+        let doublings = (self.exits - VERSION_FAULT_EXITS).min(8);
         (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE)
     }
 }
--- a/crates/gradeloft_policy/src/version/partners.rs
+++ b/crates/gradeloft_policy/src/version/partners.rs
@@ -1,60 +1,63 @@
-//! Which agents an agent asks what they hold of a version.
+//! Selection of the peers whose holdings of a version an agent follows.
 
 use super::fetch::Scheme;
 use crate::rendezvous;
 
-/// Partners in the own availability zone.
-const NEAR: usize = 8;
-/// Members in the own availability zone up to which all of them are followed. Of 25 agents that followed eight each,
-/// a piece came to the last three steps after the first, and their links were used to three fifths.
-const ALL_NEAR: usize = 32;
-/// Partners elsewhere.
-const FAR: usize = 6;
-/// Children of each agent in a tree.
+/// Number of partners in the agent's own availability zone, if not all are followed.
+const MAX_NEAR: usize = 8;
+/// Number of members in the own availability zone up to which all of them are followed. If 25 agents
+/// follow eight each, a chunk reaches the last one three hops after the first, and their links are used
+/// to 60 %.
+const FOLLOW_ALL_NEAR: usize = 32;
+/// Number of partners in other availability zones.
+const MAX_FAR: usize = 6;
+/// Number of children of each agent in a tree.
 const FAN_OUT: usize = 2;
 
 /// Another agent that fetches the same version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Hash of its name.
+    /// Hash of the agent's name.
     pub node: u64,
-    /// Peer address.
+    /// Address for peers.
     pub address: String,
-    /// Whether it is in the own availability zone.
+    /// Whether the agent is in the own availability zone.
     pub near: bool,
 }
 
-/// The members to follow: few, so that messages stay bounded in a large fleet, and drawn by
-/// rendezvous, so that all partners together connect the fleet and a change of members moves few
-/// of them.
+/// Returns the members whose holdings to follow.
+///
+/// Their number is bounded, so that messages remain bounded in a large fleet. They are selected by
+/// rendezvous hashing, so that the partners of all agents connect the fleet, and a change of
+/// membership replaces few of them.
 pub fn choose(scheme: Scheme, own: u64, version: u64, members: &[Member]) -> Vec<Member> {
     match scheme {
         Scheme::Origin => Vec::new(),
-        Scheme::Owners | Scheme::Random => drawn(own, version, members),
+        Scheme::Owners | Scheme::Random => ranked_partners(own, version, members),
         Scheme::Tree => parent(own, members).into_iter().collect(),
     }
 }
 
-/// Position of an agent in the tree of all agents; 0 is the root.
+/// Returns the position of an agent in the tree of all agents; 0 is the root.
 pub fn tree_position(own: u64, nodes: &[u64]) -> usize {
     nodes.iter().filter(|it| **it < own).count()
 }
 
-fn drawn(own: u64, version: u64, members: &[Member]) -> Vec<Member> {
+fn ranked_partners(own: u64, version: u64, members: &[Member]) -> Vec<Member> {
     let key = rendezvous::score(version, own);
-    let mut drawn = Vec::with_capacity(NEAR + FAR);
-    for (near, count) in [(true, NEAR), (false, FAR)] {
+    let mut partners = Vec::with_capacity(MAX_NEAR + MAX_FAR);
+    for (near, count) in [(true, MAX_NEAR), (false, MAX_FAR)] {
         let group: Vec<&Member> = members.iter().filter(|it| it.near == near).collect();
-        let count = if near && group.len() <= ALL_NEAR {
+        let count = if near && group.len() <= FOLLOW_ALL_NEAR {
             group.len()
         } else {
             count
         };
         let nodes: Vec<u64> = group.iter().map(|it| it.node).collect();
         let ranked = rendezvous::order(key, &nodes).into_iter().take(count);
-        drawn.extend(ranked.map(|idx| group[idx].clone()));
+        partners.extend(ranked.map(|idx| group[idx].clone()));
     }
-    drawn
+    partners
 }
 
 fn parent(own: u64, members: &[Member]) -> Option<Member> {
--- a/crates/gradeloft_policy/src/version/placement.rs
+++ b/crates/gradeloft_policy/src/version/placement.rs
@@ -1,11 +1,11 @@
-//! Which replica holds which model: a deterministic function of the bundle and the replicas.
+//! Assignment of models to replicas: a deterministic function of the bundle and the replicas.
 //!
-//! Rendezvous with quotas: each model takes the free replicas that score highest for it, up to its
-//! quota. The model with the least slack between the replicas that it may use and those that it
-//! needs goes first, so that a model that may go anywhere leaves the few allowed replicas of
-//! another one free. A replica that comes or goes moves few others. Two nodes that see different
-//! replicas may place differently for a while; that is safe, because requests go only to replicas
-//! that report what they serve.
+//! Placement is rendezvous hashing with quotas: each model gets the free replicas that score highest for
+//! it, up to its quota. Models are placed in ascending order of slack, the difference between the
+//! replicas that a model may use and those that it needs, so that an unconstrained model doesn't occupy
+//! the few replicas that another one is allowed to use. A replica that joins or leaves moves few
+//! others. Instances with different views of the replicas may place models differently for a while;
+//! that is safe, because requests go only to replicas that report the version they serve.
 
 use std::cmp::Reverse;
 
@@ -13,26 +13,26 @@
 
 use crate::rendezvous;
 
-/// A replica that models can be placed on.
+/// A replica on which models can be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Replica<'a> {
-    /// Instance.
+    /// Name of the instance.
     pub node: &'a str,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: &'a str,
 }
 
-/// Index of the model in the bundle for each replica, in the replicas' order; `None` for those
-/// that stay free.
+/// Returns the index in the bundle of each replica's model, in the order of `replicas`; `None` for
+/// replicas that remain free.
 pub fn place(bundle: &Bundle, replicas: &[Replica<'_>]) -> Vec<Option<usize>> {
     let nodes: Vec<u64> = replicas
         .iter()
         .map(|it| rendezvous::hash(it.node.as_bytes()))
         .collect();
-    let mut order: Vec<usize> = (0..bundle.models.len()).collect();
-    order.sort_by_cached_key(|&it| (slack(&bundle.models[it], replicas), it));
+    let mut model_order: Vec<usize> = (0..bundle.models.len()).collect();
+    model_order.sort_by_cached_key(|&it| (slack(&bundle.models[it], replicas), it));
     let mut placed = vec![None; replicas.len()];
-    for model_idx in order {
+    for model_idx in model_order {
         let model = &bundle.models[model_idx];
         let key = rendezvous::hash(model.name.as_bytes());
         let free = (0..replicas.len())
--- a/crates/gradeloft_policy/src/version/rollout.rs
+++ b/crates/gradeloft_policy/src/version/rollout.rs
@@ -1,28 +1,28 @@
-//! Which version requests are pinned to while a rollout runs.
+//! Version to which requests are pinned during a rollout.
 
-/// Replicas that serve one version of a model.
+/// Number of replicas that serve one version of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServedVersion {
-    /// Version.
+    /// Version of the model.
     pub version: String,
-    /// Replicas that serve it, take work and are in the team's availability zones.
+    /// Replicas that serve the version, accept work and are in the team's availability zones.
     pub replicas: u32,
 }
 
-/// Which version of one model an entry pins new requests to.
+/// Selects the version of one model to which an entry pins new requests.
 ///
-/// A new version counts as in service once enough replicas serve it, and stays so: the pin never
-/// goes back to an older version while the bundle stands.
+/// A new version is in service once enough replicas serve it, and remains so: requests are never
+/// pinned to an older version again while the bundle is in force.
 #[derive(Clone, Debug, Default)]
 pub struct VersionPinner {
     target: String,
-    /// The version that served before; empty for none.
+    /// Version that was in service before; empty if there was none.
     previous: String,
     in_service: bool,
 }
 
 impl VersionPinner {
-    /// Takes over the version that the bundle names.
+    /// Sets the version that the bundle in force names.
     pub fn retarget(&mut self, version: &str) {
         if self.target == version {
             return;
@@ -34,7 +34,8 @@
         self.in_service = false;
     }
 
-    /// The version to pin a request to, given what serves now; `None` when none can.
+    /// Returns the version to pin a request to, given the versions that are served now; `None` if there
+    /// is none. The target is in service once `required` replicas serve it.
     pub fn pin(&mut self, serving: &[ServedVersion], required: u32) -> Option<String> {
         let ready = |version: &str| {
             serving
@@ -49,7 +50,7 @@
         if !self.previous.is_empty() && 0 < ready(&self.previous) {
             return Some(self.previous.clone());
         }
-        // This entry is younger than the rollout: the version that most replicas still serve.
+        // This entry started during the rollout: use the older version that most replicas serve.
         let older = serving
             .iter()
             .filter(|it| it.version != self.target && 0 < it.replicas);
--- a/crates/gradeloft_policy/src/version/turns.rs
+++ b/crates/gradeloft_policy/src/version/turns.rs
@@ -1,10 +1,10 @@
-//! Which replicas may be taken down, or switched to a new version, now.
+//! Leases that bound how many replicas are taken down, or switched to a new version, at once.
 //!
-//! Replicas ask for turns on the platform's log, one stream for each model, and every agent folds the
-//! stream alike. A turn is a lease: an asker holds one of the bundle's places while no more than
-//! `bound - 1` asks before its own are open. It renews its ask while it works, so a dead holder's
-//! place falls free. A replica on which the version failed keeps its place for good: a bad version
-//! takes down as many replicas as the bound allows, and no more.
+//! Agents append requests for turns to the platform's log, one stream for each model, and every agent
+//! folds the stream to the same state. A turn is a lease: a replica holds one while fewer than `bound`
+//! requests before its own are open. Its agent renews the request while it works, so the turn of a dead
+//! agent expires. A replica on which the version failed keeps its turn: a bad version takes down
+//! at most as many replicas as the bound allows.
 
 use std::collections::BTreeMap;
 
@@ -13,41 +13,43 @@
     record::{Step, Turn},
 };
 
-/// How long an ask stands without being renewed, in milliseconds of the log's clock.
+/// Time after which a request that is not renewed expires, in milliseconds of the log's clock.
 pub const LEASE_MS: u64 = 30_000;
-/// How often a holder renews its ask, in milliseconds.
+/// Interval at which a holder renews its request, in milliseconds.
 pub const RENEW_MS: u64 = 8_000;
 
 #[derive(Clone, Debug)]
-struct Ask {
-    /// Offset of the first ask; decides the order.
+struct Request {
+    /// Offset of the first record of this request; determines its position in the queue.
     offset: u64,
-    /// The log's time of the latest ask.
+    /// Time of the latest renewal by the log's clock, in milliseconds.
     renewed_ms: u64,
     step: Step,
 }
 
-/// The turns of one model or adapter, for the newest version that anyone asked for.
+/// Turns of one model or adapter, for the newest version that was requested.
 #[derive(Clone, Debug, Default)]
 pub struct Turns {
-    /// The version, and the highest number of a bundle that was said with it. Asks for a version of
-    /// an older bundle are forgotten.
+    /// Manifest of the version.
+    ///
+    /// Requests for a version of an older bundle are ignored.
     manifest: Option<Digest>,
+    /// Highest bundle number that was recorded with the version.
     number: u64,
-    asks: BTreeMap<String, Ask>,
-    /// Offset after the last record folded.
+    requests: BTreeMap<String, Request>,
+    /// Offset after the last record that was folded.
     next: u64,
-    /// Latest time seen on the log.
+    /// Latest record time on the log, in milliseconds.
     now_ms: u64,
 }
 
 impl Turns {
-    /// Offset to read the stream from.
+    /// Returns the offset from which to continue reading the stream.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Folds the record at `offset`, which the log took at `time_ms`.
+    /// Applies the record at `offset`, which the log accepted at `time_ms`.
     pub fn fold(&mut self, offset: u64, time_ms: u64, turn: &Turn) {
         if offset < self.next {
             return;
@@ -58,68 +60,68 @@
                 return;
             }
             self.manifest = Some(turn.manifest);
-            self.asks.clear();
+            self.requests.clear();
         }
         self.number = self.number.max(turn.number);
-        let expired = |it: &Ask| it.step == Step::Ask && it.renewed_ms + LEASE_MS < time_ms;
-        match self.asks.get_mut(&turn.node) {
-            // An ask that lapsed goes to the end of the queue.
-            Some(ask) if !expired(ask) => {
-                ask.renewed_ms = time_ms;
-                ask.step = turn.step;
+        let expired = |it: &Request| it.step == Step::Ask && it.renewed_ms + LEASE_MS < time_ms;
+        match self.requests.get_mut(&turn.node) {
+            // An expired request moves to the end of the queue.
+            Some(request) if !expired(request) => {
+                request.renewed_ms = time_ms;
+                request.step = turn.step;
             }
             _ => {
-                let ask = Ask {
+                let request = Request {
                     offset,
                     renewed_ms: time_ms,
                     step: turn.step,
                 };
-                self.asks.insert(turn.node.clone(), ask);
+                self.requests.insert(turn.node.clone(), request);
             }
         }
     }
 
-    /// Passes over an offset that holds nothing to fold.
+    /// Skips an offset whose record is not a turn.
     pub fn skip(&mut self, offset: u64, time_ms: u64) {
         self.next = self.next.max(offset + 1);
         self.now_ms = self.now_ms.max(time_ms);
     }
 
-    /// Whether `node` holds a turn for a version under a bound.
+    /// Returns whether `node` holds one of `bound` turns for a version.
     pub fn holds(&self, node: &str, manifest: Digest, bound: u32) -> bool {
         if self.manifest != Some(manifest) {
             return false;
         }
-        let Some(own) = self.asks.get(node).filter(|it| self.open(it)) else {
+        let Some(own) = self.requests.get(node).filter(|it| self.is_open(it)) else {
             return false;
         };
         let before = self
-            .asks
+            .requests
             .values()
-            .filter(|it| self.open(it) && it.offset < own.offset);
+            .filter(|it| self.is_open(it) && it.offset < own.offset);
         before.count() < bound as usize
     }
 
-    /// Whether the version serves on `node`.
+    /// Returns whether `node` serves the version.
     pub fn is_done(&self, node: &str, manifest: Digest) -> bool {
-        let ask = self
-            .asks
+        let request = self
+            .requests
             .get(node)
             .filter(|_| self.manifest == Some(manifest));
-        ask.is_some_and(|it| it.step == Step::Done)
+        request.is_some_and(|it| it.step == Step::Done)
     }
 
-    fn open(&self, ask: &Ask) -> bool {
-        match ask.step {
-            Step::Ask => self.now_ms <= ask.renewed_ms + LEASE_MS,
+    fn is_open(&self, request: &Request) -> bool {
+        match request.step {
+            Step::Ask => self.now_ms <= request.renewed_ms + LEASE_MS,
             Step::Done => false,
             Step::Failed => true,
         }
     }
 }
 
-/// Whether replicas in `zone` may switch: the version serves on all that are placed in the
-/// availability zones before it. Zones that are not in the order come last, together.
+/// Returns whether replicas in `zone` may switch: all replicas placed in the availability zones before
+/// it in `order` serve the version. Zones that are not in `order` come last, together.
 pub fn zone_open<'a>(
     order: &[String],
     zone: &str,
--- a/crates/gradeloft_policy/src/version/upload.rs
+++ b/crates/gradeloft_policy/src/version/upload.rs
@@ -1,14 +1,14 @@
-//! Which peer's request for a chunk is served when.
+//! Admission of peers' requests for chunks.
 
 use std::collections::VecDeque;
 
-/// Requests that wait for each slot before peers are sent elsewhere.
+/// Maximum number of requests that wait for each slot; further ones are sent to other peers.
 const WAITING_PER_SLOT: usize = 2;
 
-/// Upload slots of one agent: a bounded number of chunks go out at once, a bounded number wait.
+/// Upload slots of one agent, with a bounded queue of requests that wait for one.
 ///
 /// ```
-/// use gradeloft_policy::version::upload::{UploadSlots, Admission};
+/// use gradeloft_policy::version::upload::{Admission, UploadSlots};
 /// let mut slots = UploadSlots::new(1);
 /// assert_eq!(slots.request("a"), Admission::Granted);
 /// assert_eq!(slots.request("b"), Admission::Queued);
@@ -16,24 +16,24 @@
 /// ```
 pub struct UploadSlots<T> {
     free: usize,
-    /// First come, first served; at most [`WAITING_PER_SLOT`] for each slot.
+    /// FIFO queue of at most [`WAITING_PER_SLOT`] requests for each slot.
     waiting: VecDeque<T>,
     max_waiting: usize,
 }
 
-/// What becomes of a request for a chunk.
+/// Outcome of a request for an upload slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Too many wait: ask another peer.
+    /// The queue is full: the peer has to ask another one.
     Busy,
-    /// It waits; [`UploadSlots::release`] gives it back when its turn comes.
+    /// The request waits; [`UploadSlots::release`] returns it when a slot is free.
     Queued,
-    /// It has a slot.
+    /// The request has a slot.
     Granted,
 }
 
 impl<T> UploadSlots<T> {
-    /// So many slots.
+    /// Creates an empty queue for `slots` slots.
     pub fn new(slots: usize) -> UploadSlots<T> {
         UploadSlots {
             free: slots,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A peer asks for a chunk.
+    /// Requests a slot for the upload of a chunk to a peer.
     pub fn request(&mut self, request: T) -> Admission {
         if 0 < self.free {
             self.free -= 1;
@@ -55,7 +55,7 @@
         Admission::Queued
     }
 
-    /// A slot is free again; gives the request that takes it over.
+    /// Releases a slot, and returns the queued request that takes it over.
     pub fn release(&mut self) -> Option<T> {
         let next = self.waiting.pop_front();
         if next.is_none() {
