--- a/crates/gradeloft_policy/src/version/named_versions.rs
+++ b/crates/gradeloft_policy/src/version/named_versions.rs
@@ -1,81 +1,82 @@
-//! Which versions of a model's weights requests may begin on.
+//! Versions of a model's weights on which requests may begin.
 //!
-//! The operator may name a version before the one before it is everywhere. Each is due at its own
-//! time, so the oldest version allowed is the newest of those that are due. A version is preferred
-//! some time before it is due: requests go to replicas that hold it if any of them has room, so that
-//! few requests wait at a replica that will soon be too old.
+//! The operator may name a version while its predecessor is still being rolled out. Each version is due at its
+//! own time, so the oldest allowed version is the newest one that is due. A version is preferred for
+//! some time before it is due: requests go to replicas that hold it if any of them has capacity, so that
+//! few requests wait at a replica whose version will soon be too old.
 
 use crate::clock::Time;
 
 /// A version that is not due yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Coming {
+struct UpcomingVersion {
     version: u64,
     times: VersionTimes,
 }
 
-/// From when on a version counts how much.
+/// Times at which a version becomes preferred and then required.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VersionTimes {
-    /// Requests go to replicas that hold it if one has room.
+    /// Requests go to replicas that hold the version from then on, if one has capacity.
     pub preferred: Time,
-    /// Requests go to no others. Not before `preferred`.
+    /// Requests go only to replicas that hold the version or a newer one. Not before `preferred`.
     pub due: Time,
-    /// Requests that have not begun at others are taken back. Not before `due`.
+    /// Requests that have not begun at other replicas are withdrawn. Not before `due`.
     pub expired: Time,
 }
 
-/// Versions of one model that the operator named.
+/// Versions of one model that the operator has named.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct NamedVersions {
-    /// Versions that are not due yet, lowest first.
-    coming: Vec<Coming>,
-    /// Newest version that is due; 0 for none.
+    /// Versions that are not due yet, in ascending order.
+    upcoming: Vec<UpcomingVersion>,
+    /// Newest version that is due; 0 if there is none.
     due: u64,
 }
 
 impl NamedVersions {
-    /// A version is named; gives whether it is newer than all before.
+    /// Adds a version, and returns whether it is newer than all others; otherwise it is ignored.
     pub fn add(&mut self, version: u64, times: VersionTimes) -> bool {
         if version <= self.newest() {
             return false;
         }
-        self.coming.push(Coming { version, times });
+        self.upcoming.push(UpcomingVersion { version, times });
         true
     }
 
-    /// Until when a request that was sent to a replica with `held` may wait there to begin; `None` for
-    /// any time.
+    /// Returns the time by which a request sent to a replica that holds the version `held` must begin there;
+    /// `None` if there is no limit.
     pub fn start_deadline(&self, held: u64) -> Option<Time> {
-        let newer = self.coming.iter().filter(|it| held < it.version);
+        let newer = self.upcoming.iter().filter(|it| held < it.version);
         newer.map(|it| it.times.expired).min()
     }
 
-    /// Newest version named; 0 for none.
+    /// Returns the newest version; 0 if there is none.
     pub fn newest(&self) -> u64 {
-        self.coming.last().map_or(self.due, |it| it.version)
+        self.upcoming.last().map_or(self.due, |it| it.version)
     }
 
-    /// Oldest version on which a request may begin now; `None` for any.
+    /// Returns the oldest version on which a request may begin now; `None` if any version is allowed.
     pub fn oldest_allowed(&self, now: Time) -> Option<u64> {
         self.newest_of(|it| it.times.due <= now)
     }
 
-    /// Oldest version on which a request begins now if a replica with it has room; `None` for any.
+    /// Returns the oldest version that is preferred now, if a replica that holds it has capacity; `None` if
+    /// none is preferred.
     pub fn oldest_preferred(&self, now: Time) -> Option<u64> {
         self.newest_of(|it| it.times.preferred <= now)
     }
 
-    /// Forgets which versions were due before the newest of them.
+    /// Discards versions that are due and superseded by a newer one that is due.
     pub fn discard_superseded(&mut self, now: Time) {
         self.due = self.oldest_allowed(now).unwrap_or_default();
         let due = self.due;
-        self.coming.retain(|it| due < it.version);
+        self.upcoming.retain(|it| due < it.version);
     }
 
-    fn newest_of(&self, counts: impl Fn(&Coming) -> bool) -> Option<u64> {
-        let counted = self.coming.iter().filter(|it| counts(it));
-        let newest = counted.map(|it| it.version).fold(self.due, u64::max);
+    fn newest_of(&self, applies: impl Fn(&UpcomingVersion) -> bool) -> Option<u64> {
+        let applicable = self.upcoming.iter().filter(|it| applies(it));
+        let newest = applicable.map(|it| it.version).fold(self.due, u64::max);
         (0 < newest).then_some(newest)
     }
 }
--- a/crates/gradeloft_policy/src/version/outside_sources.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -1,77 +1,79 @@
-//! The weight store and the origin as one agent sees them: when to read which.
+//! Access of one agent to the weight store and the origin: when to read from which.
 
 use super::fetch::{Failure, Upstream};
 use crate::clock::Time;
 
-/// First wait after a failure, in milliseconds.
-const FIRST_BACKOFF_MS: u64 = 200;
-/// Longest wait after a failure, in milliseconds: an origin that comes back is read soon, and each
-/// chunk has only one agent that asks.
-const LONGEST_BACKOFF_MS: u64 = 800;
-/// Pause between asks of the origin beyond an agent's part, in milliseconds.
-const SLOW_MS: u64 = 5_000;
-/// How long a store that lacked a chunk is passed over, in milliseconds.
-const MISSING_WAIT_MS: u64 = 10_000;
+/// Initial backoff after a failure, in milliseconds.
+const INITIAL_BACKOFF_MS: u64 = 200;
+/// Maximum backoff after a failure, in milliseconds. It is short, so that an origin that recovers is read soon;
+/// the load stays low because only one agent requests each chunk.
+const MAX_BACKOFF_MS: u64 = 800;
+/// Interval between requests to the origin beyond an agent's share, in milliseconds.
+const BEYOND_SHARE_INTERVAL_MS: u64 = 5_000;
+/// Time for which a store that lacked a chunk is skipped, in milliseconds.
+const NOT_HELD_WAIT_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct SourceBackoff {
     closed_until: Time,
-    /// Failures since the last answer.
+    /// Consecutive failures since the last success.
     failures: u32,
 }
 
 impl SourceBackoff {
     fn failed(&mut self, failure: Failure, now: Time) {
         let wait_ms = match failure {
-            Failure::Limited(ms) => ms.max(FIRST_BACKOFF_MS),
-            Failure::NotHeld => MISSING_WAIT_MS,
+            Failure::Limited(ms) => ms.max(INITIAL_BACKOFF_MS),
+            Failure::NotHeld => NOT_HELD_WAIT_MS,
             _ => self.backoff_ms(),
         };
         self.closed_until = now.after_ms(wait_ms);
     }
 
     fn backoff_ms(&mut self) -> u64 {
-        let wait_ms = (FIRST_BACKOFF_MS << self.failures.min(6)).min(LONGEST_BACKOFF_MS);
+        let wait_ms = (INITIAL_BACKOFF_MS << self.failures.min(6)).min(MAX_BACKOFF_MS);
         self.failures += 1;
         wait_ms
     }
 }
 
-/// Sources outside the fleet. The store goes first, because its bytes cost less.
+/// Sources of chunks outside the fleet. The store is preferred, because its bytes cost less.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutsideSources {
     origin: SourceBackoff,
     store: SourceBackoff,
-    /// Chunks that the origin sent so far, spoilt ones included. Asks that it did not answer cost it
-    /// nothing.
+    /// Chunks sent by the origin so far, including corrupt ones. Unanswered requests don't count, because
+    /// they cost the origin nothing.
     origin_sent: u64,
-    /// When the origin was asked last.
+    /// Time of the latest request to the origin.
     origin_requested: Time,
 }
 
 impl OutsideSources {
-    /// Where to read now, if anywhere. After `part` chunks the origin is asked slowly only, so that a
-    /// chunk that nobody else reads is late, and not missing for ever.
-    pub fn source(&self, part: u64, now: Time) -> Option<Upstream> {
+    /// Returns the source to read from now, if there is one. After `share` chunks, requests to the origin are
+    /// spaced by [`BEYOND_SHARE_INTERVAL_MS`], so that a chunk that no other agent reads is delayed rather than missing
+    /// forever.
+    pub fn source(&self, share: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
             return Some(Upstream::Store);
         }
-        let within = self.origin_sent < part || self.origin_requested.after_ms(SLOW_MS) <= now;
-        (self.origin.closed_until <= now && within).then_some(Upstream::Origin)
+        let allowed = self.origin_sent < share
+            || self.origin_requested.after_ms(BEYOND_SHARE_INTERVAL_MS) <= now;
+        (self.origin.closed_until <= now && allowed).then_some(Upstream::Origin)
     }
 
-    /// The origin is asked for a chunk.
+    /// Records a request to the origin.
     pub fn record_origin_request(&mut self, now: Time) {
         self.origin_requested = now;
     }
 
-    /// A source answered well.
+    /// Records that a source delivered a valid chunk.
     pub fn answered(&mut self, from: Upstream) {
         *self.backoff(from) = SourceBackoff::default();
         self.origin_sent += u64::from(from == Upstream::Origin);
     }
 
-    /// A source failed.
+    /// Records that a request to a source failed.
     pub fn failed(&mut self, from: Upstream, failure: Failure, now: Time) {
         let sent = matches!(failure, Failure::Corrupt | Failure::Stalled);
         self.origin_sent += u64::from(from == Upstream::Origin && sent);
