--- a/crates/gradeloft_policy/src/version/fetch/chunk_request.rs
+++ b/crates/gradeloft_policy/src/version/fetch/chunk_request.rs
@@ -1,60 +1,60 @@
-//! An order to ask for a chunk, and what may come of it.
+//! Requests for chunks, and their outcomes.
 
 use super::SourceKey;
 use crate::version::manifest::Chunk;
 
-/// Where a chunk is asked for.
+/// Instance or service to which a request for a chunk goes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Upstream {
     /// The origin.
     Origin,
-    /// A better-ranked owner, by the hash of its name, which did not say that it has the chunk.
+    /// A better-ranked owner, by the hash of its name, that has not reported that it holds the chunk.
     Owner(u64),
-    /// A peer that said it has the chunk.
+    /// A peer that has reported that it holds the chunk.
     Source(SourceKey),
     /// The weight store.
     Store,
 }
 
-/// An order to ask for a chunk.
+/// Request for a chunk that the caller has to send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ChunkRequest {
-    /// Position among the manifest's distinct chunks.
+    /// Position of the chunk among the manifest's distinct chunks.
     pub idx: usize,
-    /// The chunk.
+    /// Requested chunk.
     pub chunk: Chunk,
-    /// Whom to ask.
+    /// Upstream to which the request goes.
     pub from: Upstream,
 }
 
-/// How an ask failed.
+/// Reason why a request for a chunk failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No slot free now.
+    /// The upstream has no free slot.
     Busy,
-    /// The content does not have the digest.
+    /// The content does not match the digest.
     Corrupt,
-    /// The connection failed, or can't be made.
+    /// The connection failed or can't be established.
     Gone,
-    /// Asked to come back after so many milliseconds.
+    /// The upstream limits the rate of requests; a retry is allowed after this many milliseconds.
     Limited(u64),
-    /// It does not hold the chunk.
+    /// The upstream does not hold the chunk.
     NotHeld,
-    /// It is the owner and is about to read the chunk.
+    /// The owner has not read the chunk yet, but is going to.
     Pending,
-    /// Nothing came for too long.
+    /// The request timed out.
     Stalled,
 }
 
-/// Chunks by where they came from.
+/// Numbers of chunks by upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ChunkCounts {
-    /// Chunks whose content did not have its digest.
+    /// Chunks whose content did not match the digest.
     pub corrupt: u64,
-    /// From the origin.
+    /// Chunks from the origin.
     pub origin: u64,
-    /// From peers.
+    /// Chunks from peers.
     pub peers: u64,
-    /// From the weight store.
+    /// Chunks from the weight store.
     pub store: u64,
 }
--- a/crates/gradeloft_policy/src/version/fetch/hedge.rs
+++ b/crates/gradeloft_policy/src/version/fetch/hedge.rs
@@ -1,52 +1,55 @@
-//! When a chunk is read although a better-ranked owner is about to.
+//! Hedged reads: when an agent reads a chunk although a better-ranked owner is reading it.
 //!
-//! An owner behind a narrow link says that it reads its chunks, and does so, slowly. Everybody waits for
-//! them then. So once nearly all of a version is somewhere in the fleet, and what is left has not come in the time that
-//! it takes by the pace of the rest, those next in rank read it as well, one after the other: the origin has little else
-//! to do by then, and what is left is little. Sooner they would only keep the origin from sending it to its owners:
-//! with a fixed wait it sent 1.5 copies, and the last chunk 0.2 s later than it could.
+//! An owner behind a slow link answers that its chunks are pending, and delays the whole fleet. So once nearly all of a
+//! version is in the fleet, and the remaining chunks have not arrived in the time expected from the pace of the others,
+//! the next agents in rank read them as well, one after the other. By then the origin has little other load, and few
+//! chunks remain. Earlier hedges would only compete with the owners at the origin: with a fixed wait it sends 1.5 copies
+//! of the version, and the last chunk 0.2 s later than possible.
 
 use crate::clock::Time;
 
-/// Part of a version's chunks that may be left for it to count as nearly there: at most so much of it is
-/// read once more, for each rank that reads it. Behind two links narrowed to a twentieth the first of
-/// twenty replicas had a version 3.8 s after its naming in place of 7.2 s.
-const LEFT: f64 = 0.25;
-/// Wait for each rank, in milliseconds: several times that of a chunk from an origin with little to do.
-const RANK_MS: u64 = 150;
-/// Time for what is left, as a multiple of what it takes by the pace of the rest.
+/// Fraction of a version's chunks that may be missing from the fleet when hedging starts. It bounds the chunks that
+/// each rank reads again. If two links have a twentieth of their bandwidth, hedging lets the first of twenty replicas have
+/// a version 3.8 s instead of 7.2 s after it is named.
+const MAX_MISSING: f64 = 0.25;
+/// Additional wait for each rank, in milliseconds: several times the time of a chunk from an origin with little load.
+const WAIT_PER_RANK_MS: u64 = 150;
+/// Time for the remaining chunks, as a multiple of the time expected from the pace of the others.
 const SLACK: f64 = 1.25;
 
-/// Whether a version is nearly there, and since when.
+/// State of hedging in one fetch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hedge {
     begun: Time,
-    /// When it was nearly there, and how long the rest may take, in milliseconds.
-    nearly: Option<(Time, u64)>,
+    /// Time at which nearly all chunks were in the fleet, and the time that the rest may take, in milliseconds.
+    nearly_complete: Option<(Time, u64)>,
 }
 
 impl Hedge {
-    /// For a fetch that begins now.
+    /// Creates the state for a fetch that begins at `now`.
     pub(super) fn new(now: Time) -> Hedge {
         Hedge {
             begun: now,
-            nearly: None,
+            nearly_complete: None,
         }
     }
 
-    /// Takes in that of `all` chunks `left` are nowhere in the fleet.
-    pub(super) fn learn(&mut self, left: usize, all: usize, now: Time) {
-        if left as f64 <= LEFT * all as f64 {
-            let took_ms = now.seconds_since(self.begun) * 1000.0;
-            let rest_ms = took_ms * left as f64 / (all - left).max(1) as f64;
-            self.nearly.get_or_insert((now, (rest_ms * SLACK) as u64));
+    /// Records that `missing` of `all` chunks are nowhere in the fleet.
+    pub(super) fn record_missing(&mut self, missing: usize, all: usize, now: Time) {
+        if missing as f64 <= MAX_MISSING * all as f64 {
+            let elapsed_ms = now.seconds_since(self.begun) * 1000.0;
+            let rest_ms = elapsed_ms * missing as f64 / (all - missing).max(1) as f64;
+            self.nearly_complete
+                .get_or_insert((now, (rest_ms * SLACK) as u64));
         }
     }
 
-    /// Whether an agent of a rank after the owner reads what is left.
-    pub(super) fn reads(self, rank: usize, now: Time) -> bool {
-        let wait_ms = |rest_ms: u64| rest_ms.max(RANK_MS) + RANK_MS * rank.saturating_sub(1) as u64;
-        let nearly = self.nearly;
-        nearly.is_some_and(|(since, rest_ms)| since.after_ms(wait_ms(rest_ms)) <= now)
+    /// Returns whether an agent at `rank` reads the remaining chunks as well.
+    pub(super) fn is_due(self, rank: usize, now: Time) -> bool {
+        let wait_ms = |rest_ms: u64| {
+            rest_ms.max(WAIT_PER_RANK_MS) + WAIT_PER_RANK_MS * rank.saturating_sub(1) as u64
+        };
+        let nearly_complete = self.nearly_complete;
+        nearly_complete.is_some_and(|(since, rest_ms)| since.after_ms(wait_ms(rest_ms)) <= now)
     }
 }
--- a/crates/gradeloft_policy/src/version/fetch/item.rs
+++ b/crates/gradeloft_policy/src/version/fetch/item.rs
@@ -1,40 +1,40 @@
-//! One chunk of a fetch, and how it stands with it.
+//! State of one chunk in a fetch.
 
 use std::collections::HashSet;
 
 use super::Upstream;
 use crate::{clock::Time, version::manifest::Chunk};
 
-/// How it stands with a chunk.
+/// Progress of fetching a chunk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum State {
-    Asked { from: Upstream, at: Time },
+    Requested { from: Upstream, at: Time },
     Held,
     Missing { not_before: Time },
 }
 
-/// A chunk of the version.
+/// Chunk of the version, and its state.
 pub(super) struct Item {
     pub(super) chunk: Chunk,
     pub(super) state: State,
-    /// Sources in good standing that hold it.
+    /// Number of reliable sources that hold the chunk.
     pub(super) holders: u32,
-    /// Whether any peer was known to hold it, in good standing or not.
+    /// Whether any peer, reliable or not, has been known to hold the chunk.
     pub(super) seen: bool,
-    /// The member that reads it first.
-    pub(super) first: Option<u64>,
-    /// How many members come before this one for the chunk.
+    /// Member that reads the chunk first.
+    pub(super) first_owner: Option<u64>,
+    /// Number of members that rank before this agent for the chunk.
     pub(super) rank: usize,
-    /// When its owners were last given time.
+    /// Start of the current wait for the chunk's owners.
     pub(super) waiting_since: Time,
-    /// Better-ranked owners that turned out not to be reading it.
+    /// Better-ranked owners that are known not to be reading the chunk.
     pub(super) absent: HashSet<u64>,
-    /// How often the present owner said that it is about to.
-    pub(super) announced: u64,
+    /// Number of times that the current owner has answered that the chunk is pending.
+    pub(super) announcements: u64,
 }
 
 impl Item {
-    /// A chunk at the begin of a fetch.
+    /// Creates the state of a chunk at the beginning of a fetch.
     pub(super) fn new(chunk: Chunk, held: bool, now: Time) -> Item {
         let state = if held {
             State::Held
@@ -46,28 +46,28 @@
             state,
             holders: 0,
             seen: held,
-            first: None,
+            first_owner: None,
             rank: 0,
             waiting_since: now,
             absent: HashSet::new(),
-            announced: 0,
+            announcements: 0,
         }
     }
 
-    /// Where it is asked for now.
-    pub(super) fn asked_of(&self) -> Option<Upstream> {
+    /// Returns the upstream from which the chunk is currently requested.
+    pub(super) fn requested_from(&self) -> Option<Upstream> {
         match self.state {
-            State::Asked { from, .. } => Some(from),
+            State::Requested { from, .. } => Some(from),
             _ => None,
         }
     }
 
-    /// Whether it can be asked for now.
-    pub(super) fn askable(&self, now: Time) -> bool {
+    /// Returns whether the chunk can be requested now.
+    pub(super) fn is_requestable(&self, now: Time) -> bool {
         matches!(self.state, State::Missing { not_before } if not_before <= now)
     }
 
-    /// How many owners that are not known to be absent come before this agent.
+    /// Returns the number of owners before this agent that are not known to be absent.
     pub(super) fn effective_rank(&self) -> usize {
         self.rank.saturating_sub(self.absent.len())
     }
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -1,9 +1,9 @@
-//! Which chunk of a version to fetch next, and from where.
+//! Selection of the next chunk of a version to fetch, and of its upstream.
 //!
-//! Each chunk has its agents ranked by rendezvous. The first of them reads it from the weight
-//! store or the origin; all others take it from peers that have it, the rarest chunk first. An
-//! agent of a lower rank reads the origin only after the better ones, asked directly, turned out
-//! to be gone. So changes of membership, or views of it that differ, cost few extra copies.
+//! The agents are ranked for each chunk by rendezvous hashing. The first one, the chunk's owner, reads it from the
+//! weight store or the origin; all others fetch it from peers that hold it, the rarest chunk first. An
+//! agent of a lower rank reads from the origin only after it has queried the better ones directly and they are
+//! unavailable. So changes of membership, or different views of it, cost few extra copies.
 
 mod chunk_request;
 mod hedge;
@@ -27,38 +27,41 @@
 use super::{manifest::Manifest, outside_sources::OutsideSources, partners};
 use crate::{clock::Time, rendezvous};
 
-/// Wait before a peer that had no free slot is asked again, in milliseconds.
+/// Wait before a peer that had no free slot is used again, in milliseconds.
 const BUSY_WAIT_MS: u64 = 40;
-/// Part of the time that an owner is given before its silence is looked into within which it answers a
-/// question, as a multiple.
-const OWNER_PATIENCE: u64 = 2;
-/// How many times longer the objective `origin_bytes` waits before it suspects an owner.
-const PATIENCE: u64 = 2;
+/// Maximum timeout of a query to an owner, as a multiple of the takeover wait.
+const OWNER_TIMEOUT_FACTOR: u64 = 2;
+/// Factor by which the objective `origin_bytes` extends the wait before an owner is queried.
+const ORIGIN_BYTES_WAIT_FACTOR: u64 = 2;
 
 new_key_type! {
-    /// Names a peer that tells us what it holds.
+    /// Key of a peer that reports which chunks it holds.
     pub struct SourceKey;
 }
 
-/// The fetch of one version by one agent.
+/// Fetch of one version by one agent.
 pub struct Fetch {
+    /// Hash of this agent's name.
     own: u64,
     tuning: Tuning,
     items: Vec<Item>,
+    /// Position of each chunk by its digest.
     index: HashMap<Digest, usize>,
     sources: SlotMap<SourceKey, Source>,
     members: Vec<u64>,
     outside: OutsideSources,
     hedge: Hedge,
-    asked: usize,
-    /// Of those, chunks asked of the store or the origin.
-    asked_outside: usize,
+    /// Number of outstanding requests.
+    in_flight: usize,
+    /// Number of outstanding requests to the store or the origin.
+    outside_in_flight: usize,
+    /// Number of chunks that are not held yet.
     missing: usize,
     counts: ChunkCounts,
 }
 
 impl Fetch {
-    /// A fetch by the agent whose name hashes to `own`; `held` tells which chunks it has already.
+    /// Creates a fetch by the agent whose name hashes to `own`; `held` returns whether a chunk is already held.
     pub fn new(
         own: u64,
         manifest: &Manifest,
@@ -86,54 +89,54 @@
             members: Vec::new(),
             outside: OutsideSources::default(),
             hedge: Hedge::new(now),
-            asked: 0,
-            asked_outside: 0,
+            in_flight: 0,
+            outside_in_flight: 0,
             missing,
             counts: ChunkCounts::default(),
         }
     }
 
-    /// Whether every chunk is held.
+    /// Returns whether all chunks are held.
     pub fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
-    /// Chunks not held yet.
+    /// Returns the number of chunks that are not held yet.
     pub fn missing(&self) -> usize {
         self.missing
     }
 
-    /// Where the chunks came from.
+    /// Returns the numbers of fetched chunks by upstream.
     pub fn counts(&self) -> ChunkCounts {
         self.counts
     }
 
-    /// Position of a chunk.
+    /// Returns the position of a chunk.
     pub fn position(&self, digest: Digest) -> Option<usize> {
         self.index.get(&digest).copied()
     }
 
-    /// Whether this agent is the one to read a chunk from the origin, as far as it knows.
+    /// Returns whether this agent considers itself the one to read a chunk from the origin.
     pub fn owns(&self, digest: Digest) -> bool {
         self.position(digest)
             .is_some_and(|idx| self.items[idx].effective_rank() == 0)
     }
 
-    /// Takes over the agents that fetch this version, by the hashes of their names.
+    /// Sets the agents that fetch this version, by the hashes of their names.
     pub fn set_members(&mut self, members: Vec<u64>) {
         self.set_owners(members, true);
     }
 
-    /// Takes over the agents that read this version from outside, by the hashes of their names. An
-    /// agent that is not among them comes after them all.
+    /// Sets the agents that read this version from the store or the origin, by the hashes of their names. An
+    /// agent that is not among them ranks after all of them.
     pub fn set_readers(&mut self, readers: Vec<u64>) {
         let reads = readers.contains(&self.own);
         self.set_owners(readers, reads);
     }
 
-    /// The agent that reads a chunk first, by the chunk's position.
+    /// Returns the agent that reads the chunk at a position first.
     pub fn first_owner(&self, idx: usize) -> Option<u64> {
-        self.items.get(idx)?.first
+        self.items.get(idx)?.first_owner
     }
 
     fn set_owners(&mut self, owners: Vec<u64>, reads: bool) {
@@ -148,7 +151,7 @@
         let firsts = owners::assign(&keys, &owners);
         for ((item, key), first) in self.items.iter_mut().zip(keys).zip(firsts) {
             let others = || owners.iter().copied().filter(|it| *it != self.own);
-            item.first = first;
+            item.first_owner = first;
             item.rank = if !reads {
                 owners.len()
             } else if first == Some(self.own) {
@@ -162,37 +165,37 @@
         self.members = owners;
     }
 
-    /// Changes how many chunks are asked for at once.
+    /// Sets the maximum number of concurrent requests to peers.
     pub fn set_peer_slots(&mut self, slots: usize) {
         self.tuning.peer_slots = slots;
     }
 
-    /// A peer begins to tell what it holds.
+    /// Adds a peer that reports which chunks it holds.
     pub fn add_source(&mut self, near: bool) -> SourceKey {
         let held = vec![false; self.items.len()];
         self.sources.insert(Source {
             near,
             held,
-            asked: 0,
+            in_flight: 0,
             failures: 0,
             not_before: Time::ZERO,
         })
     }
 
-    /// A peer has gone; what it was asked for is missing again.
+    /// Removes a peer; the chunks requested from it are missing again.
     pub fn remove_source(&mut self, key: SourceKey, now: Time) {
-        let asked: Vec<usize> = (0..self.items.len())
-            .filter(|&idx| self.items[idx].asked_of() == Some(Upstream::Source(key)))
+        let requested: Vec<usize> = (0..self.items.len())
+            .filter(|&idx| self.items[idx].requested_from() == Some(Upstream::Source(key)))
             .collect();
-        for idx in asked {
+        for idx in requested {
             self.release(idx, now);
         }
         if let Some(source) = self.sources.remove(key) {
-            self.forget(&source);
+            self.uncount_source(&source);
         }
     }
 
-    /// A peer has these chunks, by position.
+    /// Records that a peer holds the chunks at these positions.
     pub fn add_held(&mut self, key: SourceKey, positions: impl Iterator<Item = usize>) {
         let Some(source) = self.sources.get_mut(key) else {
             return;
@@ -201,14 +204,14 @@
             if let Some(held @ false) = source.held.get_mut(idx) {
                 *held = true;
                 self.items[idx].seen = true;
-                if source.reliable() {
+                if source.is_reliable() {
                     self.items[idx].holders += 1;
                 }
             }
         }
     }
 
-    /// Some peer holds these chunks, by position, whether or not they are to be asked of it.
+    /// Records that some peer holds the chunks at these positions, even if they must not be requested from it.
     pub fn mark_seen(&mut self, positions: impl Iterator<Item = usize>) {
         for idx in positions {
             if let Some(item) = self.items.get_mut(idx) {
@@ -217,33 +220,34 @@
         }
     }
 
-    /// Whether half of the version is in the fleet: held here, or known to be held by a peer.
+    /// Returns whether at least half of the chunks are held by this agent or known to be held by a peer.
     pub fn half_available(&self) -> bool {
         self.unseen() * 2 <= self.items.len()
     }
 
-    /// Chunks that are neither held here nor known to be held by any peer.
+    /// Returns the number of chunks that are neither held by this agent nor known to be held by a peer.
     fn unseen(&self) -> usize {
         let unseen = |it: &&Item| !it.seen && it.state != State::Held;
         self.items.iter().filter(unseen).count()
     }
 
-    /// The next ask, if there is one to make now. Call until it gives none.
+    /// Returns the next request to send now, if there is one. Must be called until it returns `None`.
     pub fn next_request(&mut self, now: Time, rng: &mut impl Rng) -> Option<ChunkRequest> {
-        self.hedge.learn(self.unseen(), self.items.len(), now);
+        self.hedge
+            .record_missing(self.unseen(), self.items.len(), now);
         let (idx, from) = self
-            .owner_ask(now, rng)
-            .or_else(|| self.free_slot().then(|| self.peer_ask(now, rng))?)?;
-        self.asked += 1;
+            .owner_request(now, rng)
+            .or_else(|| self.has_peer_slot().then(|| self.peer_request(now, rng))?)?;
+        self.in_flight += 1;
         if from == Upstream::Origin {
             self.outside.record_origin_request(now);
         }
         match from {
-            Upstream::Origin | Upstream::Store => self.asked_outside += 1,
-            Upstream::Source(key) => self.sources[key].asked += 1,
+            Upstream::Origin | Upstream::Store => self.outside_in_flight += 1,
+            Upstream::Source(key) => self.sources[key].in_flight += 1,
             Upstream::Owner(_) => {}
         }
-        self.items[idx].state = State::Asked { from, at: now };
+        self.items[idx].state = State::Requested { from, at: now };
         Some(ChunkRequest {
             idx,
             chunk: self.items[idx].chunk,
@@ -251,42 +255,44 @@
         })
     }
 
-    /// Whether a peer can be asked for one more. Asks of the origin have slots of their own: there they wait behind those
-    /// of all readers, not on this agent's link. Readers that asked peers for nothing meanwhile had a version whole
-    /// 1.7 s after the others, of 3.7 s.
-    fn free_slot(&self) -> bool {
-        self.asked - self.asked_outside < self.tuning.peer_slots
+    /// Returns whether a slot for a request to a peer is free. Requests to the origin have separate slots, because they
+    /// queue at the origin behind those of all readers, not on this agent's link. Readers that
+    /// request nothing from peers meanwhile complete a version 1.7 s after the other agents, of 3.7 s in all.
+    fn has_peer_slot(&self) -> bool {
+        self.in_flight - self.outside_in_flight < self.tuning.peer_slots
     }
 
-    /// Asks that have stalled; report each with [`Fetch::failed`].
+    /// Returns requests that have timed out; the caller reports each with [`Fetch::failed`].
     pub fn stalled(&self, now: Time) -> Vec<(usize, Upstream)> {
-        let late = |it: &Item| match it.state {
-            State::Asked { from, at } if at.after_ms(self.patience(from)) <= now => Some(from),
+        let timed_out = |it: &Item| match it.state {
+            State::Requested { from, at } if at.after_ms(self.timeout_ms(from)) <= now => {
+                Some(from)
+            }
             _ => None,
         };
         self.items
             .iter()
             .enumerate()
-            .filter_map(|(idx, it)| Some((idx, late(it)?)))
+            .filter_map(|(idx, it)| Some((idx, timed_out(it)?)))
             .collect()
     }
 
-    fn patience(&self, from: Upstream) -> u64 {
+    fn timeout_ms(&self, from: Upstream) -> u64 {
         let queued = (self.members.len() * self.tuning.origin_slots) as u64;
         match from {
             Upstream::Origin | Upstream::Store => {
                 self.tuning.stall_ms + queued * self.tuning.chunk_ms
             }
-            // An owner has the chunk, or says at once that it is about to read it.
+            // An owner either holds the chunk or answers immediately that it is pending.
             Upstream::Owner(_) => self
                 .tuning
                 .stall_ms
-                .min(OWNER_PATIENCE * self.tuning.takeover_ms),
+                .min(OWNER_TIMEOUT_FACTOR * self.tuning.takeover_ms),
             Upstream::Source(_) => self.tuning.stall_ms,
         }
     }
 
-    /// A chunk came, and its content has its digest. Gives whether it was still missing.
+    /// Records the arrival of a chunk whose digest has been verified, and returns whether it was still missing.
     pub fn arrived(&mut self, idx: usize, from: Upstream, now: Time) -> bool {
         match from {
             Upstream::Origin => {
@@ -308,12 +314,12 @@
         true
     }
 
-    /// An ask failed. Does nothing when it was given up before.
+    /// Records that a request failed. Has no further effect if the request was abandoned before.
     pub fn failed(&mut self, idx: usize, from: Upstream, failure: Failure, now: Time) {
         if failure == Failure::Corrupt {
             self.counts.corrupt += 1;
         }
-        if self.items[idx].asked_of() != Some(from) {
+        if self.items[idx].requested_from() != Some(from) {
             return;
         }
         self.release(idx, now);
@@ -324,30 +330,30 @@
         }
     }
 
-    /// Chunks that this agent may ask of the origin before it has to slow down.
-    fn origin_part(&self) -> u64 {
+    /// Returns the number of chunks that this agent may read from the origin before it has to slow down.
+    fn origin_share(&self) -> u64 {
         if self.tuning.scheme != Scheme::Owners {
             return u64::MAX;
         }
         let members = self.members.len().max(1) as f64;
-        let part = self.items.len() as f64 * self.tuning.origin_copies / members;
-        part.ceil() as u64 + 1
+        let share = self.items.len() as f64 * self.tuning.origin_copies / members;
+        share.ceil() as u64 + 1
     }
 
-    fn owner_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
-        let outside = self.outside.source(self.origin_part(), now);
+    fn owner_request(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
+        let outside = self.outside.source(self.origin_share(), now);
         let mut best = None;
         let mut ties = 0;
         for (idx, item) in self.items.iter().enumerate() {
-            if 0 < item.holders || !item.askable(now) {
+            if 0 < item.holders || !item.is_requestable(now) {
                 continue;
             }
             let rank = self.rank(item);
-            let hedged = !item.seen && self.hedge.reads(rank, now);
+            let hedged = !item.seen && self.hedge.is_due(rank, now);
             let from = match if hedged { 0 } else { rank } {
-                0 if self.asked_outside < self.tuning.origin_slots => outside,
+                0 if self.outside_in_flight < self.tuning.origin_slots => outside,
                 0 => None,
-                rank if self.free_slot() => self.suspected(item, rank, now),
+                rank if self.has_peer_slot() => self.overdue_owner(item, rank, now),
                 _ => None,
             };
             let Some(from) = from else {
@@ -361,7 +367,7 @@
         best
     }
 
-    /// How many agents come before this one for a chunk.
+    /// Returns the number of agents that rank before this one for a chunk.
     fn rank(&self, item: &Item) -> usize {
         match self.tuning.scheme {
             Scheme::Origin | Scheme::Random => 0,
@@ -370,17 +376,17 @@
         }
     }
 
-    /// The best owner of a chunk that has kept silent for too long.
-    fn suspected(&self, item: &Item, rank: usize, now: Time) -> Option<Upstream> {
-        let patience = match self.tuning.objective {
-            Objective::OriginBytes => PATIENCE,
+    /// Returns the best-ranked owner of a chunk if it has not reported the chunk in time.
+    fn overdue_owner(&self, item: &Item, rank: usize, now: Time) -> Option<Upstream> {
+        let wait_factor = match self.tuning.objective {
+            Objective::OriginBytes => ORIGIN_BYTES_WAIT_FACTOR,
             Objective::Time => 1,
         };
         if self.tuning.scheme != Scheme::Owners {
             return None;
         }
-        // Grows with the square, so that few agents ask, and connect to, the owner of a late chunk.
-        let wait = self.tuning.takeover_ms * patience * (rank * rank) as u64;
+        // Grows with the square of the rank, so that few agents connect to and query the owner of a late chunk.
+        let wait = self.tuning.takeover_ms * wait_factor * (rank * rank) as u64;
         if now < item.waiting_since.after_ms(wait) {
             return None;
         }
@@ -390,15 +396,21 @@
             .iter()
             .filter(|it| **it != self.own && !item.absent.contains(it));
         better
-            .max_by_key(|it| (item.first == Some(**it), rendezvous::score(key, **it), **it))
+            .max_by_key(|it| {
+                (
+                    item.first_owner == Some(**it),
+                    rendezvous::score(key, **it),
+                    **it,
+                )
+            })
             .map(|it| Upstream::Owner(*it))
     }
 
-    fn peer_ask(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
+    fn peer_request(&self, now: Time, rng: &mut impl Rng) -> Option<(usize, Upstream)> {
         let free: Vec<(SourceKey, &Source)> = self
             .sources
             .iter()
-            .filter(|(_, it)| it.free(self.tuning.per_source, now))
+            .filter(|(_, it)| it.is_available(self.tuning.per_source, now))
             .collect();
         if free.is_empty() {
             return None;
@@ -408,7 +420,7 @@
         let mut ties = 0;
         for (idx, item) in self.items.iter().enumerate() {
             let rare = item.holders <= rarest || self.tuning.scheme == Scheme::Random;
-            let wanted = 0 < item.holders && rare && item.askable(now);
+            let wanted = 0 < item.holders && rare && item.is_requestable(now);
             if !wanted || !free.iter().any(|(_, it)| it.held[idx]) {
                 continue;
             }
@@ -429,22 +441,22 @@
         let offset = rng.random_range(0..free.len());
         let holders = free.iter().cycle().skip(offset).take(free.len());
         let holders = holders.filter(|(_, it)| it.held[idx]);
-        let chosen = holders.min_by_key(|(_, it)| (it.asked, !it.near))?;
+        let chosen = holders.min_by_key(|(_, it)| (it.in_flight, !it.near))?;
         Some((idx, Upstream::Source(chosen.0)))
     }
 
-    /// Takes back an ask, whatever came of it.
+    /// Releases the slots of the request for a chunk, whatever its outcome, and marks the chunk as missing.
     fn release(&mut self, idx: usize, now: Time) {
-        let Some(from) = self.items[idx].asked_of() else {
+        let Some(from) = self.items[idx].requested_from() else {
             return;
         };
         self.items[idx].state = State::Missing { not_before: now };
-        self.asked -= 1;
+        self.in_flight -= 1;
         match from {
-            Upstream::Origin | Upstream::Store => self.asked_outside -= 1,
+            Upstream::Origin | Upstream::Store => self.outside_in_flight -= 1,
             Upstream::Source(key) => {
                 if let Some(source) = self.sources.get_mut(key) {
-                    source.asked -= 1;
+                    source.in_flight -= 1;
                 }
             }
             Upstream::Owner(_) => {}
@@ -453,16 +465,17 @@
 
     fn owner_failed(&mut self, idx: usize, node: u64, failure: Failure, now: Time) {
         let version_ms = self.items.len() as u64 * self.tuning.chunk_ms;
-        let most = self.tuning.max_announcements + version_ms / self.tuning.takeover_ms.max(1);
+        let max_announcements =
+            self.tuning.max_announcements + version_ms / self.tuning.takeover_ms.max(1);
         let item = &mut self.items[idx];
         match failure {
             Failure::Busy => item.waiting_since = now,
-            Failure::Pending if item.announced < most => {
-                item.announced += 1;
+            Failure::Pending if item.announcements < max_announcements => {
+                item.announcements += 1;
                 item.waiting_since = now;
             }
             _ => {
-                item.announced = 0;
+                item.announcements = 0;
                 item.absent.insert(node);
             }
         }
@@ -473,7 +486,7 @@
         let Some(source) = self.sources.get_mut(key) else {
             return;
         };
-        let standing = source.reliable();
+        let was_reliable = source.is_reliable();
         match failure {
             Failure::Busy => source.not_before = now.after_ms(BUSY_WAIT_MS),
             Failure::Limited(ms) => source.not_before = now.after_ms(ms),
@@ -486,23 +499,23 @@
         }
         if matches!(failure, Failure::Corrupt | Failure::NotHeld) && source.held[idx] {
             source.held[idx] = false;
-            if standing {
+            if was_reliable {
                 self.items[idx].holders -= 1;
             }
         }
-        if standing && !source.reliable() {
+        if was_reliable && !source.is_reliable() {
             let held = source.held.clone();
-            self.uncount(&held);
+            self.uncount_holdings(&held);
         }
     }
 
-    fn forget(&mut self, source: &Source) {
-        if source.reliable() {
-            self.uncount(&source.held);
+    fn uncount_source(&mut self, source: &Source) {
+        if source.is_reliable() {
+            self.uncount_holdings(&source.held);
         }
     }
 
-    fn uncount(&mut self, held: &[bool]) {
+    fn uncount_holdings(&mut self, held: &[bool]) {
         for (item, held) in self.items.iter_mut().zip(held) {
             item.holders -= u32::from(*held);
         }
--- a/crates/gradeloft_policy/src/version/fetch/source.rs
+++ b/crates/gradeloft_policy/src/version/fetch/source.rs
@@ -1,28 +1,31 @@
-//! A peer that tells what it holds of a version.
+//! State of a peer that reports which chunks of a version it holds.
 
 use crate::clock::Time;
 
-/// Failures after which a source is left alone for the rest of the fetch.
+/// Number of failures after which a source is not used for the rest of the fetch.
 const MAX_FAILURES: u32 = 4;
 
-/// A peer that tells what it holds.
+/// Peer that reports which chunks it holds.
 pub(super) struct Source {
-    /// Whether it is in this agent's availability zone.
+    /// Whether the peer is in this agent's availability zone.
     pub(super) near: bool,
+    /// Whether the peer holds each chunk, by position.
     pub(super) held: Vec<bool>,
-    pub(super) asked: u32,
+    /// Number of outstanding requests to the peer.
+    pub(super) in_flight: u32,
     pub(super) failures: u32,
+    /// Time before which nothing is requested from the peer.
     pub(super) not_before: Time,
 }
 
 impl Source {
-    /// Whether it still counts.
-    pub(super) fn reliable(&self) -> bool {
+    /// Returns whether the source is still used.
+    pub(super) fn is_reliable(&self) -> bool {
         self.failures < MAX_FAILURES
     }
 
-    /// Whether it can be asked for a chunk now; at most `most` are asked of it at once.
-    pub(super) fn free(&self, most: u32, now: Time) -> bool {
-        self.reliable() && self.asked < most && self.not_before <= now
+    /// Returns whether a chunk can be requested from the source now, with at most `limit` concurrent requests.
+    pub(super) fn is_available(&self, limit: u32, now: Time) -> bool {
+        self.is_reliable() && self.in_flight < limit && self.not_before <= now
     }
 }
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -1,44 +1,47 @@
-//! Bounds of a fetch, and ways to spread chunks.
+//! Limits of a fetch, and schemes of distributing chunks.
 
 use gradeloft_wire::border::bundle::Objective;
 
-/// How chunks are spread. All but [`Scheme::Owners`] are baselines to measure against.
+/// Scheme of distributing chunks. All but [`Scheme::Owners`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Scheme {
-    /// Every agent reads everything from outside.
+    /// Every agent reads all chunks from the store or the origin.
     Origin,
-    /// Each chunk has its owner; the rest comes from peers, rarest first.
+    /// The owner of each chunk reads it from the store or the origin; other agents fetch it from peers,
+    /// rarest first.
     #[default]
     Owners,
-    /// Any chunk of any peer that has it, at random; from outside if no known peer has it.
+    /// Agents fetch random chunks from random peers that hold them, or from the store or the origin if
+    /// no known peer does.
     Random,
-    /// Everything comes from one parent; the root reads from outside.
+    /// Each agent fetches all chunks from its parent; the root reads from the store or the origin.
     Tree,
 }
 
-/// Bounds of one fetch.
+/// Limits and timeouts of one fetch.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// How chunks are spread.
+    /// Scheme of distributing chunks.
     pub scheme: Scheme,
-    /// Chunks asked of peers at once.
+    /// Maximum number of concurrent requests to peers.
     pub peer_slots: usize,
-    /// Chunks read from the store or the origin at once, beside those.
+    /// Maximum number of concurrent requests to the store and the origin, in addition to those to peers.
     pub origin_slots: usize,
-    /// Chunks asked of one peer at once.
+    /// Maximum number of concurrent requests to one peer.
     pub per_source: u32,
-    /// An ask that takes longer is given up, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub stall_ms: u64,
-    /// Time of a chunk on one agent's link, in milliseconds. All owners may ask the origin at once,
-    /// and its link carries at least as much as one agent's, so an ask there gets this much more
-    /// time for each member.
+    /// Transfer time of a chunk on one agent's link, in milliseconds. All owners may read from the origin at
+    /// once, and its link has at least the bandwidth of one agent's, so the timeout of a request to it grows by
+    /// this time for each origin slot of each member.
     pub chunk_ms: u64,
-    /// Wait before an owner's silence is looked into, in milliseconds, times the square of the rank.
+    /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by the square of
+    /// the rank.
     pub takeover_ms: u64,
-    /// How often an owner may say that it is about to read a chunk before another reads it, beside the
-    /// time that the whole version takes.
+    /// Number of times that an owner may answer that a chunk is pending before another agent reads it, in
+    /// addition to one for each `takeover_ms` of the whole version's transfer time.
     pub max_announcements: u64,
-    /// What the rollout spends.
+    /// Objective of the rollout: time or bytes from the origin.
     pub objective: Objective,
     /// Copies of the version that all members together may read from the origin.
     pub origin_copies: f64,
