--- a/crates/gradeloft_bench/src/limits.rs
+++ b/crates/gradeloft_bench/src/limits.rs
@@ -262,7 +262,7 @@
             entries: ENTRIES,
             connected,
         };
-        let rate = self.lender.ask(ask, fleet, now);
+        let rate = self.lender.grant(ask, fleet, now);
         let latency = if idx == HOME { 0 } else { LATENCY_MS };
         self.messages += 2 * u64::from(idx != HOME);
         self.answers.push_back(Answer {
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -151,7 +151,7 @@
                 entries,
                 connected,
             };
-            lent[idx] = lenders[idx].ask(ask, fleet, now);
+            lent[idx] = lenders[idx].grant(ask, fleet, now);
         }
         units(lent)
     }
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -212,7 +212,7 @@
         .filter(|it| !it.health.suspect(now))
         .collect();
     let own = rendezvous::hash(node.settings.node.id.as_bytes());
-    let drawn = gossip::draw(own, &peers);
+    let drawn = gossip::select_peers(own, &peers);
     let chosen = node.with_rng(|rng| drawn.into_iter().choose(rng));
     chosen.map(|it| it.instance.peer.clone())
 }
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -133,7 +133,7 @@
 fn rests_until(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
     let until = since.after_ms(limits.idle_ms);
     let leave = entry.leave.get();
-    leave.map_or(until, |it| until.min(it.rests_until(since)))
+    leave.map_or(until, |it| until.min(it.idle_until(since)))
 }
 
 /// Reads the next head; `None` when the connection ends instead.
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -151,7 +151,7 @@
             let homes = config.allowed_regions(&route, team.as_deref());
             let job = job(entry, route, team, homes, received, keeps);
             match entry.leave.get() {
-                Some(leave) if entry.others_take() || !leave.takes(job.deadline) => {
+                Some(leave) if entry.others_take() || !leave.accepts(job.deadline) => {
                     Err(Box::new((Refusal::Leaving, job.received)))
                 }
                 _ => Ok(job),
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -270,7 +270,7 @@
             let random = self
                 .node
                 .with_rng(|rng| roster.addresses_in(here).choose(rng));
-            let relay = delegates::relay(&members, turn);
+            let relay = delegates::relay_for_turn(&members, turn);
             (relay.or(random), random)
         });
         relays.collect()
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -15,11 +15,11 @@
         let now = self.node.clock.now();
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             if replica.own == 0 {
-                replica.heard = now;
+                replica.silent_since = now;
             }
             replica.own += 1;
             replica.own_waiting += 1;
-            replica.sends(self.node.clock.now());
+            replica.note_sent(self.node.clock.now());
             replica.own_waiting_tokens += prompt_tokens;
         }
         let mut starts = self.starts.borrow_mut();
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -102,7 +102,7 @@
                 senders.extend(roster.serving(|_| true, now));
             }
             let others = senders.iter().map(roster::hash);
-            warmup::pause(warmup.per_s, u64::from(replica.hash()), own, others)
+            warmup::min_interval(warmup.per_s, u64::from(replica.hash()), own, others)
         };
         let cold = self.replicas.borrow_mut().set_cold_pauses(pause, now);
         self.node.metrics.cold.set(cold as i64);
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -197,7 +197,7 @@
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(RequestRate::over(DEMAND_S)),
+            model_demand: RefCell::new(RequestRate::with_window(DEMAND_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -269,7 +269,9 @@
         let table = Table::Operator;
         let beyond = || {
             let now = self.node.clock.now();
-            self.roster.borrow().most_beyond(self.node.end(table), now)
+            self.roster
+                .borrow()
+                .majority_beyond(self.node.end(table), now)
         };
         let apply = Duration::from_millis(self.node.settings().apply_ms);
         Freshness::of(self.node.behind(table), apply, beyond)
@@ -297,7 +299,7 @@
             None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
-            homes.allow(region) || lookup.region.as_deref() == Some(region)
+            homes.allows(region) || lookup.region.as_deref() == Some(region)
         });
         match bound.is_empty() {
             true => self.ready_addresses(|_| true),
@@ -364,7 +366,7 @@
     /// A replica sent something.
     pub fn note_activity(&self, key: ReplicaKey) {
         let now = self.node.clock.now();
-        self.replicas.borrow_mut().heard(key, now);
+        self.replicas.borrow_mut().received(key, now);
     }
 
     /// How long a caller that still has `left` has waited since it first asked.
@@ -424,7 +426,7 @@
     pub fn take_repeat(&self, service: &Rc<str>) -> bool {
         let bounds = self.node.settings().repeats;
         let now = self.node.clock.now();
-        let entries = self.roster.borrow().sharers(self.acquaintance(now));
+        let entries = self.roster.borrow().budget_sharers(self.acquaintance(now));
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(Rc::clone(service)).or_default();
         let taken = budget.repeat(bounds, entries, now);
@@ -441,7 +443,7 @@
             .as_ref()
             .and_then(|it| it.service(service))
             .map_or(u32::MAX, |it| it.max_connections);
-        let entries = self.roster.borrow().most();
+        let entries = self.roster.borrow().peak_size();
         (f64::from(most) * CONNECTIONS_USED / entries as f64).max(1.0) as usize
     }
 
@@ -511,7 +513,7 @@
         entry.leave.set(Some(leave));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.leave_started.notify_waiters();
-        while !leave.over(entry.open_connections.get(), node.clock.now()) {
+        while !leave.finished(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(LOOK).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -131,7 +131,7 @@
     fn lives(&self, key: ReplicaKey) -> bool {
         let lost = self.suspicion.lost.borrow();
         let replicas = self.replicas.borrow();
-        let spoke = replicas.get(key).map(|it| it.spoke);
+        let spoke = replicas.get(key).map(|it| it.last_received);
         let lost_at = lost.get(&key).map(|it| it.since);
         lost_at
             .zip(spoke)
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -175,9 +175,9 @@
             let mut news = self.suspicion.news.borrow_mut();
             if merged.lacking {
                 let wait = self.node.with_rng(|it| it.random_range(0..ANSWER_MS));
-                news.answer(suspect.request, now.after_ms(wait));
+                news.schedule_answer(suspect.request, now.after_ms(wait));
             } else if !merged.news {
-                news.heard(suspect.request);
+                news.cancel_answer(suspect.request);
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -172,7 +172,7 @@
         let named = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
-        let named = named.filter(|_| now < Time::ZERO.after(readers::NAMES_COUNT));
+        let named = named.filter(|_| now < Time::ZERO.after(readers::LISTED_ONLY));
         let others = near.chain(named).map(|it| roster::hash(&it));
         rendezvous::rank(table as u64, roster::hash(&settings.address), others)
     }
@@ -219,7 +219,7 @@
                 .as_ref()
                 .and_then(|it| it.service(&replica.listing.service));
             if let Some(warmup) = service.and_then(|it| it.warmup) {
-                replica.warms_for(warmup.ms, self.node.clock.now());
+                replica.set_warmup_left(warmup.ms, self.node.clock.now());
             }
         }
     }
@@ -270,8 +270,8 @@
                 since_start: now.since(Time::ZERO),
                 since_contact: entry.contact.get().map(|it| now.since(it)),
                 seed: settings.seeds.contains(&settings.address),
-                known: entry.node.behind(table).is_some(),
-                spare: table == Table::Entries,
+                held_by_peer: entry.node.behind(table).is_some(),
+                optional: table == Table::Entries,
                 rank: entry.first_rank(table),
             });
         }
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -122,7 +122,7 @@
 
 /// Whether a replica is in a region in which the request may be served.
 fn at_home(settings: &Settings, job: &Job, replica: &Replica) -> bool {
-    job.homes.everywhere() || job.homes.allow(settings.region(&replica.listing.zone))
+    job.homes.is_unrestricted() || job.homes.allows(settings.region(&replica.listing.zone))
 }
 
 fn wish<'a>(
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -199,7 +199,7 @@
                 let key = replicas.list(listing);
                 if let Some(replica) = replicas.get_mut(key) {
                     replica.near = near;
-                    replica.warms_for(warmup_left_ms, self.node.clock.now());
+                    replica.set_warmup_left(warmup_left_ms, self.node.clock.now());
                 }
                 drop(replicas);
                 if let Some(ended) = key_before.filter(|it| *it != key) {
--- a/crates/gradeloft_gateway/src/node/ages.rs
+++ b/crates/gradeloft_gateway/src/node/ages.rs
@@ -88,7 +88,7 @@
     /// before it, and what a peer gave is at least as old as it was to the peer.
     pub fn written_at(&self, table: Table, record: &Record) -> Time {
         let now = self.clock.now();
-        let counts = self.ages.borrow()[index(table)].counts_since(record.offset);
+        let counts = self.ages.borrow()[index(table)].effective_since(record.offset);
         counts.map_or(now, |it| it.min(now))
     }
 
@@ -118,10 +118,10 @@
         }
         let mut ages = self.ages.borrow_mut();
         for ((table, end), age) in ages.iter_mut().zip(ends).zip(unconfirmed_ms) {
-            table.heard_end(end, now);
+            table.note_peer_end(end, now);
             // Right after the process stood still, the datagram may have lain in the socket.
             if fresh && age < u16::MAX {
-                table.heard_whole(end, u64::from(age), now);
+                table.note_peer_complete(end, u64::from(age), now);
             }
         }
     }
@@ -136,7 +136,7 @@
     pub(super) fn note_given(&self, table: Table, rows: &[Row], asked: Time) {
         let ages = &mut self.ages.borrow_mut()[index(table)];
         for row in rows {
-            ages.given(row.offset, u64::from(row.age_ms), asked);
+            ages.note_received(row.offset, u64::from(row.age_ms), asked);
         }
     }
 
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -11,7 +11,7 @@
     /// theirs: a record that it lacked then had not been written. While a read is being taken in, the time
     /// before that read. In steady reading this is up to the wait of one read ago, and a round trip.
     pub fn confirmed_until(&self, table: Table) -> Option<Time> {
-        self.ages.borrow()[index(table)].whole_until(self.end(table))
+        self.ages.borrow()[index(table)].complete_until(self.end(table))
     }
 
     /// Whether the last read of a table that went well came after one that failed: what it brought may
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -35,7 +35,7 @@
     clock::Time,
     process::{
         mirror::{Mirror, Record},
-        transfer::Slots,
+        transfer::UploadSlots,
         write_times::WriteTimes,
     },
 };
@@ -124,7 +124,7 @@
     /// What comes of each table from peers.
     inboxes: RefCell<[Inbox; 3]>,
     /// Large values that are being given to peers.
-    giving: RefCell<Slots>,
+    giving: RefCell<UploadSlots>,
     /// Since when each table's records are known to be written.
     ages: RefCell<[WriteTimes; 3]>,
     disturbances: RefCell<Disturbances>,
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -64,10 +64,10 @@
         };
         let rest = value.get(asked.start as usize..).unwrap_or_default();
         let pace = Pace::new(asked.start, self.clock.now());
-        let away = self.giving.borrow_mut().sent_away(asked.caller);
+        let away = self.giving.borrow_mut().refused(asked.caller);
         let mut done = asked.start;
         for part in rest.chunks(PART_BYTES) {
-            let waited_for = self.giving.borrow_mut().sent_away(asked.caller) != away;
+            let waited_for = self.giving.borrow_mut().refused(asked.caller) != away;
             if waited_for && pace.slow(done, value.len() as u64, self.clock.now()) {
                 // One who takes slowly would keep all others waiting, and comes back after them.
                 outgoing.finish(&Reply::Absent(Absence::Busy)).await;
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -332,8 +332,8 @@
         announced
             .pending
             .fill(|want| self.value_at(table, want.offset));
-        let update = announced.pending.ready(end);
-        let ahead = announced.pending.ahead();
+        let update = announced.pending.take_ready(end);
+        let ahead = announced.pending.usable_ahead();
         let (sound, asked, source) = (announced.sound, announced.asked, announced.source);
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -221,7 +221,7 @@
     /// way. The copy goes no further by that.
     pub(super) fn take_ahead(&self, table: Table, records: Vec<Record>, source: Source) {
         self.beginning.set(!self.loaded(table));
-        let changed = self.copies.borrow_mut()[index(table)].ahead(records);
+        let changed = self.copies.borrow_mut()[index(table)].apply_ahead(records);
         if table == Table::Operator
             && !changed.is_empty()
             && let Some(log) = self.logs.line(Topic::State)
--- a/crates/gradeloft_policy/src/process/allowed_regions.rs
+++ b/crates/gradeloft_policy/src/process/allowed_regions.rs
@@ -8,9 +8,9 @@
 /// use gradeloft_policy::process::allowed_regions::AllowedRegions;
 /// let route = AllowedRegions::of(["north".to_owned(), "south".to_owned()]);
 /// let team = AllowedRegions::of(["south".to_owned(), "west".to_owned()]);
-/// assert!(route.and(&team).allow("south"));
-/// assert!(!route.and(&team).allow("north"));
-/// assert!(AllowedRegions::of([]).allow("anywhere"));
+/// assert!(route.intersect(&team).allows("south"));
+/// assert!(!route.intersect(&team).allows("north"));
+/// assert!(AllowedRegions::of([]).allows("anywhere"));
 /// assert_eq!(route.to_string(), "north,south");
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -29,7 +29,7 @@
     }
 
     /// Regions that both allow. Two lists without a common region allow none.
-    pub fn and(&self, other: &AllowedRegions) -> AllowedRegions {
+    pub fn intersect(&self, other: &AllowedRegions) -> AllowedRegions {
         let regions = match (&self.regions, &other.regions) {
             (Some(one), Some(other)) => Some(Rc::new(one.intersection(other).cloned().collect())),
             (Some(only), None) | (None, Some(only)) => Some(Rc::clone(only)),
@@ -39,12 +39,12 @@
     }
 
     /// Whether a region is allowed.
-    pub fn allow(&self, region: &str) -> bool {
+    pub fn allows(&self, region: &str) -> bool {
         self.regions.as_ref().is_none_or(|it| it.contains(region))
     }
 
     /// Whether all regions are allowed.
-    pub fn everywhere(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.regions.is_none()
     }
 }
--- a/crates/gradeloft_policy/src/process/announcements.rs
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -13,20 +13,20 @@
 /// When something is told after it came up, in milliseconds. Of a word that is lost once in thirty times on a
 /// bad link, four in a million are lost each time; and the last comes after a process that had just started, or
 /// was away for a second, listens again.
-const TOLD_MS: [u64; 5] = [0, 125, 500, 1_000, 2_000];
+const SEND_AT_MS: [u64; 5] = [0, 125, 500, 1_000, 2_000];
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
     since: Time,
     /// How often it was told.
-    told: usize,
+    sent: usize,
     /// How often it is told in all.
     times: usize,
 }
 
 impl Item {
     fn due(&self) -> Option<Time> {
-        let after_ms = TOLD_MS[..self.times].get(self.told)?;
+        let after_ms = SEND_AT_MS[..self.times].get(self.sent)?;
         Some(self.since.after_ms(*after_ms))
     }
 }
@@ -42,25 +42,25 @@
     pub fn add(&mut self, request: Fingerprint, now: Time) {
         let item = Item {
             since: now,
-            told: 0,
-            times: TOLD_MS.len(),
+            sent: 0,
+            times: SEND_AT_MS.len(),
         };
         self.items.insert(request, item);
     }
 
     /// Another entry lacks something: it is told at `at`, unless it will be told sooner in any case.
-    pub fn answer(&mut self, request: Fingerprint, at: Time) {
+    pub fn schedule_answer(&mut self, request: Fingerprint, at: Time) {
         // Once is enough: whoever still lacks it is answered again.
         let item = Item {
             since: at,
-            told: 0,
+            sent: 0,
             times: 1,
         };
         self.items.entry(request).or_insert(item);
     }
 
     /// Another entry said what this one would have said.
-    pub fn heard(&mut self, request: Fingerprint) {
+    pub fn cancel_answer(&mut self, request: Fingerprint) {
         let answer = |it: &Item| it.times == 1;
         if self.items.get(&request).is_some_and(answer) {
             self.items.remove(&request);
@@ -82,7 +82,7 @@
         due.truncate(most);
         for request in &due {
             if let Some(item) = self.items.get_mut(request) {
-                item.told += 1;
+                item.sent += 1;
             }
         }
         due
--- a/crates/gradeloft_policy/src/process/delegates.rs
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -36,10 +36,10 @@
 }
 
 /// Who passes words on to a region, of which `members` are alive, at a turn: its speakers by turns.
-pub fn relay(members: &[Ipv4Addr], turn: usize) -> Option<Ipv4Addr> {
+pub fn relay_for_turn(members: &[Ipv4Addr], turn: usize) -> Option<Ipv4Addr> {
     let hashes: Vec<u64> = members.iter().map(roster::hash).collect();
     let order = rendezvous::order(KEY, &hashes);
-    let speakers = &order[..DELEGATES.min(order.len())];
-    let drawn = speakers.get(turn % speakers.len().max(1))?;
+    let delegates = &order[..DELEGATES.min(order.len())];
+    let drawn = delegates.get(turn % delegates.len().max(1))?;
     Some(members[*drawn])
 }
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -235,7 +235,7 @@
     /// Regions in which a team's requests on a route may be served.
     pub fn allowed_regions(&self, route: &Route, team: Option<&str>) -> AllowedRegions {
         match team.and_then(|it| self.document.homes.get(it)) {
-            Some(homes) => route.homes.and(homes),
+            Some(homes) => route.homes.intersect(homes),
             None => route.homes.clone(),
         }
     }
@@ -246,7 +246,9 @@
             return AllowedRegions::default();
         };
         let routes = routes.iter().map(|&idx| &self.document.routes[idx]);
-        routes.fold(AllowedRegions::default(), |homes, it| homes.and(&it.homes))
+        routes.fold(AllowedRegions::default(), |homes, it| {
+            homes.intersect(&it.homes)
+        })
     }
 
     /// A service by name.
--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -35,17 +35,17 @@
     }
 
     /// Whether a request that has until `deadline` is sure to be answered before the process ends.
-    pub fn takes(self, deadline: Time) -> bool {
+    pub fn accepts(self, deadline: Time) -> bool {
         deadline <= self.end
     }
 
     /// Until when a connection may wait for a request that rests since `rests`.
-    pub fn rests_until(self, rests: Time) -> Time {
+    pub fn idle_until(self, rests: Time) -> Time {
         self.lingers_until().max(rests.after_ms(FIRST_MS))
     }
 
     /// Whether a process with so many connections may end.
-    pub fn over(self, connections: usize, now: Time) -> bool {
+    pub fn finished(self, connections: usize, now: Time) -> bool {
         self.end <= now || (self.lingers_until() <= now && connections == 0)
     }
 
--- a/crates/gradeloft_policy/src/process/earliest_writes.rs
+++ b/crates/gradeloft_policy/src/process/earliest_writes.rs
@@ -18,9 +18,9 @@
 /// let mut whole = EarliestWrites::default();
 /// whole.note(7, Time::ZERO.after_ms(10));
 /// whole.note(8, Time::ZERO.after_ms(20));
-/// assert_eq!(whole.until(7), Some(Time::ZERO.after_ms(10)));
-/// assert_eq!(whole.until(8), Some(Time::ZERO.after_ms(20)));
-/// assert_eq!(whole.until(6), None);
+/// assert_eq!(whole.unwritten_until(7), Some(Time::ZERO.after_ms(10)));
+/// assert_eq!(whole.unwritten_until(8), Some(Time::ZERO.after_ms(20)));
+/// assert_eq!(whole.unwritten_until(6), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EarliestWrites {
@@ -31,7 +31,7 @@
 impl EarliestWrites {
     /// At the time `at` the table went no further than `end`.
     pub fn note(&mut self, end: u64, at: Time) {
-        if self.until(end).is_some_and(|it| at <= it) {
+        if self.unwritten_until(end).is_some_and(|it| at <= it) {
             return;
         }
         self.noted.retain(|it| it.0 < end || at < it.1);
@@ -44,7 +44,7 @@
 
     /// Until when the record at `offset` is known not to have been written. A copy that ends there was whole
     /// until then.
-    pub fn until(&self, offset: u64) -> Option<Time> {
+    pub fn unwritten_until(&self, offset: u64) -> Option<Time> {
         let within = self.noted.iter().take_while(|it| it.0 <= offset);
         within.last().map(|it| it.1)
     }
--- a/crates/gradeloft_policy/src/process/gossip.rs
+++ b/crates/gradeloft_policy/src/process/gossip.rs
@@ -13,7 +13,7 @@
 /// The few peers that the node whose name hashes to `own` gossips with. They are drawn by rendezvous
 /// and stay the same while members do, so that a large fleet does not end up with a connection for
 /// every pair, and all draws together still connect it.
-pub fn draw<'a>(own: u64, peers: &[&'a Peer]) -> Vec<&'a Peer> {
+pub fn select_peers<'a>(own: u64, peers: &[&'a Peer]) -> Vec<&'a Peer> {
     let nodes: Vec<u64> = peers.iter().map(|it| it.node).collect();
     let ranked: Vec<&Peer> = rendezvous::order(own, &nodes)
         .into_iter()
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -94,7 +94,7 @@
     /// something. The end stays, since the copy lacks something there, and what is taken in is taken in
     /// again with the records before it, which then changes nothing. Deletions have to wait for that: a
     /// deleted key leaves no trace here by which an older value of it could be told.
-    pub fn ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
+    pub fn apply_ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
         let mut changed = Vec::new();
         for record in records {
             if record.value.is_some() && self.lacks(&record.key, record.offset) {
--- a/crates/gradeloft_policy/src/process/pending_update.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -2,7 +2,7 @@
 //!
 //! Small values come with the announcement. A copy of the table never claims to go further than what it
 //! has taken in without gaps, so records behind a missing value are taken in again with it; until then
-//! those that set a value can be used ahead of it ([`Mirror::ahead`](super::mirror::Mirror::ahead)).
+//! those that set a value can be used ahead of it ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
 
 use std::collections::HashMap;
 
@@ -101,7 +101,7 @@
 
     /// Takes out what a copy that goes up to `end` can take in: the records before the first missing
     /// value, and a snapshot only once it is whole.
-    pub fn ready(&mut self, end: u64) -> Option<Update> {
+    pub fn take_ready(&mut self, end: u64) -> Option<Update> {
         if !self.snapshot {
             self.rows.retain(|it| end <= it.offset());
         }
@@ -128,7 +128,7 @@
 
     /// Values that can be used although something before them is missing: of each key the last record,
     /// unless that deletes it.
-    pub fn ahead(&self) -> Vec<Record> {
+    pub fn usable_ahead(&self) -> Vec<Record> {
         let mut last: HashMap<&str, &Record> = HashMap::new();
         for row in &self.rows {
             if let Row::Present(record) = row {
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -26,7 +26,7 @@
 /// How often an entry asks for a new lease, in milliseconds.
 pub const RENEW_MS: u64 = 100;
 /// Share of an equal part of the rate that a silent entry may use at once.
-pub const SILENT_FRACTION: f64 = 0.05;
+pub const IDLE_FRACTION: f64 = 0.05;
 /// Share of an equal part of the rate that an entry uses while it is cut off.
 pub const CUT_OFF_FRACTION: f64 = 0.3;
 /// An entry that no home has answered for so long counts itself as cut off, in milliseconds. By
@@ -134,7 +134,7 @@
         }
         match reach {
             HomeReach::CutOff => part(allowed, entries, CUT_OFF_FRACTION),
-            HomeReach::Home => part(allowed, entries, SILENT_FRACTION),
+            HomeReach::Home => part(allowed, entries, IDLE_FRACTION),
         }
     }
 
@@ -210,13 +210,13 @@
     }
 
     /// Answers an ask with the rate that is granted for a lease's time.
-    pub fn ask(&mut self, ask: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
+    pub fn grant(&mut self, ask: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
         let FleetView {
             allowed,
             entries,
             connected,
         } = fleet;
-        let least = part(allowed, entries, SILENT_FRACTION);
+        let least = part(allowed, entries, IDLE_FRACTION);
         if connected * 2 <= entries && 1 < entries {
             return least;
         }
@@ -236,7 +236,7 @@
                 demand: ask.demand.max(least),
             },
         );
-        let lendable = allowed - self.kept_back(fleet);
+        let lendable = allowed - self.reserved(fleet);
         let others = self.holders.iter().filter(|(it, _)| **it != ask.entry);
         let lent: f64 = others.map(|(_, it)| it.lease.rate).sum();
         let mut rate = self.target(ask.entry, lendable).min(lendable - lent);
@@ -251,7 +251,7 @@
     }
 
     /// What entries without a lease may use.
-    fn kept_back(&self, fleet: FleetView) -> f64 {
+    fn reserved(&self, fleet: FleetView) -> f64 {
         let FleetView {
             allowed,
             entries,
@@ -260,7 +260,7 @@
         let cut_off = entries.saturating_sub(connected.max(self.holders.len()));
         let silent = connected.saturating_sub(self.holders.len());
         cut_off as f64 * part(allowed, entries, CUT_OFF_FRACTION)
-            + silent as f64 * part(allowed, entries, SILENT_FRACTION)
+            + silent as f64 * part(allowed, entries, IDLE_FRACTION)
     }
 
     /// The fair rate of an entry: what it demands with a margin if all of that fits, with the spare
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -26,7 +26,7 @@
 /// Most entries of a region that read a table first. All of them share one link to the store.
 const MOST_FIRST_READERS: usize = 8;
 /// Time after a start within which entries of which only the name is known count as peers: most have not spoken yet.
-pub const NAMES_COUNT: Duration = Duration::from_millis(3_200);
+pub const LISTED_ONLY: Duration = Duration::from_millis(3_200);
 
 /// What an entry knows of a table that it has never had.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -38,9 +38,9 @@
     /// Whether others know the entry from their settings, and so hear from it first.
     pub seed: bool,
     /// Whether a peer is known to have the table.
-    pub known: bool,
+    pub held_by_peer: bool,
     /// Whether callers can be served without the table.
-    pub spare: bool,
+    pub optional: bool,
     /// Entries of its region that are to read the table before it, as far as it knows.
     pub rank: usize,
 }
@@ -52,7 +52,7 @@
     let Some(since_contact) = first.since_contact else {
         return first.seed || UNGIVEN <= first.since_start;
     };
-    let unknown = !first.known && !first.spare;
+    let unknown = !first.held_by_peer && !first.optional;
     let alone = unknown && UNKNOWN <= since_contact && first.rank == 0;
     first.seed || alone || first.rank < first_readers(since_contact)
 }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -123,9 +123,9 @@
     /// How much later than the operator publishes its answers begin.
     pub slowness: Slowness,
     /// When it sent something last, or was given the only request that it has from this entry.
-    pub heard: Time,
+    pub silent_since: Time,
     /// When it sent something last.
-    pub spoke: Time,
+    pub last_received: Time,
     /// Whether its availability zone is evacuated.
     pub evacuated: bool,
     /// Least time between two requests of this entry while it is cold; `None` if this entry sends it none.
@@ -155,8 +155,8 @@
             part: 0,
             near: true,
             slowness: Slowness::default(),
-            heard: Time::ZERO,
-            spoke: Time::ZERO,
+            silent_since: Time::ZERO,
+            last_received: Time::ZERO,
             evacuated: false,
             cold_pause: None,
             cold_until: Time::ZERO,
@@ -200,7 +200,7 @@
     }
 
     /// Sets how much longer it is cold. It may have turned cold again, and an older message may say that it is warm.
-    pub fn warms_for(&mut self, left_ms: u64, now: Time) {
+    pub fn set_warmup_left(&mut self, left_ms: u64, now: Time) {
         self.cold_until = match left_ms {
             0 => Time::ZERO,
             left_ms => now.after_ms(left_ms),
@@ -208,7 +208,7 @@
     }
 
     /// Whether this entry may send it a request now, as far as its being cold goes.
-    pub fn warm_enough(&self, now: Time) -> bool {
+    pub fn warmup_allows(&self, now: Time) -> bool {
         if !self.cold(now) {
             return true;
         }
@@ -219,13 +219,13 @@
     }
 
     /// Notes that this entry sends it a request.
-    pub fn sends(&mut self, now: Time) {
+    pub fn note_sent(&mut self, now: Time) {
         self.sent = Some(now);
     }
 
     /// Whether it has sent nothing for long although it has requests of this entry.
     pub fn silent(&self, now: Time) -> bool {
-        0 < self.own && self.heard.after_ms(SILENCE_MS) <= now
+        0 < self.own && self.silent_since.after_ms(SILENCE_MS) <= now
     }
 
     /// Whether requests wait before its instance's link, as its agent sees it.
@@ -494,17 +494,17 @@
     }
 
     /// A replica sent something.
-    pub fn heard(&mut self, key: ReplicaKey, now: Time) {
+    pub fn received(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.arena.get_mut(key) {
-            replica.heard = now;
-            replica.spoke = now;
+            replica.silent_since = now;
+            replica.last_received = now;
         }
     }
 
     /// A request to a replica came back as it should.
     pub fn succeeded(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.arena.get_mut(key) {
-            replica.spoke = now;
+            replica.last_received = now;
             replica.failures = 0;
             replica.paused_until = Time::ZERO;
         }
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -80,7 +80,7 @@
 pub struct Roster {
     entries: HashMap<Ipv4Addr, Entry>,
     /// Most entries that were known at once, the own one included.
-    most: usize,
+    peak: usize,
 }
 
 impl Roster {
@@ -126,7 +126,7 @@
         entry.seen = Some(now);
         entry.alive_until = entry.alive_until.max(now.after_ms(silence_ms));
         let known = self.entries.values().filter(|it| it.seen.is_some());
-        self.most = self.most.max(known.count() + 1);
+        self.peak = self.peak.max(known.count() + 1);
     }
 
     /// Those whose availability zone is known and fits.
@@ -175,18 +175,18 @@
     }
 
     /// Most entries that were known at once, the own one included.
-    pub fn most(&self) -> usize {
-        self.most.max(1)
+    pub fn peak_size(&self) -> usize {
+        self.peak.max(1)
     }
 
     /// Among how many entries that is split which all may spend together; `None` while nobody knows. An entry that
     /// has just started has met few others. Where many start at once, each would else take most of it: of seven, six
     /// that were killed together each took a half or all, and all of them more than there was.
-    pub fn sharers(&self, acquaintance: Discovery) -> Option<usize> {
+    pub fn budget_sharers(&self, acquaintance: Discovery) -> Option<usize> {
         match acquaintance {
             Discovery::None => None,
-            Discovery::Listed => Some(self.most().max(self.entries.len() + 1)),
-            Discovery::Complete => Some(self.most()),
+            Discovery::Listed => Some(self.peak_size().max(self.entries.len() + 1)),
+            Discovery::Complete => Some(self.peak_size()),
         }
     }
 
@@ -212,7 +212,7 @@
 
     /// Whether most entries, the own one included, take callers and have more of the operator's table than
     /// up to `end`. Those that are leaving count for nothing.
-    pub fn most_beyond(&self, end: u64, now: Time) -> bool {
+    pub fn majority_beyond(&self, end: u64, now: Time) -> bool {
         let staying = |it: &&Entry| it.alive(now) && it.state != State::Leaving;
         let others = self.entries.values().filter(staying);
         let beyond = others
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -194,13 +194,13 @@
 
 impl Default for RequestRate {
     fn default() -> RequestRate {
-        RequestRate::over(MEMORY_S)
+        RequestRate::with_window(MEMORY_S)
     }
 }
 
 impl RequestRate {
     /// Counts over so many seconds.
-    pub fn over(memory_s: f64) -> RequestRate {
+    pub fn with_window(memory_s: f64) -> RequestRate {
         RequestRate {
             memory_s,
             rate: 0.0,
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -75,14 +75,14 @@
 
 /// Large values that are being given.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Slots {
+pub struct UploadSlots {
     to_agents: usize,
     to_entries: usize,
-    agents_sent_away: u64,
-    entries_sent_away: u64,
+    agents_refused: u64,
+    entries_refused: u64,
 }
 
-impl Slots {
+impl UploadSlots {
     /// Takes a slot; gives `false` if none is free. Whoever finds none asks another peer, which is sooner
     /// than waiting.
     pub fn take(&mut self, caller: Role) -> bool {
@@ -90,14 +90,14 @@
         let free = *used < most;
         *used += usize::from(free);
         if !free {
-            *self.away(caller) += 1;
+            *self.refused_mut(caller) += 1;
         }
         free
     }
 
     /// How often none was free so far.
-    pub fn sent_away(&mut self, caller: Role) -> u64 {
-        *self.away(caller)
+    pub fn refused(&mut self, caller: Role) -> u64 {
+        *self.refused_mut(caller)
     }
 
     /// Frees a slot that was taken.
@@ -113,10 +113,10 @@
         }
     }
 
-    fn away(&mut self, caller: Role) -> &mut u64 {
+    fn refused_mut(&mut self, caller: Role) -> &mut u64 {
         match caller {
-            Role::Agent => &mut self.agents_sent_away,
-            Role::Entry => &mut self.entries_sent_away,
+            Role::Agent => &mut self.agents_refused,
+            Role::Entry => &mut self.entries_refused,
         }
     }
 }
@@ -239,17 +239,17 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Bar {
+enum Exclusion {
     Busy(Time),
     Faulty(Time),
     NotHeld,
 }
 
-impl Bar {
+impl Exclusion {
     fn until(self) -> Option<Time> {
         match self {
-            Bar::Busy(until) | Bar::Faulty(until) => Some(until),
-            Bar::NotHeld => None,
+            Exclusion::Busy(until) | Exclusion::Faulty(until) => Some(until),
+            Exclusion::NotHeld => None,
         }
     }
 }
@@ -284,7 +284,7 @@
     begun: Time,
     /// Never longer than the value.
     came: Vec<u8>,
-    bars: HashMap<Ipv4Addr, Bar>,
+    exclusions: HashMap<Ipv4Addr, Exclusion>,
 }
 
 impl Transfer {
@@ -296,7 +296,7 @@
             want,
             begun: now,
             came: Vec::with_capacity(room),
-            bars: HashMap::new(),
+            exclusions: HashMap::new(),
         }
     }
 
@@ -328,7 +328,7 @@
 
     /// Forgets who did not have it: it was announced once more.
     pub fn announced(&mut self) {
-        self.bars.retain(|_, bar| *bar != Bar::NotHeld);
+        self.exclusions.retain(|_, bar| *bar != Exclusion::NotHeld);
     }
 
     /// Which peer to ask next: any of the own region that has it, and one of another region only where
@@ -341,12 +341,12 @@
         now: Time,
         rng: &mut impl Rng,
     ) -> Choice {
-        let bar = |it: &Holder| self.bars.get(&it.peer).copied();
+        let bar = |it: &Holder| self.exclusions.get(&it.peer).copied();
         let able: Vec<&Holder> = holders
             .having(self.want.offset, now)
-            .filter(|it| bar(it) != Some(Bar::NotHeld))
+            .filter(|it| bar(it) != Some(Exclusion::NotHeld))
             .collect();
-        let until = |it: &Holder| bar(it).and_then(Bar::until).filter(|it| now < *it);
+        let until = |it: &Holder| bar(it).and_then(Exclusion::until).filter(|it| now < *it);
         let free = |near: bool| {
             let these = able.iter().filter(move |it| it.near == near);
             these.filter(|it| until(it).is_none())
@@ -354,7 +354,7 @@
         if let Some(holder) = free(true).choose(rng) {
             return Choice::Ask(holder.peer);
         }
-        let busy = |it: &&&Holder| it.near && matches!(bar(it), Some(Bar::Busy(_)));
+        let busy = |it: &&&Holder| it.near && matches!(bar(it), Some(Exclusion::Busy(_)));
         if let Some(soonest) = able.iter().filter(busy).filter_map(|it| until(it)).min() {
             return Choice::Wait(soonest.since(now));
         }
@@ -371,7 +371,7 @@
             .filter_map(|it| until(it).zip(bar(it)))
             .min_by_key(|it| it.0);
         match soonest {
-            Some((until, Bar::Busy(_))) => Choice::Wait(until.since(now)),
+            Some((until, Exclusion::Busy(_))) => Choice::Wait(until.since(now)),
             Some((until, _)) => Choice::Retry(until.since(now)),
             None => Choice::NoHolder,
         }
@@ -397,10 +397,10 @@
     /// A peer gave nothing further.
     pub fn refused(&mut self, peer: Ipv4Addr, refusal: Refusal, now: Time, rng: &mut impl Rng) {
         let bar = match refusal {
-            Refusal::Busy => Bar::Busy(now.after_ms(rng.random_range(BUSY_MS))),
-            Refusal::Faulty => Bar::Faulty(now.after_ms(FAULTY_MS)),
-            Refusal::NotHeld => Bar::NotHeld,
+            Refusal::Busy => Exclusion::Busy(now.after_ms(rng.random_range(BUSY_MS))),
+            Refusal::Faulty => Exclusion::Faulty(now.after_ms(FAULTY_MS)),
+            Refusal::NotHeld => Exclusion::NotHeld,
         };
-        self.bars.insert(peer, bar);
+        self.exclusions.insert(peer, bar);
     }
 }
--- a/crates/gradeloft_policy/src/process/warmup.rs
+++ b/crates/gradeloft_policy/src/process/warmup.rs
@@ -17,10 +17,10 @@
 /// ```
 /// use std::time::Duration;
 /// use gradeloft_policy::process::warmup;
-/// let alone = warmup::pause(10.0, 1, 2, [].into_iter());
+/// let alone = warmup::min_interval(10.0, 1, 2, [].into_iter());
 /// assert_eq!(alone, Some(Duration::from_millis(100)));
 /// ```
-pub fn pause(
+pub fn min_interval(
     per_s: f64,
     replica: u64,
     own: u64,
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -38,7 +38,7 @@
 
 impl Read {
     /// Whether the answer may have begun long before it was here.
-    fn long_on_its_way(self) -> bool {
+    fn is_delayed(self) -> bool {
         let late = self.asked.after(self.wait).after_ms(LATE_MS) < self.answered;
         late || LARGE_BYTES <= self.bytes
     }
@@ -48,54 +48,57 @@
 #[derive(Clone, Debug, Default)]
 pub struct WriteTimes {
     /// The latest times.
-    known: LatestWrites,
+    latest: LatestWrites,
     /// The times that count: between the earliest and the latest.
-    counted: LatestWrites,
+    effective: LatestWrites,
     /// The earliest times.
-    whole: EarliestWrites,
+    earliest: EarliestWrites,
     /// Until when the copy was whole by this process's own reads.
     confirmed: Option<Time>,
     /// When the last good read ended.
     read_at: Option<Time>,
     /// Whether its answer was long on its way: nobody looked at the store meanwhile.
-    read_blind: bool,
+    read_delayed: bool,
 }
 
 impl WriteTimes {
     /// A peer's copy goes up to `end` now.
-    pub fn heard_end(&mut self, end: u64, now: Time) {
-        self.known.note(end, now);
+    pub fn note_peer_end(&mut self, end: u64, now: Time) {
+        self.latest.note(end, now);
     }
 
     /// A peer's copy, which goes up to `end`, was whole `age_ms` before `now`.
-    pub fn heard_whole(&mut self, end: u64, age_ms: u64, now: Time) {
-        self.whole.note(end, now.before_ms(age_ms));
+    pub fn note_peer_complete(&mut self, end: u64, age_ms: u64, now: Time) {
+        self.earliest.note(end, now.before_ms(age_ms));
     }
 
     /// A peer gave a record on a call that was made at `asked`, and knew it for `age_ms`.
-    pub fn given(&mut self, offset: u64, age_ms: u64, asked: Time) {
-        self.counted.note(offset + 1, asked.before_ms(age_ms));
+    pub fn note_received(&mut self, offset: u64, age_ms: u64, asked: Time) {
+        self.effective.note(offset + 1, asked.before_ms(age_ms));
     }
 
     /// A read brought the records at `offsets`.
     pub fn read(&mut self, offsets: impl Iterator<Item = u64>, read: Read) {
         let bound = self.bound(read);
         for offset in offsets {
-            let earliest = self.whole.until(offset).unwrap_or(read.answered);
+            let earliest = self
+                .earliest
+                .unwritten_until(offset)
+                .unwrap_or(read.answered);
             let counts = earliest.max(bound).min(read.answered);
-            self.counted.note(offset + 1, counts);
+            self.effective.note(offset + 1, counts);
         }
         self.read_at = Some(read.answered);
-        self.read_blind = read.long_on_its_way();
+        self.read_delayed = read.is_delayed();
     }
 
     /// Before which time nothing was written that a read brought, as the read itself shows.
     fn bound(&self, read: Read) -> Time {
-        if read.disturbed || read.long_on_its_way() {
+        if read.disturbed || read.is_delayed() {
             return Time::ZERO;
         }
         let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
-        let looked = !self.read_at.is_none_or(paused) && !self.read_blind;
+        let looked = !self.read_at.is_none_or(paused) && !self.read_delayed;
         let waited = read.asked.after_ms(LATE_MS) < read.answered;
         match (looked, waited) {
             (true, _) => read.answered,
@@ -107,7 +110,7 @@
 
     /// This process's copy, which goes up to `end`, was whole at `at` by its own reading.
     pub fn confirm(&mut self, end: u64, at: Time) {
-        self.whole.note(end, at);
+        self.earliest.note(end, at);
         self.confirmed = self.confirmed.max(Some(at));
     }
 
@@ -117,20 +120,20 @@
     }
 
     /// Until when a copy that goes up to `end` is known to have been whole, by own reads and by peers'.
-    pub fn whole_until(&self, end: u64) -> Option<Time> {
-        self.whole.until(end)
+    pub fn complete_until(&self, end: u64) -> Option<Time> {
+        self.earliest.unwritten_until(end)
     }
 
     /// Since when a record is known to be there: it was written then or before.
     pub fn known_since(&self, offset: u64) -> Option<Time> {
-        self.known.known_since(offset)
+        self.latest.known_since(offset)
     }
 
     /// Since when a record counts as written, where its writer bounds something by time.
-    pub fn counts_since(&self, offset: u64) -> Option<Time> {
+    pub fn effective_since(&self, offset: u64) -> Option<Time> {
         let (known, counted) = (
-            self.known.known_since(offset),
-            self.counted.known_since(offset),
+            self.latest.known_since(offset),
+            self.effective.known_since(offset),
         );
         known.into_iter().chain(counted).min()
     }
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -304,7 +304,7 @@
 /// Whether a replica can take the request. Where all are short of time, those that can be answered in
 /// time come before those that can't, as both take the same work.
 fn has_room(replica: &Replica, wish: Wish<'_>, slots: Slots, now: Time) -> bool {
-    if !replica.warm_enough(now) {
+    if !replica.warmup_allows(now) {
         return false;
     }
     let all = replica.listing.slots;
--- a/crates/gradeloft_policy/tests/ages.rs
+++ b/crates/gradeloft_policy/tests/ages.rs
@@ -41,7 +41,7 @@
 fn what_is_read_in_steady_reading_counts_from_the_read() {
     let mut ages = steady();
     ages.read(5..6, read(1_050, 2_900));
-    assert_eq!(ages.counts_since(5), Some(at(2_900)));
+    assert_eq!(ages.effective_since(5), Some(at(2_900)));
 }
 
 #[rstest]
@@ -51,7 +51,7 @@
 fn what_is_read_after_an_interruption_counts_from_when_the_copy_was_whole(#[case] read: Read) {
     let mut ages = steady();
     ages.read(5..6, read);
-    assert_eq!(ages.counts_since(5), Some(at(900)));
+    assert_eq!(ages.effective_since(5), Some(at(900)));
     assert_eq!(ages.known_since(5), None, "only what peers say is known");
 }
 
@@ -66,12 +66,12 @@
     let mut ages = steady();
     ages.read(5..6, long);
     ages.confirm(6, at(1_050));
-    assert_eq!(ages.counts_since(5), Some(at(900)));
+    assert_eq!(ages.effective_since(5), Some(at(900)));
     ages.read(6..7, read(2_450, 2_500));
     ages.confirm(7, at(2_450));
-    assert_eq!(ages.counts_since(6), Some(at(1_050)));
+    assert_eq!(ages.effective_since(6), Some(at(1_050)));
     ages.read(7..8, read(2_550, 3_500));
-    assert_eq!(ages.counts_since(7), Some(at(3_500)));
+    assert_eq!(ages.effective_since(7), Some(at(3_500)));
 }
 
 #[test]
@@ -86,44 +86,44 @@
     );
     ages.confirm(6, at(1_050));
     ages.read(6..7, read(2_450, 2_751));
-    assert_eq!(ages.counts_since(6), Some(at(2_450)));
+    assert_eq!(ages.effective_since(6), Some(at(2_450)));
 }
 
 #[test]
 fn a_peers_word_that_its_copy_was_whole_bounds_what_is_read_after_an_interruption() {
     let mut ages = steady();
-    ages.heard_whole(5, 300, at(3_000));
+    ages.note_peer_complete(5, 300, at(3_000));
     // This one goes beyond the record, and says nothing of it.
-    ages.heard_whole(6, 0, at(4_000));
+    ages.note_peer_complete(6, 0, at(4_000));
     ages.read(5..6, read(4_500, 4_600));
-    assert_eq!(ages.counts_since(5), Some(at(2_700)));
-    assert_eq!(ages.whole_until(6), Some(at(4_000)));
+    assert_eq!(ages.effective_since(5), Some(at(2_700)));
+    assert_eq!(ages.complete_until(6), Some(at(4_000)));
 }
 
 #[test]
 fn a_copy_that_was_never_whole_counts_from_the_read() {
     let mut ages = WriteTimes::default();
     ages.read(0..1, read(10_000, 10_100));
-    assert_eq!(ages.counts_since(0), Some(at(10_100)));
+    assert_eq!(ages.effective_since(0), Some(at(10_100)));
 }
 
 #[test]
 fn what_a_peer_gives_is_as_old_as_it_is_to_the_peer_or_to_this_process() {
     let mut ages = steady();
-    ages.heard_end(6, at(4_000));
-    ages.given(5, 20, at(4_010));
-    assert_eq!(ages.counts_since(5), Some(at(3_990)));
-    ages.heard_end(7, at(5_000));
-    ages.given(6, 0, at(5_600));
-    assert_eq!(ages.counts_since(6), Some(at(5_000)));
-    ages.given(7, u64::from(u16::MAX), at(6_000));
-    assert_eq!(ages.counts_since(7), Some(Time::ZERO));
+    ages.note_peer_end(6, at(4_000));
+    ages.note_received(5, 20, at(4_010));
+    assert_eq!(ages.effective_since(5), Some(at(3_990)));
+    ages.note_peer_end(7, at(5_000));
+    ages.note_received(6, 0, at(5_600));
+    assert_eq!(ages.effective_since(6), Some(at(5_000)));
+    ages.note_received(7, u64::from(u16::MAX), at(6_000));
+    assert_eq!(ages.effective_since(7), Some(Time::ZERO));
 }
 
 #[test]
 fn only_own_reads_confirm_a_copy_to_peers() {
     let mut ages = WriteTimes::default();
-    ages.heard_whole(5, 0, at(1_000));
+    ages.note_peer_complete(5, 0, at(1_000));
     assert_eq!(ages.unconfirmed_ms(at(1_100)), None);
     ages.confirm(5, at(1_050));
     assert_eq!(ages.unconfirmed_ms(at(1_100)), Some(50));
@@ -189,7 +189,7 @@
         for (offset, time) in written.iter().enumerate() {
             let offset = offset as u64;
             prop_assert!(ends.known_since(offset).is_none_or(|it| at(*time) <= it));
-            prop_assert!(whole.until(offset).is_none_or(|it| it <= at(*time)));
+            prop_assert!(whole.unwritten_until(offset).is_none_or(|it| it <= at(*time)));
         }
     }
 }
--- a/crates/gradeloft_policy/tests/capacity.rs
+++ b/crates/gradeloft_policy/tests/capacity.rs
@@ -43,8 +43,8 @@
             since_start: Duration::from_millis(ms),
             since_contact: Some(Duration::from_millis(ms)),
             seed: false,
-            known: false,
-            spare: false,
+            held_by_peer: false,
+            optional: false,
             rank: rendezvous::rank(0, own, others.iter().copied()),
         })
     })
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -378,7 +378,7 @@
         let mut spend = |roster: &Roster, acquaintance| {
             while budget.repeat(
                 bounds,
-                roster.sharers(acquaintance),
+                roster.budget_sharers(acquaintance),
                 Time::ZERO.after_ms(300),
             ) {
                 repeats += 1;
@@ -392,7 +392,10 @@
     }
     assert!(f64::from(repeats) <= bounds.slack, "{repeats}");
     // Nothing is taken for good from who has met the others.
-    assert_eq!(Roster::default().sharers(Discovery::Complete), Some(1));
+    assert_eq!(
+        Roster::default().budget_sharers(Discovery::Complete),
+        Some(1)
+    );
 }
 
 #[rstest]
@@ -447,7 +450,7 @@
     roster.receive(gone, word(5, "z", State::Ready), later);
     roster.receive(gone, word(1, "z", State::Leaving), later);
     assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
-    assert_eq!(roster.most(), 4);
+    assert_eq!(roster.peak_size(), 4);
 }
 
 #[test]
--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/homes.rs
@@ -64,7 +64,7 @@
 ) {
     let config = config(vec![route("/r/", of_route)], of_team);
     let homes = config.allowed_regions(&config.document.routes[0], team);
-    let regions = ["a", "b"].into_iter().filter(|it| homes.allow(it));
+    let regions = ["a", "b"].into_iter().filter(|it| homes.allows(it));
     assert_eq!(regions.collect::<String>(), allowed);
 }
 
@@ -77,6 +77,6 @@
     ];
     let config = config(routes, &[]);
     let homes = config.allowed_regions_of_host("H");
-    assert_eq!(["a", "b"].map(|it| homes.allow(it)), [false, true]);
-    assert!(config.allowed_regions_of_host("unknown").everywhere());
+    assert_eq!(["a", "b"].map(|it| homes.allows(it)), [false, true]);
+    assert!(config.allowed_regions_of_host("unknown").is_unrestricted());
 }
--- a/crates/gradeloft_policy/tests/leave.rs
+++ b/crates/gradeloft_policy/tests/leave.rs
@@ -17,12 +17,12 @@
     for sent_ms in 0..GRACE_MS {
         for time_ms in [1_000, 6_000] {
             let deadline = at(sent_ms + time_ms);
-            assert_eq!(leave.takes(deadline), deadline <= leave.end);
+            assert_eq!(leave.accepts(deadline), deadline <= leave.end);
         }
     }
     assert!(leave.end < at(GRACE_MS));
     // A stream that comes with the signal is still taken.
-    assert!(leave.takes(at(6_000)));
+    assert!(leave.accepts(at(6_000)));
 }
 
 #[rstest]
@@ -36,7 +36,7 @@
     #[case] over: bool,
 ) {
     let leave = Drain::begin(Time::ZERO, GRACE_MS);
-    assert_eq!(leave.over(connections, at(now_ms)), over);
+    assert_eq!(leave.finished(connections, at(now_ms)), over);
 }
 
 /// A connection at rest stays until callers have other addresses, a late one for a moment.
@@ -46,5 +46,5 @@
 #[case(5_000, 6_000)]
 fn how_long_a_connection_may_rest(#[case] rests_ms: u64, #[case] until_ms: u64) {
     let leave = Drain::begin(Time::ZERO, GRACE_MS);
-    assert_eq!(leave.rests_until(at(rests_ms)), at(until_ms));
+    assert_eq!(leave.idle_until(at(rests_ms)), at(until_ms));
 }
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -262,7 +262,7 @@
     let peers: Vec<_> = membership.iter().map(|(_, it)| it).collect();
     let draw = |own: u64| -> Vec<u64> {
         let others: Vec<_> = peers.iter().copied().filter(|it| it.node != own).collect();
-        gossip::draw(own, &others)
+        gossip::select_peers(own, &others)
             .iter()
             .map(|it| it.node)
             .collect()
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -9,7 +9,8 @@
         mirror::{Mirror, Record, Update},
         pending_update::{PendingUpdate, Row},
         transfer::{
-            Choice, Fetcher, Holders, MAX_VALUE, MissingValue, Progress, Refusal, Slots, Transfer,
+            Choice, Fetcher, Holders, MAX_VALUE, MissingValue, Progress, Refusal, Transfer,
+            UploadSlots,
         },
     },
 };
@@ -106,9 +107,12 @@
     let mut mirror = Mirror::default();
     mirror.apply(follows(vec![record("a", Some("0"), 0)]));
     let ahead = vec![record("b", Some("2"), 2), record("a", None, 3)];
-    assert_eq!(mirror.ahead(ahead.clone()), [record("b", Some("2"), 2)]);
+    assert_eq!(
+        mirror.apply_ahead(ahead.clone()),
+        [record("b", Some("2"), 2)]
+    );
     assert_eq!(mirror.end(), 1);
-    assert!(mirror.ahead(ahead.clone()).is_empty());
+    assert!(mirror.apply_ahead(ahead.clone()).is_empty());
     assert_eq!(mirror.since(1).end, 1, "peers are told no more than that");
     let missed = record("c", Some("1"), 1);
     let whole = [vec![missed.clone()], ahead].concat();
@@ -120,7 +124,7 @@
 #[test]
 fn an_older_record_does_not_undo_what_was_taken_in_ahead() {
     let mut mirror = Mirror::default();
-    mirror.ahead(vec![record("a", Some("new"), 5)]);
+    mirror.apply_ahead(vec![record("a", Some("new"), 5)]);
     let older = (0..5).map(|it| record("a", (it % 2 == 0).then_some("old"), it));
     assert!(mirror.apply(follows(older.collect())).is_empty());
     assert_eq!(mirror.value("a"), Some(&Bytes::from("new")));
@@ -150,16 +154,16 @@
         Row::Present(record("b", None, 4)),
     ];
     let mut pending = PendingUpdate::new(false, rows, 5);
-    let ready = pending.ready(0).unwrap();
+    let ready = pending.take_ready(0).unwrap();
     assert_eq!(ready, follows(vec![record("a", Some("0"), 0)]));
-    assert_eq!(pending.ready(1), None);
+    assert_eq!(pending.take_ready(1), None);
     assert_eq!(
-        pending.ahead(),
+        pending.usable_ahead(),
         [record("c", Some("3"), 3)],
         "what is deleted is not brought back"
     );
     pending.fill(|it| (it.offset == 1).then(|| Bytes::from("large")));
-    let ready = pending.ready(1).unwrap();
+    let ready = pending.take_ready(1).unwrap();
     assert_eq!(ready.records.len(), 4);
     assert_eq!(ready.end, 5);
 }
@@ -171,12 +175,12 @@
         Row::Missing(want("config", "large", 6)),
     ];
     let mut pending = PendingUpdate::new(true, rows, 9);
-    assert_eq!(pending.ready(2), None);
+    assert_eq!(pending.take_ready(2), None);
     assert!(!pending.outdated(8));
     assert!(pending.outdated(9));
     pending.fill(|_| Some(Bytes::from("large")));
     assert_eq!(pending.missing(), None);
-    assert_eq!(pending.ready(2).unwrap().records.len(), 2);
+    assert_eq!(pending.take_ready(2).unwrap().records.len(), 2);
 }
 
 #[test]
@@ -186,7 +190,7 @@
         Row::Present(record("b", Some("2"), 2)),
     ];
     let mut pending = PendingUpdate::new(false, rows, 3);
-    let ready = pending.ready(2).unwrap();
+    let ready = pending.take_ready(2).unwrap();
     assert_eq!(ready.records, [record("b", Some("2"), 2)]);
 }
 
@@ -297,7 +301,7 @@
     /// Bytes a second, in each direction.
     link: f64,
     role: Role,
-    slots: Slots,
+    slots: UploadSlots,
     transfer: Transfer,
     holders: Holders,
     /// Bytes that came.
@@ -316,7 +320,7 @@
         Process {
             link,
             role,
-            slots: Slots::default(),
+            slots: UploadSlots::default(),
             transfer: Transfer::new(want("config", "large", 3), Time::ZERO),
             holders: Holders::default(),
             came: 0.0,
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -126,7 +126,9 @@
     let first = speaking(&all);
     assert_eq!(first.len(), 2);
     // Those of other regions draw the same.
-    let relays: Vec<_> = (0..2).filter_map(|it| delegates::relay(&all, it)).collect();
+    let relays: Vec<_> = (0..2)
+        .filter_map(|it| delegates::relay_for_turn(&all, it))
+        .collect();
     assert!(first.iter().all(|it| relays.contains(it)));
     let left: Vec<Ipv4Addr> = all
         .iter()
@@ -135,8 +137,8 @@
         .collect();
     let second = speaking(&left);
     assert_eq!(second.len(), 2);
-    assert_eq!(delegates::relay(&[], 3), None);
-    assert_eq!(delegates::relay(&all[..1], 3), Some(all[0]));
+    assert_eq!(delegates::relay_for_turn(&[], 3), None);
+    assert_eq!(delegates::relay_for_turn(&all[..1], 3), Some(all[0]));
 }
 
 #[rstest]
@@ -326,8 +328,8 @@
         since_start,
         since_contact: Some(since_start),
         seed,
-        known: told,
-        spare,
+        held_by_peer: told,
+        optional: spare,
         rank: 0,
     };
     assert_eq!(readers::reads_first(first), reads);
@@ -350,8 +352,8 @@
         since_start: Duration::from_millis(ms),
         since_contact: contact_ms.map(Duration::from_millis),
         seed: false,
-        known: false,
-        spare: false,
+        held_by_peer: false,
+        optional: false,
         rank: 0,
     };
     assert_eq!(readers::reads_first(first), reads);
@@ -373,8 +375,8 @@
             since_start: Duration::from_millis(ms),
             since_contact: Some(Duration::from_millis(ms)),
             seed: false,
-            known: is_known,
-            spare: false,
+            held_by_peer: is_known,
+            optional: false,
             rank: rendezvous::rank(1, *own, others.into_iter()),
         })
     };
--- a/crates/gradeloft_policy/tests/shares.rs
+++ b/crates/gradeloft_policy/tests/shares.rs
@@ -3,8 +3,8 @@
 use gradeloft_policy::{
     clock::Time,
     process::rate_leases::{
-        Borrower, CUT_OFF_FRACTION, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
-        SILENT_FRACTION, home,
+        Borrower, CUT_OFF_FRACTION, Demand, FleetView, HomeReach, IDLE_FRACTION, LEASE_MS,
+        LeaseRequest, Lender, home,
     },
 };
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
     let mut granted = vec![0.0; demands.len()];
     for _ in 0..4 {
         for (entry, demand) in demands.iter().enumerate() {
-            granted[entry] = lender.ask(ask(entry as u64, *demand), ALL, now);
+            granted[entry] = lender.grant(ask(entry as u64, *demand), ALL, now);
         }
     }
     granted
@@ -63,7 +63,7 @@
     let (mut lender, now) = lender();
     let lent: f64 = settled(&mut lender, &[700.0; 6], now).iter().sum();
     assert!(
-        (lent + part * SILENT_FRACTION - ALLOWED).abs() < 1.0,
+        (lent + part * IDLE_FRACTION - ALLOWED).abs() < 1.0,
         "{lent} beside a silent one"
     );
 
@@ -75,7 +75,7 @@
     let mut granted = [0.0; 6];
     for _ in 0..4 {
         for (entry, granted) in granted.iter_mut().enumerate() {
-            *granted = lender.ask(ask(entry as u64, 700.0), cut_off, now);
+            *granted = lender.grant(ask(entry as u64, 700.0), cut_off, now);
         }
     }
     let lent: f64 = granted.iter().sum();
@@ -119,8 +119,8 @@
         connected: 3,
         ..ALL
     };
-    let least = ALLOWED * SILENT_FRACTION / ENTRIES as f64;
-    assert_eq!(lender.ask(ask(0, 700.0), cut_off, now), least);
+    let least = ALLOWED * IDLE_FRACTION / ENTRIES as f64;
+    assert_eq!(lender.grant(ask(0, 700.0), cut_off, now), least);
 }
 
 #[test]
@@ -131,9 +131,9 @@
         demand: 700.0,
         held: 300.0,
     };
-    assert_eq!(lender.ask(held, ALL, Time::ZERO), 300.0);
+    assert_eq!(lender.grant(held, ALL, Time::ZERO), 300.0);
     let late = Time::ZERO.after_ms(LEASE_MS);
-    assert!(300.0 < lender.ask(held, ALL, late));
+    assert!(300.0 < lender.grant(held, ALL, late));
 }
 
 #[test]
@@ -176,7 +176,7 @@
         for (entry, demand, wait) in asks {
             now = now.after_ms(wait);
             let held = borrowers[entry as usize].held(now);
-            let rate = lender.ask(LeaseRequest { entry, demand, held }, ALL, now);
+            let rate = lender.grant(LeaseRequest { entry, demand, held }, ALL, now);
             borrowers[entry as usize].granted(rate, now);
             let used: f64 = borrowers.iter().map(|it| it.rate(ALLOWED, ENTRIES, HomeReach::Home, now)).sum();
             prop_assert!(used <= ALLOWED * 1.000_001, "{used}");
--- a/crates/gradeloft_policy/tests/standing.rs
+++ b/crates/gradeloft_policy/tests/standing.rs
@@ -53,9 +53,9 @@
     #[case] most: bool,
 ) {
     let roster = roster(others);
-    assert_eq!(roster.most_beyond(7, NOW), most);
+    assert_eq!(roster.majority_beyond(7, NOW), most);
     // Those that fell silent count for nothing.
-    assert!(!roster.most_beyond(7, NOW.after_ms(5_000)));
+    assert!(!roster.majority_beyond(7, NOW.after_ms(5_000)));
 }
 
 #[rstest]
--- a/crates/gradeloft_policy/tests/warmup.rs
+++ b/crates/gradeloft_policy/tests/warmup.rs
@@ -14,7 +14,7 @@
         .collect();
     let pause = |own: &u64| {
         let others = names.iter().copied().filter(move |it| it != own);
-        warmup::pause(per_s, 7, *own, others)
+        warmup::min_interval(per_s, 7, *own, others)
     };
     names.iter().filter_map(pause).collect()
 }
