--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -312,8 +312,8 @@
         service: None,
     };
     let mut membership = Membership::new("entry");
-    for key in membership.listed((0..count).map(instance).collect()) {
-        membership.noticed(key, notice(1), Time::ZERO);
+    for key in membership.apply_list((0..count).map(instance).collect()) {
+        membership.receive_notice(key, notice(1), Time::ZERO);
     }
     membership
 }
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -228,7 +228,7 @@
 impl Attempt {
     fn new(entry: &Rc<Entry>, key: PeerKey) -> Attempt {
         if let Some(peer) = entry.node.membership.borrow_mut().get_mut(key) {
-            peer.own += 1;
+            peer.own_requests += 1;
         }
         Attempt {
             entry: Rc::clone(entry),
@@ -240,7 +240,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if let Some(peer) = self.entry.node.membership.borrow_mut().get_mut(self.key) {
-            peer.own -= 1;
+            peer.own_requests -= 1;
         }
     }
 }
@@ -259,7 +259,10 @@
             .filter(|(_, it)| it.takes_work(now) && target.served_by(it))
             .filter(|(_, it)| context.may_use(&it.instance.zone))
             .collect();
-        let running = serving.iter().map(|(_, it)| it.own + it.others()).sum();
+        let running = serving
+            .iter()
+            .map(|(_, it)| it.own_requests + it.others())
+            .sum();
         let slots = serving.iter().map(|(_, it)| it.capacity()).sum();
         if tried.is_empty() && !serving.is_empty() {
             let shed = admission::sheds(context.class, running, slots);
@@ -290,9 +293,9 @@
             key,
             node: peer.node,
             near,
-            own: peer.own,
+            own: peer.own_requests,
             others: peer.others(),
-            reported: peer.noticed,
+            reported: peer.noticed_at,
             capacity: peer.capacity(),
         }
     }
--- a/crates/gradeloft_daemon/src/node/peers.rs
+++ b/crates/gradeloft_daemon/src/node/peers.rs
@@ -51,7 +51,7 @@
         match node.platform.list.instances().await {
             Ok(instances) => {
                 interval_ms = membership::list_interval_ms(instances.len());
-                let fresh = node.membership.borrow_mut().listed(instances);
+                let fresh = node.membership.borrow_mut().apply_list(instances);
                 for key in fresh {
                     watch(&node, key);
                 }
@@ -83,7 +83,7 @@
         }
         let reason = watch_once(&node, key, &address).await;
         let now = node.clock.now();
-        node.membership.borrow_mut().lost(key, now);
+        node.membership.borrow_mut().connection_lost(key, now);
         node.members.send_modify(|it| *it += 1);
         debug!(node.log, "peer lost"; "peer" => &address, "why" => reason);
         let retry_at = node
@@ -135,7 +135,7 @@
         info!(node.log, "peer state"; "peer" => &notice.node, "leaving" => notice.leaving,
             "serving" => notice.serving.len(), "bundle" => notice.bundle);
     }
-    membership.noticed(key, notice, now);
+    membership.receive_notice(key, notice, now);
     drop(membership);
     if changed {
         node.members.send_modify(|it| *it += 1);
--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -208,13 +208,13 @@
     /// Whether it has a free slot of its own at a replica.
     fn is_within(&self, replica: usize) -> bool {
         let replica = self.replicas.get(self.keys[replica]);
-        replica.is_some_and(Replica::has_own_slot)
+        replica.is_some_and(Replica::has_free_own_slot)
     }
 
     /// Counts a request with a prompt as sent to a replica.
     pub fn sent(&mut self, replica: usize, prompt: f64) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.own_waiting_tokens += prompt;
         }
@@ -233,7 +233,7 @@
     /// A request's answer ended.
     pub fn ended(&mut self, replica: usize) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
     }
 
@@ -242,7 +242,7 @@
         let replicas = self.keys.iter().filter_map(|it| self.replicas.get(*it));
         replicas
             .map(|it| Held {
-                running: it.own,
+                running: it.own_requests,
                 waiting: it.own_waiting,
             })
             .collect()
@@ -253,7 +253,7 @@
         self.told = now;
         for (idx, key) in self.keys.iter().enumerate() {
             if let Some(replica) = self.replicas.get_mut(*key) {
-                (replica.others, replica.others_waiting) =
+                (replica.other_requests, replica.others_waiting) =
                     (others[idx].running, others[idx].waiting);
                 replica.listing.draining = !here[idx];
             }
@@ -268,7 +268,7 @@
         let parts = slot_split::parts(self.position, load.entries, &slots);
         for (key, part) in open.into_iter().zip(parts) {
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.part = part;
+                replica.own_slots = part;
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -6,7 +6,7 @@
     clock::Time,
     process::{
         allowed_regions::AllowedRegions,
-        document::{Config, Denied, Kind, Route},
+        document::{Config, Denied, Route, RouteKind},
         freshness::Freshness,
         replicas::ReplicaKey,
     },
@@ -449,7 +449,7 @@
 }
 
 fn resumed(job: &Job) -> bool {
-    job.route.kind == Kind::ResumableStream && job.head_sent && 1 < job.tried.len()
+    job.route.kind == RouteKind::ResumableStream && job.head_sent && 1 < job.tried.len()
 }
 
 fn log_refusal(entry: &Entry, received: &Received, refusal: Refusal) {
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -411,10 +411,10 @@
     /// Adds this entry's own requests at replicas.
     fn add_own(&self, sums: &mut HashMap<u32, Load>) {
         let replicas = self.replicas.borrow();
-        for (_, replica) in replicas.iter().filter(|(_, it)| 0 < it.own) {
+        for (_, replica) in replicas.iter().filter(|(_, it)| 0 < it.own_requests) {
             let load = Load {
                 replica: replica.hash(),
-                running: replica.own,
+                running: replica.own_requests,
                 waiting: replica.own_waiting,
             };
             remote_loads::add(sums, load);
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -14,10 +14,10 @@
     pub fn running(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> Running {
         let now = self.node.clock.now();
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
-            if replica.own == 0 {
+            if replica.own_requests == 0 {
                 replica.silent_since = now;
             }
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.note_sent(self.node.clock.now());
             replica.own_waiting_tokens += prompt_tokens;
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.begun();
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
         self.entry.room_freed.notify_waiters();
     }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -126,7 +126,7 @@
             for (place, parts) in places.iter().zip(parts) {
                 for ((_, key, _), part) in place.replicas.iter().zip(parts) {
                     if let Some(replica) = replicas.get_mut(*key) {
-                        replica.part = part;
+                        replica.own_slots = part;
                     }
                 }
             }
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -87,7 +87,7 @@
     pub fn count_placement(&self, service: &Rc<str>, chosen: Option<ReplicaKey>) {
         let replicas = self.replicas.borrow();
         let chosen = chosen.and_then(|it| replicas.get(it));
-        if chosen.is_some_and(Replica::has_own_slot) {
+        if chosen.is_some_and(Replica::has_free_own_slot) {
             return;
         }
         let now = self.node.clock.now();
--- a/crates/gradeloft_gateway/tests/entry/behind.rs
+++ b/crates/gradeloft_gateway/tests/entry/behind.rs
@@ -13,7 +13,7 @@
 
 use std::{cell::Cell, net::Ipv4Addr, rc::Rc, time::Duration};
 
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::{
     codec,
@@ -107,7 +107,7 @@
     run(async {
         let shape = Shape {
             body_bytes: 8,
-            ..Shape::of(Kind::Once)
+            ..Shape::of(RouteKind::Once)
         };
         let world = World::start(shape, vec![well("never")]).await;
         let long_body = request("POST", "longer than that");
@@ -135,7 +135,7 @@
         let mut slow = vec![Step::Read, Step::Wait(LONG), ok("held")];
         // The second request may come on the connection of the first.
         slow.extend(later.clone());
-        let world = World::start(Shape::of(Kind::Once), vec![vec![slow, later]]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![vec![slow, later]]).await;
         let holding = request("POST", "form");
         let held = world.ask(&holding);
         let meanwhile = async {
@@ -166,7 +166,7 @@
 #[test]
 fn an_entry_that_is_behind_as_most_others_are_serves_on() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("served")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("served")]).await;
         peers(&[FURTHER, END, END]).await;
         behind(&world, LONG).await;
         assert!(world.get(8002, "/ready").await.starts_with("HTTP/1.1 200"));
--- a/crates/gradeloft_gateway/tests/entry/callers_gone.rs
+++ b/crates/gradeloft_gateway/tests/entry/callers_gone.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::support::{Shape, World, address, ok, request, run, until};
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::frame::Table;
 use tokio::{
@@ -27,7 +27,7 @@
 #[test]
 fn a_request_whose_caller_left_before_it_was_read_goes_nowhere() {
     run(async {
-        let world = World::start(Shape::of(Kind::Idempotent), vec![well()]).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), vec![well()]).await;
         for _ in 0..REQUESTS {
             // The end follows the request at once, so the entry finds both when it reads.
             let stream = std::net::TcpStream::connect((address(1), 8005)).unwrap();
@@ -42,7 +42,7 @@
 fn a_caller_that_leaves_while_a_replica_is_connected_to_ends_the_wait_and_every_retry() {
     run(async {
         let scripts = vec![well(), well()];
-        let world = World::start(Shape::of(Kind::Idempotent), scripts).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), scripts).await;
         // A listener whose queue is full does not answer.
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind((address(100), 8541).into()).unwrap();
@@ -77,7 +77,7 @@
 #[test]
 fn what_waits_before_a_full_link_is_not_delivered_after_its_caller_left() {
     run(async {
-        let world = World::start(Shape::of(Kind::Idempotent), vec![well()]).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), vec![well()]).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         socket.bind((address(100), 8541).into()).unwrap();
--- a/crates/gradeloft_gateway/tests/entry/crashing.rs
+++ b/crates/gradeloft_gateway/tests/entry/crashing.rs
@@ -12,7 +12,7 @@
 use futures_util::future::{join, join_all};
 use gradeloft_gateway::{entry::Handle, suspects};
 use gradeloft_platform::fleet::Lookup;
-use gradeloft_policy::process::{document::Kind, replicas::Listing};
+use gradeloft_policy::process::{document::RouteKind, replicas::Listing};
 use gradeloft_standin::{
     fragile::{Fragile, Nature},
     scripted::Step,
@@ -43,7 +43,7 @@
 
     /// Entry 1 in the region `z`, and others in their zones, each of which is a region.
     async fn start(replicas: u8, others: &[(u8, &str)]) -> Fleet {
-        let world = World::unready(Shape::of(Kind::Idempotent), Vec::new()).await;
+        let world = World::unready(Shape::of(RouteKind::Idempotent), Vec::new()).await;
         let mut started = Vec::new();
         for (last, zone) in others {
             started.push(world.in_zone(*last, zone, &world.tables).await);
@@ -324,7 +324,7 @@
         let closes = || vec![Step::Read, Step::Close];
         let replica = || vec![breaks(), closes(), breaks(), closes(), breaks(), closes()];
         let scripts = vec![replica(), replica(), replica()];
-        let world = World::start(Shape::of(Kind::Idempotent), scripts).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), scripts).await;
         let entry = world.entry.entry();
         until(|| async { entry.replicas.borrow().len() == 3 }).await;
         for _ in 0..6 {
--- a/crates/gradeloft_gateway/tests/entry/cut_off.rs
+++ b/crates/gradeloft_gateway/tests/entry/cut_off.rs
@@ -5,7 +5,7 @@
 
 use crate::support::{Shape, World, address, get, ok, request, run, until};
 use gradeloft_gateway::{node::Node, settings::Settings};
-use gradeloft_policy::process::{document::Kind, mirror::Record};
+use gradeloft_policy::process::{document::RouteKind, mirror::Record};
 use gradeloft_standin::{
     scripted::Step,
     tables::{Mood, Tables},
@@ -20,7 +20,7 @@
 #[test]
 fn an_entry_that_is_cut_off_takes_a_steady_peers_word_for_a_removal() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a"), well("b")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a"), well("b")]).await;
         let refusing = Rc::new(Tables::default());
         refusing.mood.set(Mood::Refusing);
         let second = world.another(2, &refusing).await;
@@ -40,7 +40,7 @@
 #[test]
 fn a_connection_on_which_a_peer_did_not_answer_is_not_used_again() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let silent = TcpListener::bind((address(9), 7700)).await.unwrap();
         let connections = Rc::new(Cell::new(0));
         let counted = Rc::clone(&connections);
@@ -64,7 +64,7 @@
     run(async {
         let silent = vec![vec![Step::Read, Step::UntilGone]];
         let scripts = vec![silent, well("from weights that are too old")];
-        let world = World::unready(Shape::of(Kind::Idempotent), scripts).await;
+        let world = World::unready(Shape::of(RouteKind::Idempotent), scripts).await;
         (0..2).for_each(|it| world.holds(it, 1));
         world.tables.write(Table::Operator, "config", Some("1"));
         world.list_all();
@@ -93,7 +93,7 @@
 #[test]
 fn what_was_dropped_while_the_store_was_away_is_read_whole_once_it_is_back() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let entry = world.entry.entry();
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
@@ -115,7 +115,7 @@
 #[test]
 fn a_configuration_written_while_waiting_reads_are_silent_is_in_force_within_two_seconds() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let entry = world.entry.entry();
         let waits = async || until(|| async { world.tables.waiting(Table::Operator) == 1 }).await;
         waits().await;
@@ -136,7 +136,7 @@
 #[test]
 fn a_copy_is_whole_up_to_the_last_read_before_the_store_was_away() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let node = &world.entry.entry().node;
         let table = Table::Operator;
         until(|| async { node.confirmed_until(table).is_some() }).await;
@@ -160,7 +160,7 @@
     run(async {
         let silent = vec![vec![Step::Read, Step::UntilGone]];
         let scripts = vec![silent, well("from new weights")];
-        let world = World::unready(Shape::of(Kind::Idempotent), scripts).await;
+        let world = World::unready(Shape::of(RouteKind::Idempotent), scripts).await;
         world.holds(0, 1);
         world.holds(1, 2);
         world.tables.write(Table::Operator, "config", Some("1"));
@@ -204,7 +204,7 @@
 #[test]
 fn a_version_that_is_read_after_an_interruption_counts_from_before_it() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let node = &world.entry.entry().node;
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
@@ -226,7 +226,7 @@
 #[test]
 fn a_version_that_a_peer_learned_late_keeps_its_age() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let refusing = Rc::new(Tables::default());
         refusing.mood.set(Mood::Refusing);
         let second = world.another(2, &refusing).await;
@@ -251,7 +251,7 @@
 #[test]
 fn a_version_that_came_while_the_process_stood_still_counts_from_before() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         let node = &world.entry.entry().node;
         world.tables.write(Table::Operator, "config", Some("2"));
         until(|| async { node.end(Table::Operator) == 2 }).await;
@@ -275,7 +275,7 @@
 #[test]
 fn a_version_that_was_named_before_the_start_is_due() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("a")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("a")]).await;
         world.tables.write(Table::Operator, "weights/m", Some("2"));
         // Whoever is asked first has both.
         let first = world.entry.entry();
--- a/crates/gradeloft_gateway/tests/entry/forward.rs
+++ b/crates/gradeloft_gateway/tests/entry/forward.rs
@@ -5,7 +5,7 @@
 use crate::support::{
     Shape, World, address, answer, get, last_chunk, ok, request, run, stream, until,
 };
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::{scripted::Step, tables::Mood};
 use gradeloft_wire::frame::Table;
 use rstest::rstest;
@@ -23,7 +23,7 @@
 #[test]
 fn an_answer_goes_through_unchanged_and_the_replica_gets_what_concerns_it() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("receipt")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("receipt")]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
         assert!(answer.contains("t-seal: s1\r\n") && answer.ends_with("\r\n\r\nreceipt"));
@@ -40,30 +40,30 @@
 
 #[rstest]
 // Sent and no answer: it may have run.
-#[case(Kind::Once, vec![Step::Read, Step::Close], "502", 1)]
-#[case(Kind::Once, vec![Step::Read, Step::Reset], "502", 1)]
-#[case(Kind::Idempotent, vec![Step::Read, Step::Close], "200", 2)]
-#[case(Kind::Idempotent, vec![Step::Read, Step::Reset], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Close], "502", 1)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Reset], "502", 1)]
+#[case(RouteKind::Idempotent, vec![Step::Read, Step::Close], "200", 2)]
+#[case(RouteKind::Idempotent, vec![Step::Read, Step::Reset], "200", 2)]
 // The replica says that it ran nothing.
-#[case(Kind::Once, vec![Step::Read, answer("503 Full", "t-not-run: 1\r\n", "")], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, answer("503 Full", "t-not-run: 1\r\n", "")], "200", 2)]
 // Another replica has the address now.
-#[case(Kind::Once, vec![Step::Read, answer("421 Other", "t-replica-id: x\r\n", "")], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, answer("421 Other", "t-replica-id: x\r\n", "")], "200", 2)]
 // Its own failure is passed on, unless the request may be repeated.
-#[case(Kind::Once, vec![Step::Read, answer("500 Oops", "t-seal: s\r\n", "")], "500", 1)]
-#[case(Kind::Idempotent, vec![Step::Read, answer("500 Oops", "t-seal: s\r\n", "")], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, answer("500 Oops", "t-seal: s\r\n", "")], "500", 1)]
+#[case(RouteKind::Idempotent, vec![Step::Read, answer("500 Oops", "t-seal: s\r\n", "")], "200", 2)]
 // Bytes that are no answer.
-#[case(Kind::Once, vec![Step::Read, Step::Send("\u{1}nonsense\r\n\r\n".into())], "502", 1)]
-#[case(Kind::Idempotent, vec![Step::Read, Step::Send("nonsense\r\n\r\n".into())], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Send("\u{1}nonsense\r\n\r\n".into())], "502", 1)]
+#[case(RouteKind::Idempotent, vec![Step::Read, Step::Send("nonsense\r\n\r\n".into())], "200", 2)]
 // A body that ends early.
-#[case(Kind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\nContent-Length: 9\r\n\r\nhalf".into()), Step::Close], "502", 1)]
-#[case(Kind::Idempotent, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\nContent-Length: 9\r\n\r\nhalf".into()), Step::Close], "200", 2)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\nContent-Length: 9\r\n\r\nhalf".into()), Step::Close], "502", 1)]
+#[case(RouteKind::Idempotent, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\nContent-Length: 9\r\n\r\nhalf".into()), Step::Close], "200", 2)]
 // A success that no replica sealed.
-#[case(Kind::Once, vec![Step::Read, answer("200 OK", "", "forged")], "502", 1)]
+#[case(RouteKind::Once, vec![Step::Read, answer("200 OK", "", "forged")], "502", 1)]
 // A body that ends with its connection is whole only if the connection was not reset.
-#[case(Kind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\n\r\nall".into()), Step::Close], "200", 1)]
-#[case(Kind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\n\r\npart".into()), Step::Wait(Duration::from_millis(50)), Step::Reset], "502", 1)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\n\r\nall".into()), Step::Close], "200", 1)]
+#[case(RouteKind::Once, vec![Step::Read, Step::Send("HTTP/1.1 200 OK\r\nt-seal: s\r\n\r\npart".into()), Step::Wait(Duration::from_millis(50)), Step::Reset], "502", 1)]
 fn how_a_connection_ends_decides_what_follows(
-    #[case] kind: Kind,
+    #[case] kind: RouteKind,
     #[case] first: Vec<Step>,
     #[case] status: &str,
     #[case] arrivals: usize,
@@ -86,7 +86,11 @@
 fn nothing_sent_leaves_even_a_call_that_runs_once_free_to_go_elsewhere() {
     run(async {
         // Resets connections before it reads anything.
-        let world = World::start(Shape::of(Kind::Once), vec![well("never"), well("second")]).await;
+        let world = World::start(
+            Shape::of(RouteKind::Once),
+            vec![well("never"), well("second")],
+        )
+        .await;
         // Nobody listens where the first replica was.
         let refused = world.tables.clone();
         refused.write(Table::Replicas, "i-0", None);
@@ -102,7 +106,7 @@
         let full = once(vec![Step::Read, answer("503 Full", "t-not-run: 1\r\n", "")]);
         let shape = Shape {
             max_attempts: 1,
-            ..Shape::of(Kind::Once)
+            ..Shape::of(RouteKind::Once)
         };
         let world = World::start(shape, vec![full, well("never")]).await;
         let answer = world.ask(&request("POST", "form")).await;
@@ -126,7 +130,7 @@
             Step::Send(crossed.to_owned()),
             ok("right"),
         ]);
-        let world = World::start(Shape::of(Kind::Once), vec![script]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![script]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(
             answer.ends_with("right") && !answer.contains("wrong"),
@@ -144,7 +148,7 @@
             vec![Step::Read, Step::Send(extra.to_owned())],
             vec![Step::Read, ok("two")],
         ];
-        let world = World::start(Shape::of(Kind::Once), vec![script]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![script]).await;
         let first = world.ask(&request("POST", "form")).await;
         let second = world.ask(&request("POST", "form")).await;
         assert!(first.ends_with("\r\n\r\none"), "{first}");
@@ -157,7 +161,7 @@
 fn connections_are_used_again_after_whole_answers() {
     run(async {
         let script = once(vec![Step::Read, ok("one"), Step::Read, ok("two")]);
-        let world = World::start(Shape::of(Kind::Once), vec![script]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![script]).await;
         world.ask(&request("POST", "form")).await;
         let second = world.ask(&request("POST", "form")).await;
         assert!(second.ends_with("two"), "{second}");
@@ -175,7 +179,7 @@
         ];
         let shape = Shape {
             body_bytes: 64 << 20,
-            ..Shape::of(Kind::Once)
+            ..Shape::of(RouteKind::Once)
         };
         let world = World::start(shape, vec![script]).await;
         // More than the sockets between hold, so that part of it is unsent when the answer comes.
@@ -201,7 +205,7 @@
             stream("second", "id: 2\ndata: b\n\nid: 3\ndata: c\n\n"),
             last_chunk(),
         ]);
-        let world = World::start(Shape::of(Kind::ResumableStream), vec![first, second]).await;
+        let world = World::start(Shape::of(RouteKind::ResumableStream), vec![first, second]).await;
         let answer = world.ask(&request("POST", "prompt")).await;
         assert!(answer.contains("t-seal: first") && !answer.contains("t-seal: second"));
         let ids: Vec<&str> = answer.lines().filter(|it| it.starts_with("id:")).collect();
@@ -221,7 +225,7 @@
             Step::Wait(Duration::from_millis(30)),
             Step::Reset,
         ]);
-        let world = World::start(Shape::of(Kind::Stream), vec![cut, well("never")]).await;
+        let world = World::start(Shape::of(RouteKind::Stream), vec![cut, well("never")]).await;
         let answer = world.ask(&request("POST", "prompt")).await;
         assert!(
             answer.contains("data: a") && !answer.contains("0\r\n\r\n"),
@@ -239,7 +243,7 @@
             stream("s", "id: 1\ndata: a\n\n"),
             Step::UntilGone,
         ]);
-        let world = World::start(Shape::of(Kind::ResumableStream), vec![script]).await;
+        let world = World::start(Shape::of(RouteKind::ResumableStream), vec![script]).await;
         let mut caller = world.connect().await;
         caller
             .write_all(request("POST", "prompt").as_bytes())
@@ -261,7 +265,11 @@
 fn a_caller_who_leaves_before_the_answer_ends_the_replicas_work_and_nothing_is_repeated() {
     run(async {
         let script = once(vec![Step::Read, Step::UntilGone]);
-        let world = World::start(Shape::of(Kind::Idempotent), vec![script, well("never")]).await;
+        let world = World::start(
+            Shape::of(RouteKind::Idempotent),
+            vec![script, well("never")],
+        )
+        .await;
         let mut caller = world.connect().await;
         caller
             .write_all(request("GET", "").as_bytes())
@@ -279,7 +287,7 @@
     run(async {
         let shape = Shape {
             timeout_ms: 200,
-            ..Shape::of(Kind::Once)
+            ..Shape::of(RouteKind::Once)
         };
         let world = World::start(shape, vec![once(vec![Step::Read, Step::UntilGone])]).await;
         let answer = world.ask(&request("POST", "form")).await;
@@ -313,7 +321,7 @@
 )]
 fn what_is_not_proper_reaches_no_replica(#[case] bytes: &str, #[case] status: &str) {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("never")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("never")]).await;
         let mut request = bytes.to_owned();
         if status == "413" {
             request.push_str(&"x".repeat(1_100_000));
@@ -330,7 +338,7 @@
 #[test]
 fn an_entry_without_a_configuration_says_come_back_and_is_not_ready() {
     run(async {
-        let world = World::unready(Shape::of(Kind::Once), vec![well("never")]).await;
+        let world = World::unready(Shape::of(RouteKind::Once), vec![well("never")]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
         assert!(world.get(8002, "/ready").await.starts_with("HTTP/1.1 503"));
@@ -341,7 +349,7 @@
 #[test]
 fn an_entry_that_the_store_refuses_learns_from_its_peers() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("receipt")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("receipt")]).await;
         let refusing = std::rc::Rc::new(gradeloft_standin::tables::Tables::default());
         refusing.mood.set(Mood::Refusing);
         let _second = world.another(2, &refusing).await;
@@ -355,7 +363,7 @@
 #[test]
 fn a_configuration_read_late_does_not_bring_an_old_one_back() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("receipt")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("receipt")]).await;
         world.tables.write(Table::Operator, "config", Some("5"));
         until(|| async { world.entry.entry().config_version() == 5 }).await;
         world.tables.write(Table::Operator, "config", Some("4"));
@@ -374,7 +382,7 @@
             Step::Wait(Duration::from_millis(400)),
             ok("whole"),
         ]);
-        let world = World::start(Shape::of(Kind::Once), vec![slow]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![slow]).await;
         let mut caller = world.connect().await;
         let keeping = request("POST", "form").replace("Connection: close\r\n", "");
         caller.write_all(keeping.as_bytes()).await.unwrap();
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -11,7 +11,7 @@
 use gradeloft_daemon::clock::Clock;
 use gradeloft_platform::fleet::Lookup;
 use gradeloft_policy::{
-    process::{delegates, document::Kind, replicas::Listing, roster},
+    process::{delegates, document::RouteKind, replicas::Listing, roster},
     rendezvous,
 };
 use gradeloft_standin::{scripted::Step, tables::Mood};
@@ -130,7 +130,7 @@
 #[test]
 fn a_speaker_tells_another_region_of_its_members_and_their_requests() {
     run(async {
-        let _world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let near = Ear::at(3, "z").await;
         near.speak(1).await;
         let far = Ear::at(4, "elsewhere").await;
@@ -161,7 +161,7 @@
 #[test]
 fn only_the_speakers_of_a_large_region_tell_others_of_it() {
     run(async {
-        let _world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         // Two of the region's entries come before the world's own in the draw.
         let ours = roster::hash(&address(1));
         let before: Vec<u8> = (10..90)
@@ -194,7 +194,7 @@
 #[test]
 fn what_another_region_tells_is_passed_on_to_the_own_region_and_not_further() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let entry = world.entry.entry();
         let near = Ear::at(3, "z").await;
         near.hear(1, |it| {
@@ -245,7 +245,7 @@
 #[test]
 fn an_entry_that_asks_is_told_of_its_own_region() {
     run(async {
-        let _world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let first = Ear::at(4, "elsewhere").await;
         first.speak(1).await;
         let second = UdpSocket::bind((address(5), 7700)).await.unwrap();
@@ -275,7 +275,7 @@
 #[test]
 fn an_entry_that_reads_records_from_the_store_says_so_at_once() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let ear = Ear::at(3, "z").await;
         for last in 10..90 {
             let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
@@ -305,7 +305,7 @@
 #[test]
 fn the_entries_of_a_region_are_registered_together() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let mut others = Vec::new();
         for last in 2..12 {
             others.push(world.another(last, &world.tables).await);
@@ -319,7 +319,7 @@
 #[test]
 fn the_agent_of_a_replica_that_is_not_listed_gets_an_answer() {
     run(async {
-        let _world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let agent = UdpSocket::bind((address(9), 7700)).await.unwrap();
         let report = Datagram {
             sender: Sender::Agent {
@@ -341,7 +341,7 @@
 fn an_entry_that_takes_over_reading_trusts_what_it_reads() {
     run(async {
         let well = || vec![vec![Step::Read, ok("receipt")]];
-        let world = World::start(Shape::of(Kind::Once), vec![well(), well()]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well(), well()]).await;
         // The third in order for the table, and the two before it. Which those are depends on the
         // addresses, and so on this process.
         let table = Table::Replicas;
@@ -377,7 +377,7 @@
 #[test]
 fn a_word_that_lay_in_the_socket_while_the_process_stood_still_confirms_nothing() {
     run(async {
-        let world = World::unready(Shape::of(Kind::Once), Vec::new()).await;
+        let world = World::unready(Shape::of(RouteKind::Once), Vec::new()).await;
         // Nobody else has a copy that is whole now.
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
@@ -411,7 +411,7 @@
 fn nothing_that_a_large_fleet_has_to_say_is_left_out() {
     const BUSY: u32 = 400;
     run(async {
-        let world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let entry = world.entry.entry();
         let busy = |idx: u32| Listing {
             id: format!("busy-{idx}").into(),
@@ -429,7 +429,7 @@
             let mut replicas = entry.replicas.borrow_mut();
             for idx in 0..BUSY {
                 let key = replicas.list(busy(idx));
-                replicas.get_mut(key).unwrap().own = 8;
+                replicas.get_mut(key).unwrap().own_requests = 8;
             }
         }
         let far = Ear::at(4, "elsewhere").await;
@@ -481,7 +481,7 @@
 #[test]
 fn models_of_a_region_that_is_silent_count_as_full_until_it_tells() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), one_replica()).await;
+        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
         let entry = world.entry.entry();
         let far = |born: u64| Listing {
             id: "far".into(),
@@ -496,7 +496,7 @@
             warmup_left_ms: 0,
         };
         let key = entry.replicas.borrow_mut().list(far(5));
-        let others = || entry.replicas.borrow().get(key).unwrap().others;
+        let others = || entry.replicas.borrow().get(key).unwrap().other_requests;
         until(|| async { others() == 8 }).await;
         let hash = entry.replicas.borrow().get(key).unwrap().hash();
         let told = Datagram {
--- a/crates/gradeloft_gateway/tests/entry/large.rs
+++ b/crates/gradeloft_gateway/tests/entry/large.rs
@@ -20,7 +20,7 @@
     entry::Handle,
     node::{MAX_FRAME, Node},
 };
-use gradeloft_policy::{clock::Time, process::document::Kind};
+use gradeloft_policy::{clock::Time, process::document::RouteKind};
 use gradeloft_standin::{
     link::{Links, Relay},
     scripted::Step,
@@ -56,7 +56,7 @@
 
 async fn world() -> World {
     let well = vec![vec![Step::Read, ok("receipt")]];
-    World::start(Shape::of(Kind::Once), vec![well]).await
+    World::start(Shape::of(RouteKind::Once), vec![well]).await
 }
 
 fn refusing() -> Rc<Tables> {
--- a/crates/gradeloft_gateway/tests/entry/leaving.rs
+++ b/crates/gradeloft_gateway/tests/entry/leaving.rs
@@ -11,7 +11,7 @@
 use crate::support::{Shape, World, address, answer, get, last_chunk, ok, run, stream, until};
 use gradeloft_gateway::settings::Settings;
 use gradeloft_platform::fleet::Lookup;
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::scripted::Step;
 use rstest::rstest;
 use tokio::{
@@ -42,7 +42,7 @@
 }
 
 /// A world whose entry has a grace of its own.
-async fn start(kind: Kind, scripts: Vec<Vec<Vec<Step>>>) -> World {
+async fn start(kind: RouteKind, scripts: Vec<Vec<Vec<Step>>>) -> World {
     let world = World::start(Shape::of(kind), scripts).await;
     let node = &world.entry.entry().node;
     let settings = Settings {
@@ -91,7 +91,7 @@
     run(async {
         let closing = answer("200 OK", "t-seal: s1\r\nConnection: close\r\n", "first");
         let script = vec![Step::Read, closing];
-        let world = start(Kind::Once, vec![vec![script]]).await;
+        let world = start(RouteKind::Once, vec![vec![script]]).await;
         leave(world).await;
         for _ in 0..4 {
             let mut caller = connect().await;
@@ -108,7 +108,7 @@
 #[test]
 fn a_request_that_might_outlast_the_entry_is_refused_unrun() {
     run(async {
-        let world = start(Kind::Stream, vec![well()]).await;
+        let world = start(RouteKind::Stream, vec![well()]).await;
         let replica = Rc::clone(&world.replicas[0].seen);
         leave(world).await;
         let mut caller = connect().await;
@@ -125,7 +125,7 @@
 #[test]
 fn while_another_entry_takes_callers_they_are_sent_there() {
     run(async {
-        let world = start(Kind::Once, vec![well()]).await;
+        let world = start(RouteKind::Once, vec![well()]).await;
         let replica = Rc::clone(&world.replicas[0].seen);
         let _other = world.another(2, &world.tables).await;
         let ready = || async { get(2, 8002, "/ready").await.starts_with("HTTP/1.1 200") };
@@ -146,7 +146,7 @@
 #[test]
 fn a_request_on_a_kept_connection_is_answered() {
     run(async {
-        let world = start(Kind::Once, vec![well()]).await;
+        let world = start(RouteKind::Once, vec![well()]).await;
         let mut caller = connect().await;
         caller.write_all(kept(SHORT_MS).as_bytes()).await.unwrap();
         let answer = read_until(&mut caller, "first").await;
@@ -172,7 +172,7 @@
             stream("s2", "id: 1\ndata: b\n\n"),
             last_chunk(),
         ];
-        let world = start(Kind::Stream, vec![vec![script]]).await;
+        let world = start(RouteKind::Stream, vec![vec![script]]).await;
         let mut caller = connect().await;
         caller.write_all(kept(SHORT_MS).as_bytes()).await.unwrap();
         let begun = read_until(&mut caller, "data: a\n\n\r\n").await;
@@ -190,7 +190,7 @@
 #[test]
 fn connections_at_rest_end_before_the_process() {
     run(async {
-        let world = start(Kind::Once, vec![well()]).await;
+        let world = start(RouteKind::Once, vec![well()]).await;
         let mut caller = connect().await;
         let entry = Rc::clone(world.entry.entry());
         let left = actix_rt::spawn(world.entry.leave());
@@ -208,7 +208,7 @@
     run(async {
         let body = "x".repeat(500 << 10);
         let script = vec![Step::Read, ok(&body)];
-        let _world = start(Kind::Once, vec![vec![script]]).await;
+        let _world = start(RouteKind::Once, vec![vec![script]]).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         let mut caller = socket.connect((address(1), 8005).into()).await.unwrap();
@@ -227,7 +227,7 @@
 #[test]
 fn a_refusal_comes_while_the_body_is_under_way() {
     run(async {
-        let world = start(Kind::Once, vec![well()]).await;
+        let world = start(RouteKind::Once, vec![well()]).await;
         let mut caller = world.connect().await;
         let size = 3 << 20;
         let head = format!(
@@ -249,7 +249,7 @@
     run(async {
         let body = "x".repeat(bytes);
         let script = vec![Step::Read, ok(&body)];
-        let _world = start(Kind::Once, vec![vec![script]]).await;
+        let _world = start(RouteKind::Once, vec![vec![script]]).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         let mut caller = socket.connect((address(1), 8005).into()).await.unwrap();
@@ -269,7 +269,7 @@
 fn a_caller_that_closes_its_sending_half_has_left() {
     run(async {
         let script = vec![Step::Read, Step::UntilGone];
-        let world = start(Kind::Once, vec![vec![script]]).await;
+        let world = start(RouteKind::Once, vec![vec![script]]).await;
         let mut caller = connect().await;
         caller.write_all(kept(LONG_MS).as_bytes()).await.unwrap();
         until(|| async { world.arrivals() == 1 }).await;
--- a/crates/gradeloft_gateway/tests/entry/pauses.rs
+++ b/crates/gradeloft_gateway/tests/entry/pauses.rs
@@ -11,7 +11,7 @@
 
 use crate::support::{Shape, World, answer, last_chunk, request, run, stream, until};
 use gradeloft_gateway::settings::Settings;
-use gradeloft_policy::process::{document::Kind, retry_budget};
+use gradeloft_policy::process::{document::RouteKind, retry_budget};
 use gradeloft_standin::scripted::Step;
 use rstest::rstest;
 
@@ -55,7 +55,7 @@
     ])
 }
 
-fn attempts(kind: Kind, max_attempts: u32) -> Shape {
+fn attempts(kind: RouteKind, max_attempts: u32) -> Shape {
     Shape {
         max_attempts,
         ..Shape::of(kind)
@@ -63,10 +63,10 @@
 }
 
 #[rstest]
-#[case::runs_once(attempts(Kind::Stream, 2), vec![pausing_stream(), full()])]
-#[case::no_other_replica(attempts(Kind::ResumableStream, 2), vec![pausing_stream()])]
-#[case::no_attempt_left(attempts(Kind::ResumableStream, 1), vec![pausing_stream(), full()])]
-#[case::the_other_is_full(attempts(Kind::ResumableStream, 2), vec![pausing_stream(), full()])]
+#[case::runs_once(attempts(RouteKind::Stream, 2), vec![pausing_stream(), full()])]
+#[case::no_other_replica(attempts(RouteKind::ResumableStream, 2), vec![pausing_stream()])]
+#[case::no_attempt_left(attempts(RouteKind::ResumableStream, 1), vec![pausing_stream(), full()])]
+#[case::the_other_is_full(attempts(RouteKind::ResumableStream, 2), vec![pausing_stream(), full()])]
 fn a_stream_goes_on_after_a_pause_that_no_other_replica_bridges(
     #[case] shape: Shape,
     #[case] scripts: Vec<Vec<Vec<Step>>>,
@@ -83,7 +83,7 @@
 #[test]
 fn a_stream_goes_on_after_a_pause_while_the_budget_of_repeats_is_empty() {
     run(async {
-        let shape = Shape::of(Kind::ResumableStream);
+        let shape = Shape::of(RouteKind::ResumableStream);
         let world = World::start(shape, vec![pausing_stream(), pausing_stream()]).await;
         let node = &world.entry.entry().node;
         let settings = Settings {
@@ -103,9 +103,9 @@
 }
 
 #[rstest]
-#[case::runs_once(attempts(Kind::Once, 2), vec![pausing_answer(), full()])]
-#[case::no_other_replica(attempts(Kind::Idempotent, 2), vec![pausing_answer()])]
-#[case::the_other_is_full(attempts(Kind::Idempotent, 2), vec![pausing_answer(), full()])]
+#[case::runs_once(attempts(RouteKind::Once, 2), vec![pausing_answer(), full()])]
+#[case::no_other_replica(attempts(RouteKind::Idempotent, 2), vec![pausing_answer()])]
+#[case::the_other_is_full(attempts(RouteKind::Idempotent, 2), vec![pausing_answer(), full()])]
 fn a_plain_answer_goes_on_after_a_pause_that_no_other_replica_bridges(
     #[case] shape: Shape,
     #[case] scripts: Vec<Vec<Vec<Step>>>,
@@ -134,7 +134,7 @@
             Step::Wait(PAUSE),
             part("last"),
         ]);
-        let world = World::start(Shape::of(Kind::Idempotent), vec![script]).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), vec![script]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.ends_with("last\r\n0\r\n\r\n"), "{}", answer.len());
     });
@@ -153,7 +153,7 @@
             answer("200 OK", "t-seal: s1\r\n", "late"),
         ]);
         let scripts = [vec![late], others].concat();
-        let world = World::start(Shape::of(Kind::Idempotent), scripts).await;
+        let world = World::start(Shape::of(RouteKind::Idempotent), scripts).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
         assert!(answer.ends_with("late"), "{answer}");
@@ -174,7 +174,7 @@
             stream("s2", "id: 2\ndata: b\n\n"),
             last_chunk(),
         ]);
-        let shape = Shape::of(Kind::ResumableStream);
+        let shape = Shape::of(RouteKind::ResumableStream);
         let world = World::start(shape, vec![silent, rest]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(
@@ -198,7 +198,7 @@
             last_chunk(),
         ]);
         let slow = once(vec![Step::Read, Step::UntilGone]);
-        let shape = Shape::of(Kind::ResumableStream);
+        let shape = Shape::of(RouteKind::ResumableStream);
         let world = World::start(shape, vec![pausing, slow]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(
@@ -221,7 +221,7 @@
         ]);
         let shape = Shape {
             timeout_ms: 3_000,
-            ..Shape::of(Kind::Stream)
+            ..Shape::of(RouteKind::Stream)
         };
         let world = World::start(shape, vec![silent]).await;
         let clock = world.entry.entry().node.clock;
--- a/crates/gradeloft_gateway/tests/entry/places.rs
+++ b/crates/gradeloft_gateway/tests/entry/places.rs
@@ -4,7 +4,7 @@
 use gradeloft_daemon::clock::Clock;
 use gradeloft_policy::{
     clock::Time,
-    process::document::{Kind, Warmup},
+    process::document::{RouteKind, Warmup},
 };
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::frame::Table;
@@ -17,7 +17,7 @@
     vec![(0..100).flat_map(|_| [Step::Read, ok(body)]).collect()]
 }
 
-fn bound(kind: Kind, home: &'static str) -> Shape {
+fn bound(kind: RouteKind, home: &'static str) -> Shape {
     Shape {
         homes: Some(home),
         ..Shape::of(kind)
@@ -30,7 +30,7 @@
 #[case("elsewhere", [0, 4])]
 fn requests_run_in_their_home_only(#[case] home: &'static str, #[case] arrivals: [usize; 2]) {
     run(async move {
-        let shape = bound(Kind::Idempotent, home);
+        let shape = bound(RouteKind::Idempotent, home);
         let world = World::start(shape, vec![well("near"), well("far")]).await;
         for _ in 0..4 {
             let answer = world.ask(&request("POST", "form")).await;
@@ -45,7 +45,7 @@
 fn a_failed_request_is_not_repeated_outside_its_home() {
     run(async {
         let fails = vec![vec![Step::Read, Step::Close]];
-        let world = World::start(bound(Kind::Idempotent, "z"), vec![fails, well("far")]).await;
+        let world = World::start(bound(RouteKind::Idempotent, "z"), vec![fails, well("far")]).await;
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
         assert_eq!(world.replicas[1].requests().len(), 0);
@@ -55,7 +55,11 @@
 #[test]
 fn with_nobody_at_home_a_request_is_refused_at_once_and_has_not_run() {
     run(async {
-        let world = World::start(bound(Kind::Once, "south"), vec![well("near"), well("far")]).await;
+        let world = World::start(
+            bound(RouteKind::Once, "south"),
+            vec![well("near"), well("far")],
+        )
+        .await;
         let clock = Clock::start();
         let answer = world.ask(&request("POST", "form")).await;
         assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
@@ -67,7 +71,8 @@
 #[test]
 fn look_ups_for_a_bound_host_name_entries_at_home_and_in_the_callers_region() {
     run(async {
-        let world = World::start(bound(Kind::Once, "z"), vec![well("near"), well("far")]).await;
+        let world =
+            World::start(bound(RouteKind::Once, "z"), vec![well("near"), well("far")]).await;
         let _other = world.in_zone(2, "elsewhere", &world.tables).await;
         let named = |region: &'static str, host: &'static str| async move {
             let answer = get(1, 8009, &format!("/where?{host},{region}")).await;
@@ -82,7 +87,7 @@
 #[test]
 fn nothing_goes_to_an_evacuated_zone_until_that_is_taken_back() {
     run(async {
-        let shape = Shape::of(Kind::Idempotent);
+        let shape = Shape::of(RouteKind::Idempotent);
         let world = World::start(shape, vec![well("near"), well("far")]).await;
         world
             .tables
@@ -108,7 +113,7 @@
 #[test]
 fn with_all_zones_evacuated_requests_are_refused_at_once() {
     run(async {
-        let world = World::start(Shape::of(Kind::Once), vec![well("near")]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![well("near")]).await;
         world
             .tables
             .write(Table::Operator, "evacuate/z", Some("{}"));
@@ -129,7 +134,7 @@
         };
         let shape = Shape {
             warmup: Some(warmup),
-            ..Shape::of(Kind::Idempotent)
+            ..Shape::of(RouteKind::Idempotent)
         };
         let world = World::start(shape, vec![well("near"), well("far")]).await;
         world.cold_for(0, 60_000);
--- a/crates/gradeloft_gateway/tests/entry/restarts.rs
+++ b/crates/gradeloft_gateway/tests/entry/restarts.rs
@@ -1,7 +1,7 @@
 //! Replicas that start again under the id that they had, and records of other writers.
 
 use gradeloft_daemon::clock::Clock;
-use gradeloft_policy::{clock::Time, process::document::Kind};
+use gradeloft_policy::{clock::Time, process::document::RouteKind};
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::frame::Table;
 
@@ -12,7 +12,7 @@
     run(async {
         let silent = vec![Step::Read, Step::UntilGone];
         let replica = vec![silent, vec![Step::Read, ok("receipt")]];
-        let world = World::unready(Shape::of(Kind::Idempotent), vec![replica]).await;
+        let world = World::unready(Shape::of(RouteKind::Idempotent), vec![replica]).await;
         world.started_at(0, 1_000);
         world.tables.write(Table::Operator, "config", Some("1"));
         world.list_all();
@@ -40,7 +40,7 @@
         let silent = vec![Step::Read, stream("s1", "id: 1\n\n"), Step::UntilGone];
         let goes_on = vec![Step::Read, stream("s2", "id: 2\n\n"), last_chunk()];
         let replica = vec![silent, goes_on];
-        let world = World::unready(Shape::of(Kind::ResumableStream), vec![replica]).await;
+        let world = World::unready(Shape::of(RouteKind::ResumableStream), vec![replica]).await;
         world.started_at(0, 1_000);
         world.tables.write(Table::Operator, "config", Some("1"));
         world.list_all();
@@ -66,7 +66,7 @@
 fn a_record_of_another_writer_names_no_replica_and_takes_no_memory() {
     run(async {
         let scripts = vec![vec![vec![Step::Read, ok("receipt")]; 2]];
-        let world = World::start(Shape::of(Kind::Once), scripts).await;
+        let world = World::start(Shape::of(RouteKind::Once), scripts).await;
         let node = &world.entry.entry().node;
         let long = "x".repeat(200_000);
         world.tables.write(Table::Replicas, "somebody", Some(&long));
@@ -105,7 +105,7 @@
 fn a_replica_whose_record_another_writer_replaced_gets_no_requests() {
     run(async {
         let replica = || vec![vec![Step::Read, ok("receipt")]];
-        let world = World::start(Shape::of(Kind::Once), vec![replica(), replica()]).await;
+        let world = World::start(Shape::of(RouteKind::Once), vec![replica(), replica()]).await;
         let entry = world.entry.entry();
         until(|| async { entry.replicas.borrow().len() == 2 }).await;
         world.garble(0);
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -25,7 +25,7 @@
 };
 use gradeloft_policy::process::{
     allowed_regions::AllowedRegions,
-    document::{CallerLimits, Document, Kind, Route, Service, Speed, Target, Warmup},
+    document::{CallerLimits, Document, Route, RouteKind, Service, Speed, Target, Warmup},
     mirror::Record,
     replicas::Listing,
     retry_budget,
@@ -162,7 +162,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Shape {
     /// What may be repeated.
-    pub(crate) kind: Kind,
+    pub(crate) kind: RouteKind,
     /// Most replicas for one request.
     pub(crate) max_attempts: u32,
     /// Longest time for a request, in milliseconds.
@@ -181,7 +181,7 @@
 
 impl Shape {
     /// Two attempts within a long time.
-    pub(crate) fn of(kind: Kind) -> Shape {
+    pub(crate) fn of(kind: RouteKind) -> Shape {
         Shape {
             kind,
             max_attempts: 2,
--- a/crates/gradeloft_gateway/tests/entry/suspended.rs
+++ b/crates/gradeloft_gateway/tests/entry/suspended.rs
@@ -1,7 +1,7 @@
 //! Entries whose machines are suspended: their timers stand still meanwhile, and everybody else's time goes on.
 
 use gradeloft_gateway::entry::Entry;
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::{scripted::Step, tables::Mood};
 use gradeloft_wire::frame::Table;
 
@@ -21,7 +21,7 @@
     run(async {
         let machine = Machine::new();
         let silent = vec![vec![Step::Read, Step::UntilGone]];
-        let shape = Shape::of(Kind::Once);
+        let shape = Shape::of(RouteKind::Once);
         let world = World::on(&machine, shape, vec![silent]).await;
         let asked = request("POST", "b");
         let mut answer = Box::pin(world.ask(&asked));
@@ -45,7 +45,11 @@
     run(async {
         let machine = Machine::new();
         let replica = || vec![vec![Step::Read, ok("receipt")]; 4];
-        let world = World::on_unready(&machine, Shape::of(Kind::Once), vec![replica(), replica()]);
+        let world = World::on_unready(
+            &machine,
+            Shape::of(RouteKind::Once),
+            vec![replica(), replica()],
+        );
         let world = world.await;
         world.holds(0, 1);
         world.holds(1, 2);
@@ -84,7 +88,7 @@
     run(async {
         let machine = Machine::new();
         let replica = vec![vec![Step::Read, ok("receipt")]; 4];
-        let world = World::on(&machine, Shape::of(Kind::Once), vec![replica]).await;
+        let world = World::on(&machine, Shape::of(RouteKind::Once), vec![replica]).await;
         let _other = world.another(2, &world.tables).await;
         ready(2).await;
         machine.suspend_ms(5_000);
@@ -106,7 +110,7 @@
     run(async {
         let machine = Machine::new();
         let replica = vec![vec![Step::Read, ok("receipt")]; 4];
-        let world = World::on(&machine, Shape::of(Kind::Once), vec![replica]).await;
+        let world = World::on(&machine, Shape::of(RouteKind::Once), vec![replica]).await;
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
         machine.suspend_ms(5_000);
--- a/crates/gradeloft_gateway/tests/entry/waiting.rs
+++ b/crates/gradeloft_gateway/tests/entry/waiting.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gradeloft_daemon::clock::Clock;
-use gradeloft_policy::process::document::Kind;
+use gradeloft_policy::process::document::RouteKind;
 use gradeloft_standin::scripted::Step;
 
 use crate::support::{Shape, World, ok, request, run, until};
@@ -12,7 +12,7 @@
     Shape {
         goal_ms,
         model_slots: Some(1),
-        ..Shape::of(Kind::Idempotent)
+        ..Shape::of(RouteKind::Idempotent)
     }
 }
 
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -9,7 +9,7 @@
 
 /// Whether a request may run more than once, and how its answer comes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run again after any failure.
     Idempotent,
     /// Runs at most once.
@@ -20,15 +20,15 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may be sent again although it may have run.
     pub fn repeatable(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::ResumableStream)
+        matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
     /// Whether the answer is an event stream.
     pub fn streams(self) -> bool {
-        matches!(self, Kind::Stream | Kind::ResumableStream)
+        matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
@@ -51,7 +51,7 @@
     /// Begins the path of each request that it serves; ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Services; at least one.
     pub targets: Vec<Target>,
     /// Longest time that a request is kept waiting, in milliseconds.
@@ -174,7 +174,7 @@
     pub fn resumes(&self, service: &str) -> bool {
         let leads = |it: &&Route| it.targets.iter().any(|it| &*it.service == service);
         let mut routes = self.routes.iter().filter(leads);
-        routes.all(|it| it.kind == Kind::ResumableStream)
+        routes.all(|it| it.kind == RouteKind::ResumableStream)
     }
 }
 
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -40,13 +40,13 @@
     /// Its last notice; none until it is connected.
     pub notice: Option<Notice>,
     /// When the notice came.
-    pub noticed: Time,
+    pub noticed_at: Time,
     /// Whether its connection stands.
     pub connected: bool,
     /// What its connection and its answers show.
     pub health: Health,
     /// Requests of this process that run there.
-    pub own: u32,
+    pub own_requests: u32,
 }
 
 impl Peer {
@@ -66,7 +66,7 @@
     pub fn others(&self) -> u32 {
         self.notice
             .as_ref()
-            .map_or(0, |it| it.running.saturating_sub(self.own))
+            .map_or(0, |it| it.running.saturating_sub(self.own_requests))
     }
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Takes over a list that was read. Gives the peers that are new, or whose address changed.
-    pub fn listed(&mut self, instances: Vec<Instance>) -> Vec<PeerKey> {
+    pub fn apply_list(&mut self, instances: Vec<Instance>) -> Vec<PeerKey> {
         self.read = true;
         for peer in self.peers.values_mut() {
             peer.listed = false;
@@ -127,25 +127,25 @@
             node,
             listed: true,
             notice: None,
-            noticed: Time::ZERO,
+            noticed_at: Time::ZERO,
             connected: false,
             health: Health::default(),
-            own: 0,
+            own_requests: 0,
         }))
     }
 
     /// A peer sent a notice.
-    pub fn noticed(&mut self, key: PeerKey, notice: Notice, now: Time) {
+    pub fn receive_notice(&mut self, key: PeerKey, notice: Notice, now: Time) {
         if let Some(peer) = self.peers.get_mut(key) {
             peer.connected = true;
-            peer.noticed = now;
+            peer.noticed_at = now;
             peer.notice = Some(notice);
             peer.health.succeeded();
         }
     }
 
     /// A peer's connection broke, or can't be made.
-    pub fn lost(&mut self, key: PeerKey, now: Time) {
+    pub fn connection_lost(&mut self, key: PeerKey, now: Time) {
         let Some(peer) = self.peers.get_mut(key) else {
             return;
         };
@@ -179,7 +179,7 @@
     }
 
     /// Whether a list has ever been read.
-    pub fn known(&self) -> bool {
+    pub fn has_read_list(&self) -> bool {
         self.read
     }
 }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -107,17 +107,17 @@
     /// What its agent says.
     pub report: Option<Report>,
     /// Requests of this entry that it works on.
-    pub own: u32,
+    pub own_requests: u32,
     /// Of those, requests whose answer has not begun.
     pub own_waiting: u32,
     /// Prompt tokens of those.
     pub own_waiting_tokens: f64,
     /// Requests of other entries that it works on, as they said last.
-    pub others: u32,
+    pub other_requests: u32,
     /// Of those, requests whose answer has not begun.
     pub others_waiting: u32,
     /// Slots of it that this entry fills without regard to others.
-    pub part: u32,
+    pub own_slots: u32,
     /// Whether it is in this entry's region.
     pub near: bool,
     /// How much later than the operator publishes its answers begin.
@@ -147,12 +147,12 @@
         Replica {
             listing,
             report: None,
-            own: 0,
+            own_requests: 0,
             own_waiting: 0,
             own_waiting_tokens: 0.0,
-            others: 0,
+            other_requests: 0,
             others_waiting: 0,
-            part: 0,
+            own_slots: 0,
             near: true,
             slowness: Slowness::default(),
             silent_since: Time::ZERO,
@@ -225,7 +225,7 @@
 
     /// Whether it has sent nothing for long although it has requests of this entry.
     pub fn silent(&self, now: Time) -> bool {
-        0 < self.own && self.silent_since.after_ms(SILENCE_MS) <= now
+        0 < self.own_requests && self.silent_since.after_ms(SILENCE_MS) <= now
     }
 
     /// Whether requests wait before its instance's link, as its agent sees it.
@@ -240,7 +240,7 @@
 
     /// Requests that it works on, as far as this entry knows.
     pub fn load(&self) -> u32 {
-        self.own + self.others
+        self.own_requests + self.other_requests
     }
 
     /// Requests whose answer has not begun, as far as this entry knows.
@@ -249,8 +249,8 @@
     }
 
     /// Whether a slot of this entry's part is free.
-    pub fn has_own_slot(&self) -> bool {
-        self.own < self.part
+    pub fn has_free_own_slot(&self) -> bool {
+        self.own_requests < self.own_slots
     }
 
     /// Slots that are free as far as this entry knows, where so many more requests may have come.
@@ -263,17 +263,17 @@
     /// whatever they told some time ago.
     pub fn queue(&self, speed: &Speed) -> Queue {
         let slots = self.listing.slots;
-        let others = if self.has_own_slot() {
-            self.others.min(slots - self.part.min(slots))
+        let others = if self.has_free_own_slot() {
+            self.other_requests.min(slots - self.own_slots.min(slots))
         } else {
-            self.others
+            self.other_requests
         };
         let others_waiting = self.others_waiting.min(others);
         let waiting = self.own_waiting + others_waiting;
         let others_tokens = f64::from(others_waiting) * speed.usual_prompt;
         Queue {
             slots,
-            begun: (self.own + others).saturating_sub(waiting),
+            begun: (self.own_requests + others).saturating_sub(waiting),
             waiting,
             waiting_tokens: self.own_waiting_tokens + others_tokens,
         }
@@ -442,7 +442,7 @@
     /// have not begun.
     pub fn set_others(&mut self, others: impl Fn(&Replica) -> (u32, u32)) {
         for replica in self.arena.values_mut() {
-            (replica.others, replica.others_waiting) = others(replica);
+            (replica.other_requests, replica.others_waiting) = others(replica);
         }
     }
 
--- a/crates/gradeloft_policy/src/request/attempt.rs
+++ b/crates/gradeloft_policy/src/request/attempt.rs
@@ -1,6 +1,6 @@
 //! What is known of one attempt at a request after it ended, and what may follow.
 
-use crate::process::document::Kind;
+use crate::process::document::RouteKind;
 
 /// How an attempt ended without an answer that can be passed on.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Progress {
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Replicas that got it, or may have.
     pub attempts: u32,
     /// Most replicas that may get it.
@@ -92,7 +92,7 @@
 
 impl Progress {
     /// No attempt yet.
-    pub fn new(kind: Kind, max_attempts: u32) -> Progress {
+    pub fn new(kind: RouteKind, max_attempts: u32) -> Progress {
         Progress {
             kind,
             attempts: 0,
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -220,7 +220,7 @@
             flaws: flaws(it, wish, now),
             near: it.near,
             cost: cost(it, wish, newest, now) + NOISE * rng.random::<f64>(),
-            own: it.has_own_slot(),
+            own: it.has_free_own_slot(),
             spare: it.spare(wish.doubt(it).unseen),
         })
         .collect()
@@ -318,7 +318,7 @@
         Claim::Begun => takes_more,
         Claim::Late => borrows && f64::from(all) * SPARE < spare,
         Claim::Timely(within_ms) => {
-            (replica.has_own_slot() || (borrows && 0.0 < spare))
+            (replica.has_free_own_slot() || (borrows && 0.0 < spare))
                 && first_token_ms(replica, speed, wish.prompt_tokens) <= within_ms * TIMELY
         }
     }
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -100,7 +100,11 @@
     let mut replicas = Replicas::default();
     let key = listed(&mut replicas, "a");
     let replica = replicas.get_mut(key).unwrap();
-    (replica.own, replica.own_waiting, replica.own_waiting_tokens) = (4, 4, 9_000.0);
+    (
+        replica.own_requests,
+        replica.own_waiting,
+        replica.own_waiting_tokens,
+    ) = (4, 4, 9_000.0);
     assert_eq!(choose(&replicas, WISH), None, "behind 300 ms of prompts");
     replicas.get_mut(key).unwrap().own_waiting_tokens = 1_800.0;
     assert_eq!(choose(&replicas, WISH), Some(key));
@@ -127,7 +131,7 @@
 ) {
     let mut replicas = Replicas::default();
     let key = listed(&mut replicas, "a");
-    replicas.get_mut(key).unwrap().own = load;
+    replicas.get_mut(key).unwrap().own_requests = load;
     let wish = Wish { claim, ..WISH };
     assert_eq!(choose(&replicas, wish), sent.then_some(key));
 }
@@ -138,7 +142,11 @@
     let own = listed(&mut replicas, "a");
     let other = listed(&mut replicas, "bb");
     let replica = replicas.get_mut(own).unwrap();
-    (replica.part, replica.own, replica.others) = (4, 3, 16);
+    (
+        replica.own_slots,
+        replica.own_requests,
+        replica.other_requests,
+    ) = (4, 3, 16);
     let never = Wish {
         near: Doubt {
             chance: 0.0,
@@ -147,7 +155,7 @@
         ..WISH
     };
     assert_eq!(choose(&replicas, never), Some(own));
-    replicas.get_mut(own).unwrap().own = 4;
+    replicas.get_mut(own).unwrap().own_requests = 4;
     assert_eq!(choose(&replicas, never), None);
     assert_eq!(choose(&replicas, WISH), Some(other));
     let stale = Wish {
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -7,7 +7,7 @@
     clock::Time,
     process::{
         allowed_regions::AllowedRegions,
-        document::{CallerLimits, Config, Denied, Document, Kind, Route, Target},
+        document::{CallerLimits, Config, Denied, Document, Route, RouteKind, Target},
         mirror::{Mirror, Record, Update},
         readers,
         retry_budget::{Bounds, Budget},
@@ -25,7 +25,7 @@
         name: name.into(),
         host: "a.example".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Once,
+        kind: RouteKind::Once,
         targets: vec![Target {
             service: "s".into(),
             weight: 1.0,
@@ -254,7 +254,7 @@
     /// run. Fails if any failure counts for less than it is.
     #[test]
     fn attempts_in_any_order_keep_the_promises(
-        kind in prop::sample::select(vec![Kind::Idempotent, Kind::Once, Kind::ResumableStream, Kind::Stream]),
+        kind in prop::sample::select(vec![RouteKind::Idempotent, RouteKind::Once, RouteKind::ResumableStream, RouteKind::Stream]),
         failures in prop::collection::vec(prop::sample::select(vec![
             Failure::Broken, Failure::Failed, Failure::Lost, Failure::Misdirected,
             Failure::Outdated, Failure::Refused, Failure::Silent, Failure::Unsent,
@@ -272,7 +272,7 @@
             progress.ended(failure);
             arrivals += u32::from(failure != Failure::Unsent);
             may_have_run |= !matches!(failure, Failure::Misdirected | Failure::Refused | Failure::Unsent);
-            let repeatable = matches!(kind, Kind::Idempotent | Kind::ResumableStream);
+            let repeatable = matches!(kind, RouteKind::Idempotent | RouteKind::ResumableStream);
             prop_assert!(arrivals <= max_attempts.max(1));
             prop_assert_eq!(progress.ran == Ran::Unknown, may_have_run);
             prop_assert!(!progress.may_repeat() || !may_have_run || repeatable);
@@ -400,18 +400,18 @@
 
 #[rstest]
 // A call that may not be repeated goes elsewhere only if it certainly has not run.
-#[case(Kind::Once, Failure::Unsent, true, Ran::No)]
-#[case(Kind::Once, Failure::Refused, true, Ran::No)]
-#[case(Kind::Once, Failure::Misdirected, true, Ran::No)]
-#[case(Kind::Once, Failure::Lost, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Broken, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Failed, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Silent, false, Ran::Unknown)]
-#[case(Kind::Stream, Failure::Broken, false, Ran::Unknown)]
-#[case(Kind::ResumableStream, Failure::Broken, true, Ran::Unknown)]
-#[case(Kind::Idempotent, Failure::Lost, true, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Unsent, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Refused, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Misdirected, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Lost, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Broken, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Failed, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Silent, false, Ran::Unknown)]
+#[case(RouteKind::Stream, Failure::Broken, false, Ran::Unknown)]
+#[case(RouteKind::ResumableStream, Failure::Broken, true, Ran::Unknown)]
+#[case(RouteKind::Idempotent, Failure::Lost, true, Ran::Unknown)]
 fn what_may_follow_a_failed_attempt(
-    #[case] kind: Kind,
+    #[case] kind: RouteKind,
     #[case] failure: Failure,
     #[case] repeat: bool,
     #[case] ran: Ran,
--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/homes.rs
@@ -4,7 +4,7 @@
 
 use gradeloft_policy::process::{
     allowed_regions::AllowedRegions,
-    document::{CallerLimits, Config, Document, Kind, Route, Target},
+    document::{CallerLimits, Config, Document, Route, RouteKind, Target},
 };
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
         name: prefix.into(),
         host: "h".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Once,
+        kind: RouteKind::Once,
         targets: vec![Target {
             service: "s".into(),
             weight: 1.0,
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -86,9 +86,9 @@
         address: "10.0.0.9:1".parse().unwrap(),
         ..listing("b", Some(1))
     });
-    replicas.get_mut(busy).unwrap().own = 4;
+    replicas.get_mut(busy).unwrap().own_requests = 4;
     assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(busy));
-    replicas.get_mut(busy).unwrap().own = 100;
+    replicas.get_mut(busy).unwrap().own_requests = 100;
     assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(behind));
 }
 
@@ -97,9 +97,9 @@
     let mut replicas = Replicas::default();
     let busy = replicas.list(listing("a", Some(1)));
     let fresh = replicas.list(listing("bb", Some(1)));
-    replicas.get_mut(busy).unwrap().own = 6;
+    replicas.get_mut(busy).unwrap().own_requests = 6;
     let empty = replicas.get_mut(fresh).unwrap();
-    (empty.own, empty.own_waiting) = (4, 4);
+    (empty.own_requests, empty.own_waiting) = (4, 4);
     assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(busy));
 }
 
@@ -108,7 +108,7 @@
     let mut replicas = Replicas::default();
     let same = replicas.list(listing("a", Some(1)));
     replicas.list(listing("bb", Some(2)));
-    replicas.get_mut(same).unwrap().own = 12;
+    replicas.get_mut(same).unwrap().own_requests = 12;
     let wish = Wish {
         same: Some(1),
         ..WISH
@@ -120,7 +120,7 @@
 fn full_replicas_are_refused_rather_than_queued_at() {
     let mut replicas = Replicas::default();
     let key = replicas.list(listing("a", Some(1)));
-    replicas.get_mut(key).unwrap().own = 18;
+    replicas.get_mut(key).unwrap().own_requests = 18;
     assert_eq!(choose(&replicas, WISH, Time::ZERO), None);
 }
 
@@ -128,7 +128,7 @@
 fn a_census_says_why_no_replica_gets_a_request() {
     let mut replicas = Replicas::default();
     let full = replicas.list(listing("a", Some(2)));
-    replicas.get_mut(full).unwrap().own = 18;
+    replicas.get_mut(full).unwrap().own_requests = 18;
     let unbegun = replicas.list(listing("bb", Some(2)));
     replicas.get_mut(unbegun).unwrap().own_waiting = 8;
     replicas.list(listing("ccc", Some(1)));
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -55,24 +55,24 @@
 fn a_peer_takes_work_while_it_is_connected_and_not_leaving() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
-    let keys = membership.listed(vec![instance("own", live), instance("a", live)]);
+    let keys = membership.apply_list(vec![instance("own", live), instance("a", live)]);
     assert_eq!(keys.len(), 1, "the own instance is no peer");
     let now = Time::ZERO;
     assert!(takes_work(&membership, now).is_empty());
-    membership.noticed(keys[0], notice(false), now);
+    membership.receive_notice(keys[0], notice(false), now);
     assert_eq!(takes_work(&membership, now), ["a"]);
-    membership.noticed(keys[0], notice(true), now);
+    membership.receive_notice(keys[0], notice(true), now);
     assert!(takes_work(&membership, now).is_empty());
 }
 
 #[test]
 fn the_list_can_say_that_a_peer_leaves_before_the_peer_does() {
     let mut membership = Membership::new("own");
-    let keys = membership.listed(vec![instance("a", InstanceState::Live)]);
-    membership.noticed(keys[0], notice(false), Time::ZERO);
+    let keys = membership.apply_list(vec![instance("a", InstanceState::Live)]);
+    membership.receive_notice(keys[0], notice(false), Time::ZERO);
     assert!(
         membership
-            .listed(vec![instance("a", InstanceState::Leaving)])
+            .apply_list(vec![instance("a", InstanceState::Leaving)])
             .is_empty()
     );
     assert!(takes_work(&membership, Time::ZERO).is_empty());
@@ -82,13 +82,13 @@
 fn a_peer_that_the_list_drops_stays_while_its_connection_stands() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
-    let keys = membership.listed(vec![instance("a", live), instance("bb", live)]);
+    let keys = membership.apply_list(vec![instance("a", live), instance("bb", live)]);
     for key in &keys {
-        membership.noticed(*key, notice(false), Time::ZERO);
+        membership.receive_notice(*key, notice(false), Time::ZERO);
     }
-    membership.listed(Vec::new());
+    membership.apply_list(Vec::new());
     assert_eq!(takes_work(&membership, Time::ZERO), ["a", "bb"]);
-    membership.lost(keys[0], Time::ZERO);
+    membership.connection_lost(keys[0], Time::ZERO);
     assert!(membership.get(keys[0]).is_none());
     assert_eq!(takes_work(&membership, Time::ZERO), ["bb"]);
 }
@@ -97,13 +97,13 @@
 fn a_restarted_peer_at_a_new_address_has_to_prove_itself_again() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
-    let keys = membership.listed(vec![instance("a", live)]);
-    membership.noticed(keys[0], notice(false), Time::ZERO);
+    let keys = membership.apply_list(vec![instance("a", live)]);
+    membership.receive_notice(keys[0], notice(false), Time::ZERO);
     let moved = Instance {
         peer: "10.0.0.9:1".to_owned(),
         ..instance("a", live)
     };
-    assert_eq!(membership.listed(vec![moved]), keys);
+    assert_eq!(membership.apply_list(vec![moved]), keys);
     assert!(takes_work(&membership, Time::ZERO).is_empty());
 }
 
@@ -258,7 +258,7 @@
         ..instance(&format!("node-{idx}"), InstanceState::Live)
     };
     let mut membership = Membership::new("outside");
-    membership.listed((0..500).map(listed).collect());
+    membership.apply_list((0..500).map(listed).collect());
     let peers: Vec<_> = membership.iter().map(|(_, it)| it).collect();
     let draw = |own: u64| -> Vec<u64> {
         let others: Vec<_> = peers.iter().copied().filter(|it| it.node != own).collect();
--- a/crates/gradeloft_policy/tests/restarts.rs
+++ b/crates/gradeloft_policy/tests/restarts.rs
@@ -36,7 +36,12 @@
     replicas.report_at(address, report(1, Some(4)));
     replicas.failed(before, NOW);
     let known = replicas.get_mut(before).unwrap();
-    (known.own, known.own_waiting, known.others, known.part) = (5, 2, 7, 4);
+    (
+        known.own_requests,
+        known.own_waiting,
+        known.other_requests,
+        known.own_slots,
+    ) = (5, 2, 7, 4);
     known.slowness.learn(100.0, 400.0);
     let hash = known.hash();
     let after = replicas.list(started(2, None));
@@ -44,7 +49,7 @@
     assert!(replicas.get(before).is_none());
     let known = replicas.get(after).unwrap();
     assert_eq!(known.version(NOW), None);
-    assert_eq!((known.load(), known.waiting(), known.part), (0, 0, 0));
+    assert_eq!((known.load(), known.waiting(), known.own_slots), (0, 0, 0));
     assert_eq!(known.slowness.factor(), 1.0);
     assert!(!known.suspect(NOW) && !known.open(NOW));
     // What others have at the old start is not at this one.
