--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -1,8 +1,8 @@
-//! Datagrams that an entry sends, and how often.
+//! Datagrams that an entry sends, and their intervals.
 //!
-//! Entries of one region send each other their state. Other regions get it from the region's speakers ([`speakers`]),
-//! each time through one entry, which passes it on to its own region. Each kind of message has a budget, so that what an
-//! entry spends on them does not grow with the fleet.
+//! Entries of one region send each other their state. A few entries of a region ([`speakers`]) send it to other regions,
+//! each time through one entry, which relays it within its own region. Each kind of message has a bandwidth budget, so
+//! that an entry's traffic does not grow with the fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -30,111 +30,118 @@
 use super::Entry;
 use crate::traffic::{Purpose, Reach};
 
-/// Shortest pause between messages of one kind.
-const TURN: Duration = Duration::from_millis(125);
-/// State to the entries of the own region. Five entries send each eighth of a second, and thirty each 0.6 s; the own
-/// part of the slots is filled whatever others have sent.
-const NEAR: Budget = Budget {
+/// Gossip interval, and the shortest pause between messages of one kind.
+const ROUND: Duration = Duration::from_millis(125);
+/// Budget for state sent to the entries of the same region. Five entries send every eighth of a second, and thirty every
+/// 0.6 s; an entry fills its own share of the slots whatever others have sent.
+const NEAR_BUDGET: Budget = Budget {
     bytes_per_s: 6_000,
-    shortest: TURN,
+    shortest: ROUND,
     longest: Duration::from_millis(1_000),
 };
-/// State to the agents of the own region.
-const AGENTS: Budget = Budget {
+/// Budget for state sent to the agents of the same region.
+const AGENTS_BUDGET: Budget = Budget {
     bytes_per_s: 4_000,
     shortest: Duration::from_millis(500),
     longest: Duration::from_millis(1_000),
 };
-/// Bytes of the state for entries, as far as budgets go, with ten replicas in use.
+/// Assumed size of the state for entries, in bytes, with ten replicas in use.
 const NEAR_BYTES: usize = 130;
-/// Bytes of the state for agents.
+/// Assumed size of the state for agents, in bytes.
 const AGENT_BYTES: usize = 90;
-/// A region's loads, as far as each entry of another region gets them from all regions. At 30 busy
-/// replicas in each of five regions they come each 0.5 s from each speaker, at 330 in each of seven each 5 s: by
-/// then a region is large enough to need little of others but what they lend.
-const FAR_LOADS: Budget = Budget {
+/// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in each of five
+/// regions, each speaker sends them every 0.5 s; with 330 in each of seven, every 5 s. A region of that size needs
+/// little capacity of others beyond the slots that they lend.
+const FAR_LOADS_BUDGET: Budget = Budget {
     bytes_per_s: 5_000,
     shortest: Duration::from_millis(500),
     longest: Duration::from_millis(5_000),
 };
-/// The same for its entries. The longest is such that both speakers send before they count as silent.
-const FAR_MEMBERS: Budget = Budget {
+/// Budget for the lists of entries that an entry receives from all other regions. The longest pause is such that both
+/// speakers send before they count as silent.
+const FAR_MEMBERS_BUDGET: Budget = Budget {
     bytes_per_s: 3_000,
     shortest: Duration::from_millis(1_000),
     longest: Duration::from_millis(2_500),
 };
-/// The same for its engines, of which all are sent only as long as that is cheap: those that close or reopen are
-/// sent at the next turn, and the rest is in the platform's table.
-const FAR_ENGINES: Budget = Budget {
+/// Budget for the engine states that an entry receives from all other regions. All engines are sent only while that is
+/// cheap: those that close or reopen are sent in the next round, and the rest is in the platform's table.
+const FAR_ENGINES_BUDGET: Budget = Budget {
     bytes_per_s: 8_000,
     shortest: Duration::from_millis(1_000),
     longest: Duration::from_millis(1_500),
 };
-/// Turns between looks for entries of which only the address is known.
-const UNIDENTIFIED_TURNS: u32 = 4;
-/// Turns after a start in which such entries are asked each time: those that are known from the settings may start later.
-const FIRST_TURNS: u32 = 24;
-/// Turns between messages to one entry of each other region, drawn anew each time: what is known of a region
-/// survives the loss of all its speakers, and of the links between them.
-const RANDOM_TURNS: u32 = 16;
-/// Turns between messages that name other entries.
-const ROSTER_TURNS: u32 = 8;
-/// Entries that are named in one message.
-const NAMED: usize = 60;
-/// Entries of which only the address is known that are asked in one turn who they are.
-const UNIDENTIFIED: usize = 8;
-/// Loads, engines and members in one datagram, and the most bytes that each takes.
-const LOADS: usize = 150;
+/// Rounds between requests to entries of which only the address is known.
+const UNIDENTIFIED_ROUNDS: u32 = 4;
+/// Rounds after a start in which such entries are asked every time, as seeds from the settings may start later.
+const FIRST_ROUNDS: u32 = 24;
+/// Rounds between messages to one random entry of each other region, by which knowledge of a region survives the loss
+/// of all its speakers, and of the links between them.
+const RANDOM_ROUNDS: u32 = 16;
+/// Rounds between messages that list other entries.
+const ROSTER_ROUNDS: u32 = 8;
+/// Most entries that one message lists.
+const MAX_LISTED: usize = 60;
+/// Most entries of which only the address is known that are asked for their state in one round.
+const MAX_ASKED: usize = 8;
+/// Most loads in one datagram.
+const MAX_LOADS: usize = 150;
+/// Largest encoding of a load, in bytes.
 const LOAD_BYTES: usize = 7;
-const ENGINES: usize = 45;
+/// Most engine states in one datagram.
+const MAX_ENGINES: usize = 45;
+/// Largest encoding of an engine state, in bytes.
 const ENGINE_BYTES: usize = 24;
-const MEMBERS: usize = 50;
+/// Most members in one datagram.
+const MAX_MEMBERS: usize = 50;
+/// Largest encoding of a member, in bytes.
 const MEMBER_BYTES: usize = 22;
-/// Age up to which an agent's report is passed on to other regions, in milliseconds.
-const ENGINE_MS: u64 = 2_000;
+/// Age up to which an agent's report is forwarded to other regions, in milliseconds.
+const ENGINE_MAX_AGE_MS: u64 = 2_000;
 
 impl Entry {
+    /// Sends this entry's state and runs its maintenance, every [`ROUND`].
     pub(super) async fn gossip(self: Rc<Entry>) {
-        let mut turn = 0;
+        let mut round = 0;
         loop {
-            self.send_to_entries(turn);
-            self.ask_unidentified(turn);
-            self.send_to_regions(turn);
-            self.send_due_to_agents(turn);
+            self.send_to_entries(round);
+            self.ask_unidentified(round);
+            self.send_to_regions(round);
+            self.send_due_to_agents(round);
             self.send_suspects();
-            self.upkeep();
+            self.maintain();
             tokio::select! {
-                () = actix_rt::time::sleep(TURN) => turn += 1,
-                // A stop is sent at once.
-                () = self.leave_started.notified() => turn = 0,
+                () = actix_rt::time::sleep(ROUND) => round += 1,
+                // Peers learn of a drain at once.
+                () = self.leave_started.notified() => round = 0,
             }
         }
     }
 
-    fn send_to_entries(&self, turn: u32) {
+    fn send_to_entries(&self, round: u32) {
         let near: Vec<Ipv4Addr> = self
             .roster
             .borrow()
             .addresses_in(|it| self.node.near(it))
             .collect();
-        let announces = self.announces.take();
-        if !announces && !is_due(turn, NEAR.pause(near.len(), NEAR_BYTES)) {
+        let announced = self.announce_pending.take();
+        if !announced && !is_due(round, NEAR_BUDGET.pause(near.len(), NEAR_BYTES)) {
             return;
         }
-        let entries = match turn.is_multiple_of(ROSTER_TURNS) {
-            true => self.some_of(&near),
+        let entries = match round.is_multiple_of(ROSTER_ROUNDS) {
+            true => self.sample(&near),
             false => Vec::new(),
         };
         let mut own = HashMap::new();
-        self.add_own(&mut own);
-        for loads in parts(own, self.demand()) {
+        self.add_own_loads(&mut own);
+        for loads in split_loads(own, self.demand()) {
             let sender = self.state(loads, entries.clone(), false);
             self.node
                 .send_state(Purpose::Loads, Reach::Near, sender, near.iter().copied());
         }
     }
 
-    /// This entry's state.
+    /// Returns the message that holds this entry's state.
     pub(super) fn state(&self, loads: Loads, entries: Vec<Ipv4Addr>, asks: bool) -> Sender {
         Sender::Entry {
             presence: self.presence(),
@@ -146,21 +153,22 @@
         }
     }
 
-    fn some_of(&self, entries: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
-        let drawn = |rng: &mut _| entries.iter().copied().choose_multiple(rng, NAMED);
+    /// Draws entries to list in a message.
+    fn sample(&self, entries: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
+        let drawn = |rng: &mut _| entries.iter().copied().choose_multiple(rng, MAX_LISTED);
         self.node.with_rng(drawn)
     }
 
-    /// Asks entries of which only the address is known.
-    fn ask_unidentified(&self, turn: u32) {
-        if FIRST_TURNS < turn && !turn.is_multiple_of(UNIDENTIFIED_TURNS) {
+    /// Asks entries of which only the address is known for their state.
+    fn ask_unidentified(&self, round: u32) {
+        if FIRST_ROUNDS < round && !round.is_multiple_of(UNIDENTIFIED_ROUNDS) {
             return;
         }
         let unidentified = |rng: &mut _| {
             self.roster
                 .borrow()
                 .unidentified()
-                .choose_multiple(rng, UNIDENTIFIED)
+                .choose_multiple(rng, MAX_ASKED)
         };
         let unidentified = self.node.with_rng(unidentified);
         if !unidentified.is_empty() {
@@ -174,7 +182,7 @@
         }
     }
 
-    /// Answers an entry that asked, and names entries of its own region to it.
+    /// Answers an entry that asked for this entry's state, and lists entries of the asker's region.
     pub(super) fn introduce(&self, asker: Ipv4Addr, zone: &str) {
         let settings = self.node.settings();
         let region = settings.region(zone);
@@ -183,15 +191,15 @@
             .addresses_in(|it| settings.region(it) == region)
             .collect();
         drop(roster);
-        let sender = self.state(Loads::default(), self.some_of(&named), false);
+        let sender = self.state(Loads::default(), self.sample(&named), false);
         let to = [asker].into_iter();
         self.node
             .send_state(Purpose::Members, Reach::Far, sender, to);
         self.send_suspects_to(asker);
     }
 
-    /// Sends the state of this region to other regions, if this entry speaks for it.
-    fn send_to_regions(&self, turn: u32) {
+    /// Sends the state of this region to other regions, if this entry is one of the region's speakers.
+    fn send_to_regions(&self, round: u32) {
         let now = self.node.clock.now();
         let changed = self.changed_engines.take();
         let near: Vec<Ipv4Addr> = self
@@ -201,7 +209,7 @@
             .collect();
         let own = self.node.settings().address;
         let messages = match speakers::speaks(own, near.into_iter()) {
-            true => self.region_messages(turn, &changed, now),
+            true => self.region_messages(round, &changed, now),
             false => Vec::new(),
         };
         if !messages.is_empty() {
@@ -218,7 +226,7 @@
                 let to = relay.into_iter();
                 self.node.send_state(purpose, Reach::Far, sender, to);
             }
-            if turn % RANDOM_TURNS == RANDOM_TURNS - 1 {
+            if round % RANDOM_ROUNDS == RANDOM_ROUNDS - 1 {
                 let sender = self.state(Loads::default(), Vec::new(), false);
                 let to = random.into_iter();
                 self.node
@@ -227,56 +235,56 @@
         }
     }
 
-    /// What there is to send to other regions at a turn.
-    fn region_messages(&self, turn: u32, changed: &[SocketAddr], now: Time) -> Vec<Region> {
-        // An entry gets what both speakers of every other region send.
+    /// Returns the messages that are due for other regions in a round.
+    fn region_messages(&self, round: u32, changed: &[SocketAddr], now: Time) -> Vec<Region> {
+        // Each entry receives from all speakers of every other region.
         let senders = SPEAKERS * self.other_regions().len();
         let mut messages = Vec::new();
         let loads = self.region_loads();
         let rows: usize = loads.iter().map(|it| it.loads.len()).sum();
-        if is_due(turn, FAR_LOADS.pause(senders, rows * LOAD_BYTES)) {
+        if is_due(round, FAR_LOADS_BUDGET.pause(senders, rows * LOAD_BYTES)) {
             messages.extend(loads.into_iter().map(Region::Loads));
         }
         let members = self.members(now);
         if is_due(
-            turn,
-            FAR_MEMBERS.pause(senders, members.len() * MEMBER_BYTES),
+            round,
+            FAR_MEMBERS_BUDGET.pause(senders, members.len() * MEMBER_BYTES),
         ) {
-            let parts = members.chunks(MEMBERS);
+            let parts = members.chunks(MAX_MEMBERS);
             messages.extend(parts.map(|it| Region::Members(it.to_vec())));
         }
         let mut engines = self.engines(now);
-        let pause = FAR_ENGINES.pause(senders, engines.len() * ENGINE_BYTES);
-        if FAR_ENGINES.longest <= pause || !is_due(turn, pause) {
+        let pause = FAR_ENGINES_BUDGET.pause(senders, engines.len() * ENGINE_BYTES);
+        if FAR_ENGINES_BUDGET.longest <= pause || !is_due(round, pause) {
             engines.retain(|it| changed.contains(&SocketAddr::V4(it.replica)));
         }
-        let parts = engines.chunks(ENGINES);
+        let parts = engines.chunks(MAX_ENGINES);
         messages.extend(parts.map(|it| Region::Engines(it.to_vec())));
         messages
     }
 
-    /// For each other region, who passes messages on to it at a turn, and any one of its entries.
+    /// Returns for each other region the entry that relays messages there in a round, and a random entry.
     pub(super) fn relays(
         &self,
-        turn: usize,
+        round: usize,
         now: Time,
     ) -> Vec<(Option<Ipv4Addr>, Option<Ipv4Addr>)> {
         let settings = self.node.settings();
         let regions = self.other_regions();
         let roster = self.roster.borrow();
         let relays = regions.iter().map(|region| {
-            let here = |it: &str| settings.region(it) == region;
-            let members: Vec<Ipv4Addr> = roster.alive_in(here, now).collect();
+            let in_region = |it: &str| settings.region(it) == region;
+            let members: Vec<Ipv4Addr> = roster.alive_in(in_region, now).collect();
             let random = self
                 .node
-                .with_rng(|rng| roster.addresses_in(here).choose(rng));
-            let relay = speakers::relay(&members, turn);
+                .with_rng(|rng| roster.addresses_in(in_region).choose(rng));
+            let relay = speakers::relay(&members, round);
             (relay.or(random), random)
         });
         relays.collect()
     }
 
-    /// The other regions in which there are entries.
+    /// Returns the other regions that have entries.
     pub(super) fn other_regions(&self) -> Vec<String> {
         let settings = self.node.settings();
         let roster = self.roster.borrow();
@@ -288,17 +296,18 @@
         regions
     }
 
+    /// Sums the requests that this region's entries have at replicas.
     fn region_loads(&self) -> Vec<Loads> {
         let mut sums = HashMap::new();
-        self.add_own(&mut sums);
+        self.add_own_loads(&mut sums);
         let near = self.near_loads.borrow();
         near.add_to(&mut sums);
         let demand = self.demand() + near.demand();
         drop(near);
-        parts(sums, demand)
+        split_loads(sums, demand)
     }
 
-    /// The entries of this region that are alive.
+    /// Returns the live entries of this region.
     fn members(&self, now: Time) -> Vec<Member> {
         let roster = self.roster.borrow();
         let statuses = roster.statuses(|it| self.node.near(it), now);
@@ -313,7 +322,7 @@
         others.chain([own]).collect()
     }
 
-    /// What agents of this region said a moment ago.
+    /// Returns the recent reports of this region's agents.
     fn engines(&self, now: Time) -> Vec<Seen> {
         let replicas = self.replicas.borrow();
         let near = replicas.iter().filter(|(_, it)| it.near);
@@ -323,7 +332,7 @@
             let SocketAddr::V4(replica) = it.listing.address else {
                 return None;
             };
-            (age_ms < ENGINE_MS).then_some(Seen {
+            (age_ms < ENGINE_MAX_AGE_MS).then_some(Seen {
                 replica,
                 engine: datagram::Engine {
                     born: report.born,
@@ -337,25 +346,25 @@
         seen.collect()
     }
 
-    fn send_due_to_agents(&self, turn: u32) {
+    fn send_due_to_agents(&self, round: u32) {
         let switched = self.switched();
-        // Agents wait for each other while a version changes over, and for the operator's records.
+        // Agents wait for each other during a version switch, and for the operator's records.
         let state = (switched, self.node.end(Table::Operator));
-        let news = *self.sent_to_agents.borrow() != state;
+        let changed = *self.sent_to_agents.borrow() != state;
         let mut agents = self.agents();
-        if !is_due(turn, AGENTS.pause(agents.len(), AGENT_BYTES)) {
-            if !news {
+        if !is_due(round, AGENTS_BUDGET.pause(agents.len(), AGENT_BYTES)) {
+            if !changed {
                 return;
             }
-            // Else each change would go to each agent from each entry.
-            self.keep_informed(&mut agents);
+            // Otherwise every entry would send each change to every agent.
+            self.retain_informed(&mut agents);
         }
         self.sent_to_agents.replace(state);
         self.send_to_agents(agents.into_iter());
     }
 
-    /// Keeps the agents to which this entry sends at once what changed.
-    fn keep_informed(&self, agents: &mut Vec<Ipv4Addr>) {
+    /// Retains the agents to which this entry sends changes without delay.
+    fn retain_informed(&self, agents: &mut Vec<Ipv4Addr>) {
         let now = self.node.clock.now();
         let own = roster::hash(&self.node.settings().address);
         let roster = self.roster.borrow();
@@ -364,7 +373,7 @@
         agents.retain(|it| speakers::informs(roster::hash(it), own, near.iter().copied()));
     }
 
-    /// Sends agents what they need to know of this entry and of the change-over.
+    /// Sends this entry's state and the progress of version switches to agents.
     pub(super) fn send_to_agents(&self, agents: impl Iterator<Item = Ipv4Addr>) {
         let sender = Sender::Entry {
             presence: self.presence(),
@@ -378,14 +387,15 @@
             .send_state(Purpose::Agents, Reach::Near, sender, agents);
     }
 
-    /// Instances of the agents to which this entry sends: those beside the replicas that hold a model, in its own region,
-    /// and a part of those in regions without an entry that is alive.
+    /// Returns the addresses of the agents to which this entry sends: those of this region's replicas with a model, and
+    /// those for which it stands in because their region has no live entry.
     fn agents(&self) -> Vec<Ipv4Addr> {
         let settings = self.node.settings();
         let now = self.node.clock.now();
         let roster = self.roster.borrow();
         let alive = || roster.statuses(|_| true, now);
-        let served: HashSet<&str> = alive().map(|(_, it)| settings.region(it.zone)).collect();
+        let regions_served: HashSet<&str> =
+            alive().map(|(_, it)| settings.region(it.zone)).collect();
         let others: Vec<u64> = alive().map(|(it, _)| roster::hash(&it)).collect();
         let own = roster::hash(&settings.address);
         let stands_in = |agent: &Ipv4Addr| {
@@ -399,15 +409,15 @@
                 return None;
             };
             let agent = *address.ip();
-            let unserved = || !served.contains(settings.region(&it.zone));
-            let receives = self.node.near(&it.zone) || (unserved() && stands_in(&agent));
-            receives.then_some(agent)
+            let unserved = || !regions_served.contains(settings.region(&it.zone));
+            let is_receiver = self.node.near(&it.zone) || (unserved() && stands_in(&agent));
+            is_receiver.then_some(agent)
         });
         agents.collect()
     }
 
-    /// Adds this entry's own requests at replicas.
-    fn add_own(&self, sums: &mut HashMap<u32, Load>) {
+    /// Adds the requests that this entry has at replicas.
+    fn add_own_loads(&self, sums: &mut HashMap<u32, Load>) {
         let replicas = self.replicas.borrow();
         for (_, replica) in replicas.iter().filter(|(_, it)| 0 < it.own) {
             let load = Load {
@@ -419,7 +429,7 @@
         }
     }
 
-    /// Replicas that take requests with the newest version of each model.
+    /// Counts for each model the replicas that serve its newest version.
     fn switched(&self) -> Vec<Switched> {
         let now = self.node.clock.now();
         let config = self.config.borrow();
@@ -442,15 +452,15 @@
     }
 }
 
-/// Whether a turn is one of those with so much time between them.
-fn is_due(turn: u32, pause: Duration) -> bool {
-    let turns = pause.as_millis().div_ceil(TURN.as_millis()) as u32;
-    turn.is_multiple_of(turns.max(1))
+/// Returns whether a message with this pause is due in a round.
+fn is_due(round: u32, pause: Duration) -> bool {
+    let rounds = pause.as_millis().div_ceil(ROUND.as_millis()) as u32;
+    round.is_multiple_of(rounds.max(1))
 }
 
-/// Requests at replicas, in as many parts as they need.
-fn parts(sums: HashMap<u32, Load>, demand: f64) -> Vec<Loads> {
-    let further = sums.len().saturating_sub(1) / LOADS;
+/// Splits the requests at replicas into as many messages as they need.
+fn split_loads(sums: HashMap<u32, Load>, demand: f64) -> Vec<Loads> {
+    let further = sums.len().saturating_sub(1) / MAX_LOADS;
     let count = further as u32 + 1;
     let mut parts: Vec<Loads> = (0..count)
         .map(|number| Loads {
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -1,4 +1,4 @@
-//! What an entry works out anew several times a second, and what it lets go of as it becomes old.
+//! State that an entry recomputes several times a second, and expiry of old state.
 
 use std::{collections::HashMap, net::Ipv4Addr, rc::Rc};
 
@@ -16,24 +16,24 @@
 use super::Entry;
 use crate::logs::Topic;
 
-/// Age from which on other regions' reports of their requests don't count any more, in milliseconds: two of
-/// the longest pauses between two of them. What is old counts for little before (`split::unseen`).
-const FAR_MS: u64 = 10_000;
+/// Age from which load reports of other regions are ignored, in milliseconds: twice the longest pause between
+/// reports. Older reports have less weight before that (`split::unseen`).
+const FAR_LOADS_MAX_AGE_MS: u64 = 10_000;
 
-/// A region, as far as its slots go.
+/// Slots of one region for a service.
 #[derive(Default)]
-struct Place {
+struct RegionSlots {
     area: Area,
-    /// Replicas that take requests, in the order of their ids.
+    /// Replicas that accept requests, with their slots, in the order of their ids.
     replicas: Vec<(Rc<str>, ReplicaKey, u32)>,
 }
 
 impl Entry {
-    /// Drops what has become old, and takes in the reports of others.
-    pub(super) fn upkeep(self: &Rc<Entry>) {
+    /// Expires old state, and recomputes what depends on other entries' reports.
+    pub(super) fn maintain(self: &Rc<Entry>) {
         let now = self.node.clock.now();
         self.node.show_behind();
-        self.show_standing();
+        self.log_standing();
         self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
             if let Some(log) = self.node.logs.line(Topic::State) {
@@ -49,19 +49,21 @@
         self.roster
             .borrow_mut()
             .forget(|it| seeds.contains(&it), now);
-        self.sum_elsewhere(now);
+        self.sum_other_loads(now);
         self.split_slots(now);
-        self.pace_cold(now);
+        self.pace_cold_replicas(now);
     }
 
     /// Sums the requests that other entries have at each replica.
-    fn sum_elsewhere(&self, now: Time) {
+    fn sum_other_loads(&self, now: Time) {
         let roster = self.roster.borrow();
         self.near_loads
             .borrow_mut()
             .retain(|it| roster.alive(*it, now));
         drop(roster);
-        self.far_loads.borrow_mut().expire(now.before_ms(FAR_MS));
+        self.far_loads
+            .borrow_mut()
+            .expire(now.before_ms(FAR_LOADS_MAX_AGE_MS));
         let mut sums = HashMap::new();
         self.near_loads.borrow().add_to(&mut sums);
         self.far_loads.borrow().add_to(&mut sums);
@@ -69,8 +71,8 @@
         let far_loads = self.far_loads.borrow();
         let others = |replica: &Replica| {
             let region = settings.region(&replica.listing.zone);
-            // Nothing is known of a region that is silent: but for what it lends, its models count as full. Else
-            // all entries that are short would send there what they have no room for.
+            // The load of a silent region is unknown. Its replicas of models count as full except for the slots that it
+            // lends, or all entries that are short of slots would send their overflow there.
             if replica.listing.has_model && !replica.near && !far_loads.has(region) {
                 return (replica.listing.slots, 0);
             }
@@ -82,9 +84,9 @@
         replicas.set_others(others);
     }
 
-    /// Sets how often this entry sends to each replica that is cold. The entries of the replica's region share what it
-    /// bears, or all entries if none of that region takes callers.
-    fn pace_cold(&self, now: Time) {
+    /// Sets the pause between this entry's requests to each cold replica. The entries of the replica's region share the
+    /// rate that it sustains, or all entries do if none of that region accepts callers.
+    fn pace_cold_replicas(&self, now: Time) {
         let settings = self.node.settings();
         let config = self.config.borrow();
         let roster = self.roster.borrow();
@@ -108,7 +110,7 @@
         self.node.metrics.cold.set(cold as i64);
     }
 
-    /// Splits the slots of each model's replicas that take requests among the entries that take callers.
+    /// Splits the slots of each model's available replicas among the entries that accept callers.
     fn split_slots(&self, now: Time) {
         let own = self.node.settings().address;
         let near = |it: &str| self.node.near(it);
@@ -119,12 +121,12 @@
         let config = self.config.borrow();
         let services = config.iter().flat_map(|it| &it.document.services);
         for service in services.filter(|it| it.speed.is_some()) {
-            let (home, places) = self.places(&service.name, entries.len(), now);
-            let areas: Vec<Area> = places.iter().map(|it| it.area.clone()).collect();
+            let (home, regions) = self.slots_by_region(&service.name, entries.len(), now);
+            let areas: Vec<Area> = regions.iter().map(|it| it.area.clone()).collect();
             let parts = split::near_first(&areas, home, position);
             let mut replicas = self.replicas.borrow_mut();
-            for (place, parts) in places.iter().zip(parts) {
-                for ((_, key, _), part) in place.replicas.iter().zip(parts) {
+            for (region, parts) in regions.iter().zip(parts) {
+                for ((_, key, _), part) in region.replicas.iter().zip(parts) {
                     if let Some(replica) = replicas.get_mut(*key) {
                         replica.part = part;
                     }
@@ -133,35 +135,40 @@
         }
     }
 
-    /// The regions, each with what it has of a service, and the position of the own one.
-    fn places(&self, service: &str, entries_here: usize, now: Time) -> (usize, Vec<Place>) {
+    /// Returns the position of this entry's region, and all regions with their slots for a service.
+    fn slots_by_region(
+        &self,
+        service: &str,
+        entries_here: usize,
+        now: Time,
+    ) -> (usize, Vec<RegionSlots>) {
         let settings = self.node.settings();
         let own = settings.region(&settings.zone).to_owned();
         let mut regions = self.other_regions();
         regions.push(own.clone());
         let oldest = self.oldest_versions(service).allowed;
-        let takes = |it: &Replica| it.open(now) && oldest <= it.version(now);
+        let accepts = |it: &Replica| it.open(now) && oldest <= it.version(now);
         let replicas = self.replicas.borrow();
-        let open = replicas.of(service).filter(|(_, it)| takes(it));
-        let mut by_region: HashMap<String, Place> = HashMap::new();
+        let open = replicas.of(service).filter(|(_, it)| accepts(it));
+        let mut by_region: HashMap<String, RegionSlots> = HashMap::new();
         for (key, replica) in open {
             let listing = &replica.listing;
             let region = settings.region(&listing.zone).to_owned();
-            let place = by_region.entry(region).or_default();
+            let slots = by_region.entry(region).or_default();
             let row = (Rc::clone(&listing.id), key, listing.slots);
-            place.replicas.push(row);
+            slots.replicas.push(row);
         }
         regions.extend(by_region.keys().cloned());
         regions.sort_unstable();
         regions.dedup();
         let roster = self.roster.borrow();
         let far = self.far_loads.borrow();
-        let places = regions.iter().map(|region| {
-            let mut place = by_region.remove(region).unwrap_or_default();
-            place.replicas.sort_unstable();
-            let slots = place.replicas.iter().map(|it| it.2).collect();
-            let here = |it: &str| settings.region(it) == region;
-            place.area = if *region == own {
+        let slots_by_region = regions.iter().map(|region| {
+            let mut region_slots = by_region.remove(region).unwrap_or_default();
+            region_slots.replicas.sort_unstable();
+            let slots = region_slots.replicas.iter().map(|it| it.2).collect();
+            let in_region = |it: &str| settings.region(it) == region;
+            region_slots.area = if *region == own {
                 Area {
                     entries: entries_here,
                     demand: self.demand() + self.near_loads.borrow().demand(),
@@ -169,15 +176,15 @@
                 }
             } else {
                 Area {
-                    entries: roster.serving(here, now).count(),
+                    entries: roster.serving(in_region, now).count(),
                     demand: far.demand_of(region),
                     slots,
                 }
             };
-            place
+            region_slots
         });
-        let places: Vec<Place> = places.collect();
+        let slots_by_region: Vec<RegionSlots> = slots_by_region.collect();
         let home = regions.iter().take_while(|it| **it != own).count();
-        (home, places)
+        (home, slots_by_region)
     }
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -1,22 +1,22 @@
-//! The process that callers talk to.
+//! The entry: the process that receives callers' requests and routes them to replicas.
 //!
-//! - [`answer`]: answers that an entry gives by itself.
-//! - [`attempt`]: one request sent to one replica.
-//! - [`choice`]: which replica gets a request, and how it waits where none has room.
-//! - `course`: an attempt, and another beside it while its replica is silent.
-//! - [`ending`]: what ended a request that got no whole answer.
-//! - [`forward`]: one request, from its route to its end.
-//! - [`front`]: connections of callers.
-//! - [`gossip`]: datagrams that it sends, and how often.
-//! - [`table_updates`]: what an entry learns from the platform's tables.
-//! - [`lookup`]: addresses, readiness, metrics.
-//! - [`quarantine`]: requests under which replicas ended.
-//! - [`receive`]: datagrams that it receives.
-//! - [`registration`]: how it makes itself known to later ones.
-//! - [`relay`]: a replica's answer on its way to the caller.
-//! - [`running`]: requests that run at replicas.
-//! - [`maintenance`]: what it works out anew several times a second.
-//! - [`staleness`]: what it knows of other entries' requests, and when callers come back.
+//! - [`answer`]: responses that an entry generates itself.
+//! - [`attempt`]: one attempt of a request at one replica.
+//! - [`choice`]: replica selection, and waiting while no replica has room.
+//! - `course`: an attempt, and a hedge while its replica is silent.
+//! - [`ending`]: reasons for which a request got no complete answer.
+//! - [`forward`]: the life of one request, from route lookup to the end of its answer.
+//! - [`front`]: callers' connections.
+//! - [`gossip`]: datagrams that an entry sends, and their intervals.
+//! - [`table_updates`]: changes of the platform's tables, applied to the entry's state.
+//! - [`lookup`]: address lookups, readiness and metrics.
+//! - [`quarantine`]: requests that were running when replicas crashed.
+//! - [`receive`]: datagrams that an entry receives.
+//! - [`registration`]: rows in the table of entries, by which later entries find their peers.
+//! - [`relay`]: forwarding of a replica's answer to the caller.
+//! - [`running`]: requests that are running at replicas.
+//! - [`maintenance`]: periodic recomputation and expiry of state.
+//! - [`staleness`]: the uncertainty of load information, and retry times for callers.
 
 pub mod answer;
 pub mod attempt;
@@ -83,91 +83,99 @@
     traffic::Purpose,
 };
 
-/// Longest wait of one read of a table for something new. Connections to the store may go silent for good,
-/// which only the end of a wait shows, and what the operator writes is to be in force in two seconds: see
-/// [`gradeloft_platform::fleet::OVERDUE`]. While nothing is written a reader makes 0.84 calls a second with
-/// this wait, and 0.25 with one of 4 s (worked out); there are two readers in each region.
-const WAIT_ORDERS: Duration = Duration::from_millis(1_300);
-const WAIT_REPLICAS: Duration = Duration::from_secs(2);
-const WAIT_ENTRIES: Duration = Duration::from_secs(8);
-/// Pause between reads of a table: well below the bound on following it, two seconds, and long
-/// enough to read several records at once, as each read is paid for.
-const PAUSE_ORDERS: Duration = Duration::from_millis(50);
-const PAUSE_REPLICAS: Duration = Duration::from_millis(150);
-const PAUSE_ENTRIES: Duration = Duration::from_secs(1);
-/// Time over which the demand is counted by which slots are split, in seconds. Entries work the split out
-/// apart, and agree the better the less chance moves it: 200 requests a second vary by 4 % over this time.
-const DEMAND_S: f64 = 3.0;
-/// Part of a replica's connections that all entries together use.
-const CONNECTIONS_USED: f64 = 0.85;
-/// Pause between two looks whether an entry that leaves may end.
-const LOOK: Duration = Duration::from_millis(50);
-/// Bounds of the listener for peers.
-const PEERS: peer_server::Limits = peer_server::Limits {
+/// Longest wait of one long poll of the operator's table. A connection to the store may go silent for good,
+/// which shows only when a wait ends, and the operator's writes have to be in force within two seconds: see
+/// [`gradeloft_platform::fleet::OVERDUE`]. While nothing is written, a reader makes 0.84 calls a second with
+/// this wait, and 0.25 with a wait of 4 s; each region has two readers.
+const OPERATOR_WAIT: Duration = Duration::from_millis(1_300);
+/// Longest wait of one long poll of the replicas' table.
+const REPLICAS_WAIT: Duration = Duration::from_secs(2);
+/// Longest wait of one long poll of the table of entries.
+const ENTRIES_WAIT: Duration = Duration::from_secs(8);
+/// Pause between reads of the operator's table: well below the two seconds within which its records have to
+/// be in force, and long enough to batch several records into a read, as each read is billed.
+const OPERATOR_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between reads of the replicas' table.
+const REPLICAS_PAUSE: Duration = Duration::from_millis(150);
+/// Pause between reads of the table of entries.
+const ENTRIES_PAUSE: Duration = Duration::from_secs(1);
+/// Window of the request rate by which slots are split among entries, in seconds. Each entry computes the
+/// split by itself, and less random variation makes them agree better: 200 requests a second vary by 4 %
+/// over this window.
+const DEMAND_WINDOW_S: f64 = 3.0;
+/// Share of a replica's connection limit that all entries together use.
+const CONNECTIONS_SHARE: f64 = 0.85;
+/// Pause between checks whether a draining entry may exit.
+const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// Limits of the listener for peers.
+const PEER_LIMITS: peer_server::Limits = peer_server::Limits {
     frame_bytes: MAX_FRAME,
     streams: 64,
     connections: 512,
 };
 
-/// Oldest versions of weights on which a request may begin.
+/// Oldest versions of weights that a request may run on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OldestVersions {
-    /// Where a replica with it has room; `None` for any.
+    /// Oldest version while a replica that holds it has room; `None` for any version.
     pub preferred: Option<u64>,
-    /// At all; `None` for any.
+    /// Oldest version in any case; `None` for any version.
     pub allowed: Option<u64>,
 }
 
-/// The process.
+/// State of an entry process.
 pub struct Entry {
-    /// What it shares with agents.
+    /// State that entries and agents have in common.
     pub node: Rc<Node>,
     /// Configuration in force.
     pub config: RefCell<Option<Rc<Config>>>,
-    /// Replicas.
+    /// Known replicas.
     pub replicas: RefCell<Replicas>,
     /// Connections to replicas.
     pub pool: Pool,
-    /// Notified when the process begins to leave.
+    /// Notified when the process starts to drain.
     pub leave_started: Notify,
     /// Notified when a replica may have room for one more request.
     pub room_freed: Notify,
+    /// Other entries.
     roster: RefCell<Roster>,
-    /// Versions of each model's weights that replicas are to serve.
+    /// Target versions of each model's weights.
     weights: RefCell<HashMap<String, Named>>,
+    /// Retry budgets, by service.
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
+    /// Ages of callers' requests, by route.
     patience: RefCell<Patience>,
-    /// Requests that come for each service.
+    /// Request rates, by service.
     demands: RefCell<HashMap<Rc<str>, Demands>>,
-    /// Want of room, by service.
+    /// Capacity shortages, by service.
     shortages: RefCell<HashMap<Rc<str>, Shortage>>,
-    /// Requests that come for services which run a model.
+    /// Request rate of all services that run a model.
     model_demand: RefCell<Demand>,
-    /// Requests of the other entries of this region at replicas.
+    /// Requests that other entries of this region have at replicas.
     near_loads: RefCell<Elsewhere<Ipv4Addr>>,
-    /// Requests of other regions' entries at replicas, by region.
+    /// Requests that entries of other regions have at replicas, by region.
     far_loads: RefCell<Elsewhere<String>>,
-    /// Replicas near whose agents reported something new since the last message to other regions.
+    /// Replicas of this region whose reported state changed since the last message to other regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
-    /// What was sent to agents last: replicas that changed over, and how far the operator's table goes.
+    /// State sent to agents last: replicas that switched versions, and the end of the operator's table.
     sent_to_agents: RefCell<(Vec<Switched>, u64)>,
-    /// When another entry sent it something first.
-    contact: Cell<Option<Time>>,
-    /// Whether it brought records of the operator's into its region that the other entries there don't know of yet.
-    announces: Cell<bool>,
-    /// Messages to other regions so far.
+    /// Time of the first datagram from another entry.
+    first_contact: Cell<Option<Time>>,
+    /// Whether this entry brought operator records into its region that the other entries there may lack.
+    announce_pending: Cell<bool>,
+    /// Number of rounds so far in which messages went to other regions.
     sent_to_regions: Cell<usize>,
-    /// Whether it left callers to others when it last looked.
+    /// Whether the log last reported that this entry leaves callers to other entries.
     logged_aside: Cell<bool>,
-    /// What signals to requests that the start of their replica is over, for replicas that got any.
+    /// Tokens that are cancelled when a replica restarts, for replicas that received requests.
     starts: RefCell<HashMap<ReplicaKey, CancellationToken>>,
-    /// Requests under which replicas ended.
+    /// Requests that were running when replicas crashed.
     suspicion: Suspicion,
-    /// Connections of callers.
+    /// Number of callers' connections.
     open_connections: Cell<usize>,
-    /// Of these, those that have ended but for the callers' side.
+    /// Number of these that only the caller still has to close.
     closing_connections: Cell<usize>,
-    /// Set once it leaves.
+    /// Set once the entry drains.
     leave: Cell<Option<Leave>>,
 }
 
@@ -182,7 +190,7 @@
     /// Starts an entry.
     pub async fn start(node: Rc<Node>) -> io::Result<Handle> {
         let Role::Entry { frontend, .. } = node.settings().role else {
-            return Err(io::Error::other("the settings are not an entry's"));
+            return Err(io::Error::other("the settings have no entry role"));
         };
         let entry = Rc::new(Entry {
             pool: Pool::new(node.clock),
@@ -197,13 +205,13 @@
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(Demand::over(DEMAND_S)),
+            model_demand: RefCell::new(Demand::over(DEMAND_WINDOW_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
             sent_to_agents: RefCell::default(),
-            contact: Cell::default(),
-            announces: Cell::default(),
+            first_contact: Cell::default(),
+            announce_pending: Cell::default(),
             sent_to_regions: Cell::default(),
             logged_aside: Cell::default(),
             starts: RefCell::default(),
@@ -212,15 +220,15 @@
             closing_connections: Cell::default(),
             leave: Cell::default(),
         });
-        entry.meet_seeds();
+        entry.add_seeds();
         let observing = Rc::downgrade(&entry);
         entry.node.set_observer(Rc::new(move |table, records| {
             if let Some(entry) = observing.upgrade() {
-                entry.changed(table, &records);
+                entry.apply_changes(table, &records);
             }
         }));
         entry.node.set_election(Rc::new(Rc::downgrade(&entry)));
-        let peers = peer_listener(&entry.node, Rc::new(Peers(Rc::clone(&entry.node)))).await?;
+        let peers = peer_listener(&entry.node, Rc::new(PeerCalls(Rc::clone(&entry.node)))).await?;
         let servers = lookup::start(&entry).await?;
         let listener = TcpListener::bind(frontend).await?;
         entry.spawn_tasks(listener);
@@ -236,18 +244,18 @@
         node.scope.spawn(Rc::clone(node).detect_stalls());
         let follow = |table, wait, pause| Rc::clone(node).follow(table, wait, pause);
         node.scope
-            .spawn(follow(Table::Operator, WAIT_ORDERS, PAUSE_ORDERS));
+            .spawn(follow(Table::Operator, OPERATOR_WAIT, OPERATOR_PAUSE));
         node.scope
-            .spawn(follow(Table::Replicas, WAIT_REPLICAS, PAUSE_REPLICAS));
+            .spawn(follow(Table::Replicas, REPLICAS_WAIT, REPLICAS_PAUSE));
         node.scope
-            .spawn(follow(Table::Entries, WAIT_ENTRIES, PAUSE_ENTRIES));
+            .spawn(follow(Table::Entries, ENTRIES_WAIT, ENTRIES_PAUSE));
         node.scope.spawn(accept(Rc::clone(self), listener));
         node.scope.spawn(Rc::clone(self).gossip());
-        node.scope.spawn(Rc::clone(self).listen());
+        node.scope.spawn(Rc::clone(self).receive_datagrams());
         node.scope.spawn(Rc::clone(self).register());
     }
 
-    /// Whether it takes callers.
+    /// Returns whether this entry accepts callers.
     pub fn presence(&self) -> Presence {
         if self.node.leaving.get() {
             return Presence::Leaving;
@@ -260,9 +268,9 @@
         }
     }
 
-    /// What it makes of the operator's records that peers have and it lacks.
+    /// Decides how this entry treats callers, given the operator's records that peers have and it lacks.
     pub fn standing(&self) -> Standing {
-        // Keys may be gone and routes moved while it stood still; others know.
+        // Keys may have been revoked and routes moved during the stall; other entries have the changes.
         if self.node.stale_after_stall() {
             return Standing::Aside;
         }
@@ -275,22 +283,22 @@
         Standing::of(self.node.behind(table), apply, beyond)
     }
 
-    /// Logs when it begins to leave callers to others, and when it takes them again.
-    fn show_standing(&self) {
+    /// Logs when this entry starts or stops to leave callers to other entries.
+    fn log_standing(&self) {
         let aside = self.standing() == Standing::Aside;
         if self.logged_aside.replace(aside) == aside {
             return;
         }
         if let Some(log) = self.node.logs.line(Topic::State) {
             let behind = self.node.behind(Table::Operator);
-            info!(log, "standing"; "aside" => aside, "config" => self.config_version(),
+            info!(log, "standing changed"; "aside" => aside, "config" => self.config_version(),
                 "end" => self.node.end(Table::Operator),
                 "behind_ms" => behind.map_or(-1, |it| it.as_millis() as i64));
         }
     }
 
-    /// Addresses for a caller, the own one first while it takes any. Where the host is bound to some regions, entries of
-    /// these and of the caller's region only, unless none of them is ready.
+    /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a host that is bound
+    /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let homes = match self.config.borrow().as_ref() {
             Some(config) => config.homes_of_host(&lookup.host),
@@ -305,7 +313,7 @@
         }
     }
 
-    /// Addresses of entries that take callers, in regions that fit.
+    /// Returns the addresses of entries that accept callers, in regions that pass the filter.
     fn ready_addresses(&self, fits: impl Fn(&str) -> bool) -> Vec<SocketAddr> {
         let settings = self.node.settings();
         let Role::Entry { frontend, .. } = settings.role else {
@@ -317,27 +325,27 @@
             .roster
             .borrow()
             .ready(settings.address, &settings.zone, fits, now);
-        let takes = self.presence() == Presence::Ready && fits(&settings.zone);
-        let own = takes.then_some(settings.address);
+        let accepts = self.presence() == Presence::Ready && fits(&settings.zone);
+        let own = accepts.then_some(settings.address);
         let all = own.into_iter().chain(others);
         all.map(|it| SocketAddr::new(IpAddr::V4(it), frontend.port()))
             .collect()
     }
 
-    /// Version of the configuration in force; 0 for none.
+    /// Returns the version of the configuration in force; 0 for none.
     pub fn config_version(&self) -> u64 {
         let config = self.config.borrow();
         config.as_ref().map_or(0, |it| it.document.version)
     }
 
-    /// Where a replica listens, and its id.
+    /// Returns a replica's address and id.
     pub fn replica_address(&self, key: ReplicaKey) -> Option<(SocketAddr, Rc<str>)> {
         let replicas = self.replicas.borrow();
         let listing = &replicas.get(key)?.listing;
         Some((listing.address, Rc::clone(&listing.id)))
     }
 
-    /// Counts bytes that go to a replica or come from it.
+    /// Counts bytes sent to a replica or received from it.
     pub fn count_to_replica(&self, purpose: Purpose, key: ReplicaKey, bytes: usize) {
         let replicas = self.replicas.borrow();
         if let Some(replica) = replicas.get(key) {
@@ -345,7 +353,7 @@
         }
     }
 
-    /// Ids of replicas, for logs.
+    /// Returns the ids of replicas, for logs.
     pub fn replica_ids(&self, keys: &[ReplicaKey]) -> Vec<String> {
         let replicas = self.replicas.borrow();
         let name = |it: &ReplicaKey| replicas.get(*it).map(|it| it.listing.id.to_string());
@@ -354,31 +362,31 @@
             .collect()
     }
 
-    /// Version of the weights that a replica holds.
+    /// Returns the version of the weights that a replica holds.
     pub fn version_of(&self, key: ReplicaKey) -> Option<u64> {
         let now = self.node.clock.now();
         let replicas = self.replicas.borrow();
         replicas.get(key).and_then(|it| it.version(now))
     }
 
-    /// A replica sent something.
+    /// Notes that a replica sent data.
     pub fn note_activity(&self, key: ReplicaKey) {
         let now = self.node.clock.now();
         self.replicas.borrow_mut().heard(key, now);
     }
 
-    /// How long a caller that still has `left` has waited since it first asked.
+    /// Returns the time since a caller's first attempt, given the time `left` to its deadline.
     pub fn age(&self, route: &Rc<str>, left: Duration) -> Duration {
         let now = self.node.clock.now();
         self.patience.borrow_mut().age(route, left, now)
     }
 
-    /// How fast the engines of a service work, if it runs a model.
+    /// Returns the speed of a service's engines, if the service runs a model.
     pub fn speed(&self, service: &str) -> Option<Speed> {
         self.config.borrow().as_ref()?.service(service)?.speed
     }
 
-    /// A replica began an answer.
+    /// Records the time that a replica took to begin an answer.
     pub fn record_answer_start(&self, key: ReplicaKey, expected: Expected) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
@@ -403,12 +411,12 @@
         }
     }
 
-    /// Requests that come for services which run a model, a second.
+    /// Returns the request rate of all services that run a model, per second.
     pub fn demand(&self) -> f64 {
         self.model_demand.borrow().rate(self.node.clock.now())
     }
 
-    /// How well it knows which other entries there are.
+    /// Returns how complete this entry's knowledge of other entries is.
     fn acquaintance(&self, now: Time) -> Acquaintance {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
@@ -420,7 +428,7 @@
         }
     }
 
-    /// Takes a repeat out of a service's budget.
+    /// Takes a repeated attempt out of a service's budget; returns `false` if the budget is spent.
     pub fn take_repeat(&self, service: &Rc<str>) -> bool {
         let bounds = self.node.settings().repeats;
         let now = self.node.clock.now();
@@ -434,7 +442,7 @@
         taken
     }
 
-    /// Connections that this entry may have to each replica of a service.
+    /// Returns the number of connections that this entry may have to each replica of a service.
     pub fn max_connections_per_replica(&self, service: &str) -> usize {
         let config = self.config.borrow();
         let most = config
@@ -442,10 +450,11 @@
             .and_then(|it| it.service(service))
             .map_or(u32::MAX, |it| it.max_connections);
         let entries = self.roster.borrow().most();
-        (f64::from(most) * CONNECTIONS_USED / entries as f64).max(1.0) as usize
+        (f64::from(most) * CONNECTIONS_SHARE / entries as f64).max(1.0) as usize
     }
 
-    fn meet_seeds(&self) {
+    /// Adds the seed addresses of the settings to the roster.
+    fn add_seeds(&self) {
         let settings = self.node.settings();
         let mut roster = self.roster.borrow_mut();
         for seed in &settings.seeds {
@@ -462,16 +471,17 @@
     handler: Rc<dyn PeerHandler>,
 ) -> io::Result<PeerServer> {
     let address = node.peer_address(node.settings().address);
-    PeerServer::start(&address, PEERS, Rc::clone(&node.scope), handler).await
+    PeerServer::start(&address, PEER_LIMITS, Rc::clone(&node.scope), handler).await
 }
 
-struct Peers(Rc<Node>);
+/// Answers calls of peers.
+struct PeerCalls(Rc<Node>);
 
-impl PeerHandler for Peers {
+impl PeerHandler for PeerCalls {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let node = Rc::clone(&self.0);
         let scope = Rc::clone(&node.scope);
-        // Calls that are for agents get no answer, by which the caller knows.
+        // A call that only agents serve gets no answer, which tells the caller that it failed.
         scope.spawn(async move { node.answer(call, outgoing).await });
     }
 
@@ -485,7 +495,7 @@
 async fn accept(entry: Rc<Entry>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors, most likely: let some go first.
+            // Out of file descriptors, most likely: wait until some are closed.
             actix_rt::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -501,8 +511,8 @@
 }
 
 impl Handle {
-    /// Is named to callers no more, answers those that still come, and finishes what runs; gives how many
-    /// connections were cut off.
+    /// Drains the entry: lookups no longer return it, new requests are still answered, and running requests
+    /// finish. Returns the number of connections that were cut off.
     pub async fn leave(self) -> usize {
         let entry = &self.entry;
         let node = &entry.node;
@@ -512,7 +522,7 @@
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.leave_started.notify_waiters();
         while !leave.over(entry.open_connections.get(), node.clock.now()) {
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(DRAIN_POLL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
         info!(node.logs.root, "left"; "cut_off" => cut);
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -28,25 +28,26 @@
 };
 
 impl Entry {
-    pub(super) async fn listen(self: Rc<Entry>) {
+    /// Receives datagrams without end.
+    pub(super) async fn receive_datagrams(self: Rc<Entry>) {
         loop {
             let (from, datagram) = self.node.next_datagram().await;
-            self.receive(from, datagram);
+            self.handle_datagram(from, datagram);
         }
     }
 
-    fn receive(&self, from: Ipv4Addr, mut datagram: Datagram) {
+    fn handle_datagram(&self, from: Ipv4Addr, mut datagram: Datagram) {
         self.node.detect_stall();
         let now = self.node.clock.now();
 
-        let passed_on = match &mut datagram.sender {
+        let relayed_before = match &mut datagram.sender {
             Sender::Region { relayed, .. } | Sender::Suspects { relayed, .. } => {
                 std::mem::replace(relayed, true)
             }
             _ => false,
         };
-        // What lay in the socket while this process stood still is outdated, and each sender sends again within a second.
-        // How far copies go, and crashes, hold whenever they are received.
+        // State that lay in the socket during a stall is outdated, and each sender sends again within a second. The ends
+        // of copies, and crashes, stay true whenever they are received.
         let current = self.node.receives_current();
         match &datagram.sender {
             Sender::Agent { .. } | Sender::Entry { .. } | Sender::Region { .. } if !current => {}
@@ -55,7 +56,7 @@
                 if let Some(engine) = engine {
                     self.receive_report(replica, *engine, now);
                 }
-                // Nobody sends to the agent of a replica that is not listed yet.
+                // An agent gets no regular datagrams before its replica is listed.
                 if self.replicas.borrow().at(replica).is_empty() {
                     self.send_to_agents([from].into_iter());
                 }
@@ -63,26 +64,26 @@
             Sender::Entry { .. } => self.receive_entry(from, &datagram, now),
             Sender::Region { word, .. } => {
                 self.receive_region(&datagram.zone, word, now);
-                if !passed_on {
-                    self.pass_on(&datagram);
+                if !relayed_before {
+                    self.relay_datagram(&datagram);
                 }
             }
             Sender::Suspects { suspects, .. } => {
                 self.receive_suspects(suspects, Source::Peer(from), now);
-                if !passed_on && !self.node.near(&datagram.zone) {
-                    self.pass_on(&datagram);
+                if !relayed_before && !self.node.near(&datagram.zone) {
+                    self.relay_datagram(&datagram);
                 }
             }
         }
-        if !passed_on {
+        if !relayed_before {
             self.node
                 .receive_ages(datagram.ends, datagram.unconfirmed_ms);
             self.node.receive_ends(from, &datagram.zone, datagram.ends);
         }
     }
 
-    /// Passes a message of another region on to the entries of this one.
-    fn pass_on(&self, datagram: &Datagram) {
+    /// Relays a message of another region to the entries of this region.
+    fn relay_datagram(&self, datagram: &Datagram) {
         let near: Vec<Ipv4Addr> = self
             .roster
             .borrow()
@@ -92,6 +93,7 @@
             .send(Purpose::Relayed, Reach::Near, datagram, near.into_iter());
     }
 
+    /// Applies the state of another entry.
     fn receive_entry(&self, from: Ipv4Addr, datagram: &Datagram, now: Time) {
         let Sender::Entry {
             presence,
@@ -104,7 +106,8 @@
         else {
             return;
         };
-        self.contact.set(self.contact.get().or(Some(now)));
+        self.first_contact
+            .set(self.first_contact.get().or(Some(now)));
         let status = Status {
             incarnation: datagram.incarnation,
             zone: &datagram.zone,
@@ -113,7 +116,7 @@
             end: datagram.ends[Table::Operator as usize],
         };
         self.roster.borrow_mut().receive(from, status, now);
-        self.learn(entries);
+        self.add_to_roster(entries);
         if self.node.near(&datagram.zone) {
             self.near_loads
                 .borrow_mut()
@@ -124,24 +127,28 @@
         }
     }
 
-    /// Takes in the state of another region's entries.
+    /// Applies the state of another region's entries.
     fn receive_region(&self, zone: &str, message: &Region, now: Time) {
         if self.node.near(zone) {
             return;
         }
         let region = self.node.settings().region(zone).to_owned();
         match message {
-            Region::Engines(engines) => engines.iter().for_each(|it| self.engine_seen(it, now)),
+            Region::Engines(engines) => engines
+                .iter()
+                .for_each(|it| self.receive_relayed_report(it, now)),
             Region::Loads(loads) => {
                 self.far_loads
                     .borrow_mut()
                     .receive(region, load_report(loads, now));
             }
-            Region::Members(members) => members.iter().for_each(|it| self.member(zone, it, now)),
+            Region::Members(members) => members
+                .iter()
+                .for_each(|it| self.receive_member(zone, it, now)),
         }
     }
 
-    fn member(&self, zone: &str, member: &Member, now: Time) {
+    fn receive_member(&self, zone: &str, member: &Member, now: Time) {
         let status = Status {
             incarnation: member.incarnation,
             zone,
@@ -154,7 +161,7 @@
             .receive_relayed(member.address, status, now);
     }
 
-    fn learn(&self, entries: &[Ipv4Addr]) {
+    fn add_to_roster(&self, entries: &[Ipv4Addr]) {
         let own = self.node.settings().address;
         let mut roster = self.roster.borrow_mut();
         for address in entries.iter().filter(|it| **it != own) {
@@ -162,36 +169,37 @@
         }
     }
 
-    /// How many other entries of this region, as far as this one knows, read a table first after a start.
-    fn first_rank(&self, table: Table) -> usize {
+    /// Returns the rank of this entry among the known entries of its region for the first read of a table after a start.
+    fn startup_rank(&self, table: Table) -> usize {
         let now = self.node.clock.now();
         let settings = self.node.settings();
         let roster = self.roster.borrow();
         let near = roster.served(|zone| self.node.near(zone), now);
-        // Seeds name entries of this region, which answer a moment later.
-        let named = roster
+        // Seeds are entries of this region, and answer within a moment.
+        let listed = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
-        let named = named.filter(|_| now < Time::ZERO.after(readers::NAMES_COUNT));
-        let others = near.chain(named).map(|it| roster::hash(&it));
+        let listed = listed.filter(|_| now < Time::ZERO.after(readers::NAMES_COUNT));
+        let others = near.chain(listed).map(|it| roster::hash(&it));
         rendezvous::rank(table as u64, roster::hash(&settings.address), others)
     }
 
+    /// Applies a report of an agent, and notes whether the replica closed or reopened.
     fn receive_report(&self, address: SocketAddr, engine: Engine, now: Time) {
-        let closed = |it: Option<Report>| it.map(|it| (it.loading, it.version));
-        let before = closed(self.report_of(address));
-        self.reported(address, report(engine, now));
-        if before != closed(self.report_of(address)) {
+        let closing_state = |it: Option<Report>| it.map(|it| (it.loading, it.version));
+        let before = closing_state(self.last_report(address));
+        self.apply_report(address, report(engine, now));
+        if before != closing_state(self.last_report(address)) {
             self.changed_engines.borrow_mut().push(address);
         }
     }
 
-    fn engine_seen(&self, seen: &Seen, now: Time) {
+    fn receive_relayed_report(&self, seen: &Seen, now: Time) {
         let at = now.before_ms(u64::from(seen.age_ms));
-        self.reported(SocketAddr::V4(seen.replica), report(seen.engine, at));
+        self.apply_report(SocketAddr::V4(seen.replica), report(seen.engine, at));
     }
 
-    fn report_of(&self, address: SocketAddr) -> Option<Report> {
+    fn last_report(&self, address: SocketAddr) -> Option<Report> {
         let replicas = self.replicas.borrow();
         let mut at = replicas
             .iter()
@@ -199,7 +207,7 @@
         at.next()?.1.report
     }
 
-    fn reported(&self, address: SocketAddr, report: Report) {
+    fn apply_report(&self, address: SocketAddr, report: Report) {
         let ended = self.replicas.borrow_mut().report_at(address, report);
         if !ended.is_empty() {
             self.begin_warmup(address);
@@ -207,7 +215,7 @@
         ended.into_iter().for_each(|it| self.restarted(it));
     }
 
-    /// Counts the replica at an address as cold, as it has just started: its own record comes later.
+    /// Treats the replica at an address as cold after a restart, until its new record arrives.
     fn begin_warmup(&self, address: SocketAddr) {
         let config = self.config.borrow();
         let mut replicas = self.replicas.borrow_mut();
@@ -268,11 +276,11 @@
             let now = entry.node.clock.now();
             return readers::reads_first(First {
                 since_start: now.since(Time::ZERO),
-                since_contact: entry.contact.get().map(|it| now.since(it)),
+                since_contact: entry.first_contact.get().map(|it| now.since(it)),
                 seed: settings.seeds.contains(&settings.address),
                 known: entry.node.behind(table).is_some(),
                 spare: table == Table::Entries,
-                rank: entry.first_rank(table),
+                rank: entry.startup_rank(table),
             });
         }
         let regions = entry.other_regions().len() + 1;
@@ -292,7 +300,7 @@
     }
 }
 
-/// Pause between two reads of the replicas' table, for each replica: all of them change while a version
-/// changes over, and each call to the store is paid for. With 120 of them 0.36 s, of the four seconds in which
-/// nothing is to be sent to one that leaves.
+/// Pause between reads of the replicas' table, per replica: all replicas change during a version switch, and
+/// each call to the store is billed. With 120 replicas it is 0.36 s, of the four seconds within which requests
+/// to a draining replica have to stop.
 const PAUSE_PER_REPLICA: Duration = Duration::from_millis(3);
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -1,7 +1,7 @@
-//! How entries make themselves known to later ones.
+//! Registration of entries in the table of entries, by which later entries find their peers.
 //!
-//! All entries write to one partition of the store, which takes one write after the other. So one entry of each region writes
-//! the rows of all entries there together, and the others write their own only if nobody has done so.
+//! All entries write to one partition of the store, which applies writes one at a time. So one entry of each region
+//! writes the rows of all entries there in one batch, and the others write their own row only if it stays missing.
 
 use std::{collections::HashSet, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -15,31 +15,31 @@
 use super::Entry;
 use crate::logs::Topic;
 
-/// Pause between looks for entries without a row.
-const LOOK: Duration = Duration::from_millis(500);
-/// Time after its first contact for which an entry writes nobody's row, in milliseconds: until then it knows a few of its
-/// region only, and ranks first among these more often than not.
-const SETTLED_MS: u64 = 1_000;
-/// Time after which an entry writes its own row, in milliseconds, at the shortest. It doubles with each attempt.
-const OWN_ROW_MS: u64 = 4_000;
-/// Longest pause between such attempts, in milliseconds.
+/// Pause between checks for entries without a row.
+const CHECK_PAUSE: Duration = Duration::from_millis(500);
+/// Time after its first contact before which an entry writes no rows of others, in milliseconds: until then it
+/// knows only a few entries of its region, and often ranks first among these.
+const SETTLE_MS: u64 = 1_000;
+/// Shortest time after which an entry writes its own row, in milliseconds. It doubles with each failed write.
+const FIRST_PAUSE_MS: u64 = 4_000;
+/// Longest such time, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 16_000;
 
 impl Entry {
-    /// Keeps this entry in the table of entries, and those of its region while it is the one that registers them.
+    /// Keeps this entry in the table of entries, and all entries of its region while it is the region's writer.
     pub(super) async fn register(self: Rc<Entry>) {
-        let mut pause_ms = OWN_ROW_MS;
-        let mut own_due = self.drawn_pause(pause_ms);
+        let mut pause_ms = FIRST_PAUSE_MS;
+        let mut own_due = self.jittered_deadline(pause_ms);
         let mut written = HashSet::new();
         loop {
-            actix_rt::time::sleep(LOOK).await;
-            let registers = self.registers_region();
-            if !registers && self.node.clock.now() < own_due {
+            actix_rt::time::sleep(CHECK_PAUSE).await;
+            let is_writer = self.is_region_writer();
+            if !is_writer && self.node.clock.now() < own_due {
                 continue;
             }
             let own = self.node.settings().address;
             let mut missing = self.without_row(&written);
-            missing.retain(|it| registers || it.0 == own);
+            missing.retain(|it| is_writer || it.0 == own);
             if missing.is_empty() {
                 continue;
             }
@@ -48,20 +48,20 @@
                 Err(fault) => {
                     self.node.metrics.store_faults.inc();
                     if let Some(log) = self.node.logs.line(Topic::Dependency) {
-                        warn!(log, "not registered"; "rows" => missing.len(), "fault" => %fault);
+                        warn!(log, "registration failed"; "rows" => missing.len(), "fault" => %fault);
                     }
                     pause_ms = (2 * pause_ms).min(LONGEST_PAUSE_MS);
-                    own_due = self.drawn_pause(pause_ms);
+                    own_due = self.jittered_deadline(pause_ms);
                 }
             }
         }
     }
 
-    /// Whether it is this entry that writes the rows of all entries of its region: the first of those that read the table.
-    fn registers_region(&self) -> bool {
+    /// Returns whether this entry writes the rows of its whole region: the first in rank of those that read the table.
+    fn is_region_writer(&self) -> bool {
         let now = self.node.clock.now();
-        let settled = |it: Time| it.after_ms(SETTLED_MS) <= now;
-        if !self.contact.get().is_some_and(settled) {
+        let settled = |it: Time| it.after_ms(SETTLE_MS) <= now;
+        if !self.first_contact.get().is_some_and(settled) {
             return false;
         }
         let own = roster::hash(&self.node.settings().address);
@@ -73,8 +73,8 @@
             && rendezvous::rank(Table::Entries as u64, own, others) == 0
     }
 
-    /// Entries of this region that are alive and have no row, this one among them, with their availability zones.
-    /// Nobody is known to have none until the table has been read.
+    /// Returns the live entries of this region without a row, including this one, with their availability zones;
+    /// none before the table has been read.
     fn without_row(&self, written: &HashSet<Ipv4Addr>) -> Vec<(Ipv4Addr, String)> {
         if !self.node.loaded(Table::Entries) {
             return Vec::new();
@@ -100,11 +100,11 @@
         self.node.platform.store.write(rows.collect()).await
     }
 
-    /// A time that is a pause away, drawn so that entries which start together don't write together.
-    fn drawn_pause(&self, pause_ms: u64) -> Time {
-        let drawn = self
+    /// Returns a time one to two pauses from now, with jitter so that entries which start together write apart.
+    fn jittered_deadline(&self, pause_ms: u64) -> Time {
+        let jittered = self
             .node
             .with_rng(|it| it.random_range(pause_ms..=2 * pause_ms));
-        self.node.clock.now().after_ms(drawn)
+        self.node.clock.now().after_ms(jittered)
     }
 }
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -1,5 +1,5 @@
-//! What an entry knows of other entries' requests, how far that may be off, and what it tells callers
-//! when there is no room.
+//! The uncertainty of an entry's knowledge of other entries' requests, and retry times for callers when no
+//! replica has room.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,56 +14,56 @@
 
 use super::{Entry, forward::Job};
 
-/// Others that send requests to the same replicas.
+/// Other entries that send requests to the same replicas.
 #[derive(Clone, Copy)]
-struct Others {
+struct OtherEntries {
     entries: usize,
-    /// Requests that come to all of them, a second.
+    /// Requests per second to all of them.
     demand: f64,
-    /// How long ago they told what they have at replicas.
+    /// Age of their load reports.
     age: Duration,
 }
 
-/// Requests that come for a service.
+/// Request rates of a service.
 #[derive(Default)]
 pub(super) struct Demands {
-    /// All of them.
+    /// All requests.
     pub(super) all: Demand,
-    /// Those that do not go to a slot of this entry's part.
-    pub(super) beyond: Demand,
+    /// Requests that don't go to a slot of this entry's share.
+    pub(super) overflow: Demand,
 }
 
-/// How far what an entry knows of replicas may be off.
+/// Uncertainty about the load of a service's replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Staleness {
-    /// For those of its region.
+    /// Of the entry's own region.
     pub near: Doubt,
-    /// For those of other regions.
+    /// Of other regions.
     pub far: Doubt,
 }
 
 impl Entry {
-    /// How far what this entry knows of a service's replicas may be off.
+    /// Returns the uncertainty about the load of a service's replicas.
     pub fn staleness(&self, service: &str, now: Time) -> Staleness {
         let demands = self.demands.borrow();
         let Some(demand) = demands.get(service) else {
             return Staleness::default();
         };
         let near_loads = self.near_loads.borrow();
-        let near = Others {
+        let near = OtherEntries {
             entries: near_loads.len(),
             demand: near_loads.demand(),
             age: near_loads.age(now),
         };
         let far_loads = self.far_loads.borrow();
-        let far = Others {
+        let far = OtherEntries {
             entries: self.roster.borrow().serving(|_| true, now).count(),
             demand: far_loads.demand(),
             age: far_loads.age(now) + near.age,
         };
-        let beyond = demand.beyond.rate(now);
+        let overflow = demand.overflow.rate(now);
         let replicas = self.replicas.borrow();
-        let doubt = |is_near: bool, others: Others| {
+        let doubt = |is_near: bool, others: OtherEntries| {
             let open = replicas.of(service);
             let open = || {
                 open.clone()
@@ -73,7 +73,7 @@
             let unseen = split::unseen(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen)).sum();
             Doubt {
-                chance: split::chance(spare, others.entries, beyond, others.age),
+                chance: split::chance(spare, others.entries, overflow, others.age),
                 unseen,
             }
         };
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Counts a request that goes to a replica, or to none, if that is not to a slot of this entry's part.
+    /// Counts a request as overflow unless the chosen replica has a free slot of this entry's share.
     pub fn count_placement(&self, service: &Rc<str>, chosen: Option<ReplicaKey>) {
         let replicas = self.replicas.borrow();
         let chosen = chosen.and_then(|it| replicas.get(it));
@@ -93,16 +93,16 @@
         let now = self.node.clock.now();
         let mut demands = self.demands.borrow_mut();
         let demand = demands.entry(Rc::clone(service)).or_default();
-        demand.beyond.count(now);
+        demand.overflow.count(now);
     }
 
-    /// Whether callers of a service have been refused for want of room a moment ago.
+    /// Returns whether callers of a service were refused for lack of room a moment ago.
     pub fn recently_refused(&self, service: &str, now: Time) -> bool {
         let shortages = self.shortages.borrow();
         shortages.get(service).is_some_and(|it| it.lasts(now))
     }
 
-    /// When the caller of a request that found no replica is to come back.
+    /// Returns the time after which the caller of a request that found no replica should retry.
     pub fn retry_after(&self, job: &Job) -> Duration {
         let now = self.node.clock.now();
         let mut shortages = self.shortages.borrow_mut();
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from the platform's tables.
+//! Changes of the platform's tables, applied to an entry's state.
 
 use std::{collections::HashSet, rc::Rc};
 
@@ -18,39 +18,40 @@
 use super::{Entry, OldestVersions};
 use crate::{logs::Topic, node::tables::Source};
 
-/// Time before the end of that for new weights from which on requests go to replicas that hold them, if
-/// one has room, in milliseconds: until then the last replicas change over.
+/// Time before the deadline for new weights from which requests prefer replicas that hold them, if one has
+/// room, in milliseconds: by then the last replicas switch.
 const VERSION_PREFERRED_MS: u64 = 1_600;
-/// Time before the end of that for new weights from which on requests need them, in milliseconds. A
-/// request goes where it begins within its objective, 0.4 s today; what was named is known to all entries
-/// 0.3 s after it was at the latest. With 1.6 s, replicas with older weights stood idle for 0.8 s while
-/// requests were refused.
-const VERSION_DUE_MS: u64 = 800;
-/// Time before the end of that for new weights at which requests that wait at a replica with older ones
-/// are taken back, in milliseconds: a tenth of a second passes a link, also one that carries little, and
-/// what was named may have been learned 0.3 s late.
-const VERSION_EXPIRED_MS: u64 = 500;
+/// Time before the deadline for new weights from which requests require them, in milliseconds. A request is
+/// sent to a replica where it begins within its objective of 0.4 s, and all entries learn of a new version
+/// within 0.3 s. A value of 1,600 leaves replicas with older weights idle for 0.8 s while requests are
+/// refused.
+const VERSION_REQUIRED_MS: u64 = 800;
+/// Time before the deadline for new weights at which requests that wait at a replica with older weights are
+/// withdrawn, in milliseconds: 0.1 s for the network, also over a slow link, and 0.3 s by which this entry
+/// may have learned of the version late.
+const VERSION_WITHDRAWN_MS: u64 = 500;
 
 impl Entry {
-    /// Oldest versions of weights on which a request to a service begins now: where a replica has
-    /// room, and at all.
+    /// Returns the oldest versions of weights on which a request to a service may begin now.
     pub fn oldest_versions(&self, service: &str) -> OldestVersions {
         let now = self.node.clock.now();
         let oldest = |named: &Named| OldestVersions {
             preferred: named.oldest_preferred(now),
             allowed: named.oldest_allowed(now),
         };
-        self.with_named(service, oldest).unwrap_or_default()
+        self.with_target_versions(service, oldest)
+            .unwrap_or_default()
     }
 
-    /// Until when a request to a service may wait at a replica to begin there; `None` for any time.
+    /// Returns the time by which a request that waits at a replica has to begin there; `None` for no limit.
     pub fn begin_by(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
         let held = self.version_of(replica)?;
-        self.with_named(service, |it| it.begin_by(held)).flatten()
+        self.with_target_versions(service, |it| it.begin_by(held))
+            .flatten()
     }
 
-    /// What was named of a service's model.
-    fn with_named<T>(&self, service: &str, get: impl FnOnce(&Named) -> T) -> Option<T> {
+    /// Reads the target versions of a service's model, if there are any.
+    fn with_target_versions<T>(&self, service: &str, get: impl FnOnce(&Named) -> T) -> Option<T> {
         let config = self.config.borrow();
         let service = config.as_ref()?.service(service)?;
         let weights = self.weights.borrow();
@@ -58,27 +59,29 @@
         named.map(get)
     }
 
-    pub(super) fn changed(&self, table: Table, records: &[Record]) {
+    /// Applies changed records of a table.
+    pub(super) fn apply_changes(&self, table: Table, records: &[Record]) {
         match table {
-            Table::Entries => self.entries_changed(records),
+            Table::Entries => self.apply_entries(records),
             Table::Operator => {
-                // Whoever brings records into the region says so at once: the others' regular datagrams come once a second
-                // in a large region.
+                // The entry that brings records into the region announces them at once, as regular datagrams come once a
+                // second in a large region.
                 let brought = match self.node.source() {
                     Source::Store => true,
                     Source::Peer(peer) => !self.node.is_near_peer(peer),
                     Source::Own => false,
                 };
-                self.announces.set(brought || self.announces.get());
+                self.announce_pending
+                    .set(brought || self.announce_pending.get());
                 records.iter().for_each(|it| self.apply_order(it));
             }
-            Table::Replicas => records.iter().for_each(|it| self.listed(it)),
+            Table::Replicas => records.iter().for_each(|it| self.apply_listing(it)),
         }
     }
 
-    fn entries_changed(&self, records: &[Record]) {
-        let requests = |it: &&Record| quarantine::request(&it.key).is_some();
-        self.suspects_kept(records.iter().filter(requests));
+    fn apply_entries(&self, records: &[Record]) {
+        let is_request = |it: &&Record| quarantine::request(&it.key).is_some();
+        self.suspects_kept(records.iter().filter(is_request));
         let own = self.node.settings().address;
         let mut roster = self.roster.borrow_mut();
         for record in records.iter().filter(|it| it.value.is_some()) {
@@ -99,7 +102,7 @@
             }
             Ok(Order::Weights { model, version }) => {
                 let written = self.node.written_at(Table::Operator, record);
-                self.name_weights(model, version, written);
+                self.set_target_version(model, version, written);
             }
             Ok(Order::Evacuation { zone, active }) => self.evacuate(&zone, active),
             Ok(Order::Other) => {}
@@ -114,7 +117,7 @@
     fn evacuate(&self, zone: &str, active: bool) {
         let changed = self.replicas.borrow_mut().evacuate(zone, active);
         if changed && let Some(log) = self.node.logs.line(Topic::State) {
-            info!(log, "evacuation"; "zone" => zone, "active" => active,
+            info!(log, "evacuation changed"; "zone" => zone, "active" => active,
                 "source" => %self.node.source());
         }
         let zones = self.replicas.borrow().evacuated().count();
@@ -127,7 +130,7 @@
             return;
         }
         if let Some(log) = self.node.logs.line(Topic::State) {
-            info!(log, "configuration"; "version" => version,
+            info!(log, "configuration applied"; "version" => version,
                 "before" => self.config_version(), "routes" => document.routes.len(),
                 "keys" => document.keys.len(), "source" => %self.node.source(),
                 "learned_ms" => self.node.clock.now().since(written).as_millis() as u64);
@@ -142,19 +145,19 @@
         self.node.metrics.config.set(version as i64);
     }
 
-    fn name_weights(&self, model: String, version: u64, named_at: Time) {
+    fn set_target_version(&self, model: String, version: u64, written: Time) {
         let now = self.node.clock.now();
-        // What was named before this process started may be due already.
-        let started = self.node.is_initial_load() || self.config.borrow().is_none();
+        // A version that was set before this process started may be due already.
+        let set_before_start = self.node.is_initial_load() || self.config.borrow().is_none();
         let version_ms = self.node.settings().version_ms;
-        let before_end = |ms: u64| match started {
+        let before_end = |ms: u64| match set_before_start {
             true => now,
-            false => named_at.after_ms(version_ms.saturating_sub(ms)),
+            false => written.after_ms(version_ms.saturating_sub(ms)),
         };
         let times = Times {
             preferred: before_end(VERSION_PREFERRED_MS),
-            due: before_end(VERSION_DUE_MS),
-            expired: before_end(VERSION_EXPIRED_MS),
+            due: before_end(VERSION_REQUIRED_MS),
+            expired: before_end(VERSION_WITHDRAWN_MS),
         };
         let mut weights = self.weights.borrow_mut();
         let named = weights.entry(model.clone()).or_default();
@@ -165,12 +168,12 @@
         if let Some(log) = self.node.logs.line(Topic::Weights) {
             info!(log, "weights named"; "model" => model, "version" => version,
                 "source" => %self.node.source(),
-                "learned_ms" => now.since(named_at).as_millis() as u64,
+                "learned_ms" => now.since(written).as_millis() as u64,
                 "due_ms" => times.due.since(now).as_millis() as u64);
         }
     }
 
-    fn listed(&self, record: &Record) {
+    fn apply_listing(&self, record: &Record) {
         let mut replicas = self.replicas.borrow_mut();
         if record.value.is_none() {
             let trust = self.node.trust_in(Table::Replicas, record);
