--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -5,10 +5,10 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{Config, Denied, Kind, Route},
-        homes::Homes,
+        freshness::Freshness,
         replicas::ReplicaKey,
-        standing::Standing,
     },
     request::{
         attempt::{Failure, Progress, Ran},
@@ -20,14 +20,14 @@
 
 use super::{
     Entry,
-    answer::Refusal,
+    abort::{Ending, Watched},
     attempt::Attempt,
-    choice::{self, Room},
-    course,
-    ending::{Ending, Watched},
-    front::{After, Received, refuse},
+    connection::{After, Received, refuse},
+    hedge,
     quarantine::Try,
+    refusal::Refusal,
     relay::Stored,
+    selection::{self, Room},
 };
 use crate::{
     events::Cursor,
@@ -47,7 +47,7 @@
     /// Team that sent it.
     pub team: Option<Rc<str>>,
     /// Regions in which it may be served.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// When it gets its final answer at the latest.
     pub deadline: Time,
     /// When its answer is to have begun to be in time.
@@ -143,12 +143,12 @@
         return Err(Box::new((Refusal::NoConfig, received)));
     };
     let standing = entry.standing();
-    if standing == Standing::Aside {
+    if standing == Freshness::Stale {
         return Err(Box::new((Refusal::Behind, received)));
     }
     match find(entry, &config, &received) {
         Ok((route, team)) => {
-            let homes = config.homes(&route, team.as_deref());
+            let homes = config.allowed_regions(&route, team.as_deref());
             let job = job(entry, route, team, homes, received, keeps);
             match entry.leave.get() {
                 Some(leave) if entry.others_take() || !leave.takes(job.deadline) => {
@@ -179,7 +179,7 @@
     entry: &Entry,
     route: Route,
     team: Option<Rc<str>>,
-    homes: Homes,
+    homes: AllowedRegions,
     received: Received,
     keeps: bool,
 ) -> Job {
@@ -250,8 +250,8 @@
                 Ran::Unknown => Refusal::Lost,
             });
         }
-        let Some(replica) = choice::choose(entry, &mut job, now) else {
-            match choice::room(entry, caller, &mut job, now).await {
+        let Some(replica) = selection::choose(entry, &mut job, now) else {
+            match selection::room(entry, caller, &mut job, now).await {
                 Room::MayBe => continue,
                 Room::None => break exhausted(&job),
                 Room::CallerGone => break Outcome::Gone(Ending::CallerLeft),
@@ -264,20 +264,20 @@
         }
         job.tried.push(replica);
         let ended = match Attempt::begin(entry, caller, &mut job, replica).await {
-            Ok(attempt) => course::follow(entry, caller, &mut job, attempt).await,
-            Err(ended) => course::unbegun(entry, &mut job, replica, ended),
+            Ok(attempt) => hedge::follow(entry, caller, &mut job, attempt).await,
+            Err(ended) => hedge::unbegun(entry, &mut job, replica, ended),
         };
         match ended {
-            course::End::Answered(status) => {
+            hedge::End::Answered(status) => {
                 entry.clear(&job);
                 break Outcome::Answered(status);
             }
-            course::End::Gone(ending) => break Outcome::Gone(ending),
-            course::End::TimedOut => {
+            hedge::End::Gone(ending) => break Outcome::Gone(ending),
+            hedge::End::TimedOut => {
                 job.progress.ran = Ran::Unknown;
                 break Outcome::Refused(Refusal::TimedOut);
             }
-            course::End::Failed(answer) => {
+            hedge::End::Failed(answer) => {
                 stored = answer.or(stored);
                 if !job.progress.may_repeat() {
                     break exhausted(&job);
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -1,6 +1,6 @@
 //! Datagrams that an entry sends, and their intervals.
 //!
-//! Entries of one region send each other their state. A few entries of a region ([`speakers`]) send it to other regions,
+//! Entries of one region send each other their state. A few entries of a region ([`delegates`]) send it to other regions,
 //! each time through one entry, which relays it within its own region. Each kind of message has a bandwidth budget, so
 //! that an entry's traffic does not grow with the fleet.
 
@@ -15,9 +15,9 @@
     clock::Time,
     process::{
         cadence::Budget,
-        elsewhere::{self, Load},
+        delegates::{self, DELEGATES},
+        remote_loads::{self, Load},
         roster::{self, State, Status},
-        speakers::{self, SPEAKERS},
     },
     rendezvous,
 };
@@ -50,7 +50,7 @@
 /// Assumed size of the state for agents, in bytes.
 const AGENT_BYTES: usize = 90;
 /// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in each of five
-/// regions, each speaker sends them every 0.5 s; with 330 in each of seven, every 5 s. A region of that size needs
+/// regions, each delegate sends them every 0.5 s; with 330 in each of seven, every 5 s. A region of that size needs
 /// little capacity of others beyond the slots that they lend.
 const FAR_LOADS_BUDGET: Budget = Budget {
     bytes_per_s: 5_000,
@@ -58,7 +58,7 @@
     longest: Duration::from_millis(5_000),
 };
 /// Budget for the lists of entries that an entry receives from all other regions. The longest pause is such that both
-/// speakers send before they count as silent.
+/// delegates send before they count as silent.
 const FAR_MEMBERS_BUDGET: Budget = Budget {
     bytes_per_s: 3_000,
     shortest: Duration::from_millis(1_000),
@@ -76,7 +76,7 @@
 /// Rounds after a start in which such entries are asked every time, as seeds from the settings may start later.
 const FIRST_ROUNDS: u32 = 24;
 /// Rounds between messages to one random entry of each other region, by which knowledge of a region survives the loss
-/// of all its speakers, and of the links between them.
+/// of all its delegates, and of the links between them.
 const RANDOM_ROUNDS: u32 = 16;
 /// Rounds between messages that list other entries.
 const ROSTER_ROUNDS: u32 = 8;
@@ -198,7 +198,7 @@
         self.send_suspects_to(asker);
     }
 
-    /// Sends the state of this region to other regions, if this entry is one of the region's speakers.
+    /// Sends the state of this region to other regions, if this entry is one of the region's delegates.
     fn send_to_regions(&self, round: u32) {
         let now = self.node.clock.now();
         let changed = self.changed_engines.take();
@@ -208,7 +208,7 @@
             .alive_in(|it| self.node.near(it), now)
             .collect();
         let own = self.node.settings().address;
-        let messages = match speakers::speaks(own, near.into_iter()) {
+        let messages = match delegates::is_delegate(own, near.into_iter()) {
             true => self.region_messages(round, &changed, now),
             false => Vec::new(),
         };
@@ -237,8 +237,8 @@
 
     /// Returns the messages that are due for other regions in a round.
     fn region_messages(&self, round: u32, changed: &[SocketAddr], now: Time) -> Vec<Region> {
-        // Each entry receives from all speakers of every other region.
-        let senders = SPEAKERS * self.other_regions().len();
+        // Each entry receives from all delegates of every other region.
+        let senders = DELEGATES * self.other_regions().len();
         let mut messages = Vec::new();
         let loads = self.region_loads();
         let rows: usize = loads.iter().map(|it| it.loads.len()).sum();
@@ -278,7 +278,7 @@
             let random = self
                 .node
                 .with_rng(|rng| roster.addresses_in(in_region).choose(rng));
-            let relay = speakers::relay(&members, round);
+            let relay = delegates::relay(&members, round);
             (relay.or(random), random)
         });
         relays.collect()
@@ -370,7 +370,9 @@
         let roster = self.roster.borrow();
         let near = roster.alive_in(|it| self.node.near(it), now);
         let near: Vec<u64> = near.map(|it| roster::hash(&it)).collect();
-        agents.retain(|it| speakers::informs(roster::hash(it), own, near.iter().copied()));
+        agents.retain(|it| {
+            delegates::sends_changes_at_once(roster::hash(it), own, near.iter().copied())
+        });
     }
 
     /// Sends this entry's state and the progress of version switches to agents.
@@ -400,7 +402,7 @@
         let own = roster::hash(&settings.address);
         let stands_in = |agent: &Ipv4Addr| {
             self.node.loaded(Table::Entries)
-                && speakers::stands_in(roster::hash(agent), own, others.iter().copied())
+                && delegates::is_fallback_sender(roster::hash(agent), own, others.iter().copied())
         };
         let replicas = self.replicas.borrow();
         let listings = replicas.iter().map(|(_, it)| &it.listing);
@@ -425,7 +427,7 @@
                 running: replica.own,
                 waiting: replica.own_waiting,
             };
-            elsewhere::add(sums, load);
+            remote_loads::add(sums, load);
         }
     }
 
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -7,7 +7,7 @@
     process::{
         replicas::{Replica, ReplicaKey},
         roster,
-        split::{self, Area},
+        slot_split::{self, RegionSlots},
         warmup,
     },
 };
@@ -17,13 +17,13 @@
 use crate::logs::Topic;
 
 /// Age from which load reports of other regions are ignored, in milliseconds: twice the longest pause between
-/// reports. Older reports have less weight before that (`split::unseen`).
+/// reports. Older reports have less weight before that (`slot_split::unseen_requests`).
 const FAR_LOADS_MAX_AGE_MS: u64 = 10_000;
 
-/// Slots of one region for a service.
+/// Replicas and slots of one region for a service.
 #[derive(Default)]
-struct RegionSlots {
-    area: Area,
+struct RegionReplicas {
+    slots: RegionSlots,
     /// Replicas that accept requests, with their slots, in the order of their ids.
     replicas: Vec<(Rc<str>, ReplicaKey, u32)>,
 }
@@ -44,7 +44,7 @@
         self.pool.expire(|it| replicas.get(it).is_some());
         drop(replicas);
         self.forget_starts();
-        self.review_suspects(now);
+        self.maintain_quarantine(now);
         let seeds = self.node.settings().seeds.clone();
         self.roster
             .borrow_mut()
@@ -121,9 +121,9 @@
         let config = self.config.borrow();
         let services = config.iter().flat_map(|it| &it.document.services);
         for service in services.filter(|it| it.speed.is_some()) {
-            let (home, regions) = self.slots_by_region(&service.name, entries.len(), now);
-            let areas: Vec<Area> = regions.iter().map(|it| it.area.clone()).collect();
-            let parts = split::near_first(&areas, home, position);
+            let (home, regions) = self.replicas_by_region(&service.name, entries.len(), now);
+            let slots: Vec<RegionSlots> = regions.iter().map(|it| it.slots.clone()).collect();
+            let parts = slot_split::parts_by_region(&slots, home, position);
             let mut replicas = self.replicas.borrow_mut();
             for (region, parts) in regions.iter().zip(parts) {
                 for ((_, key, _), part) in region.replicas.iter().zip(parts) {
@@ -135,13 +135,13 @@
         }
     }
 
-    /// Returns the position of this entry's region, and all regions with their slots for a service.
-    fn slots_by_region(
+    /// Returns the position of this entry's region, and the replicas of a service in each region.
+    fn replicas_by_region(
         &self,
         service: &str,
         entries_here: usize,
         now: Time,
-    ) -> (usize, Vec<RegionSlots>) {
+    ) -> (usize, Vec<RegionReplicas>) {
         let settings = self.node.settings();
         let own = settings.region(&settings.zone).to_owned();
         let mut regions = self.other_regions();
@@ -150,41 +150,41 @@
         let accepts = |it: &Replica| it.open(now) && oldest <= it.version(now);
         let replicas = self.replicas.borrow();
         let open = replicas.of(service).filter(|(_, it)| accepts(it));
-        let mut by_region: HashMap<String, RegionSlots> = HashMap::new();
+        let mut by_region: HashMap<String, RegionReplicas> = HashMap::new();
         for (key, replica) in open {
             let listing = &replica.listing;
             let region = settings.region(&listing.zone).to_owned();
-            let slots = by_region.entry(region).or_default();
+            let in_region = by_region.entry(region).or_default();
             let row = (Rc::clone(&listing.id), key, listing.slots);
-            slots.replicas.push(row);
+            in_region.replicas.push(row);
         }
         regions.extend(by_region.keys().cloned());
         regions.sort_unstable();
         regions.dedup();
         let roster = self.roster.borrow();
         let far = self.far_loads.borrow();
-        let slots_by_region = regions.iter().map(|region| {
-            let mut region_slots = by_region.remove(region).unwrap_or_default();
-            region_slots.replicas.sort_unstable();
-            let slots = region_slots.replicas.iter().map(|it| it.2).collect();
+        let replicas_by_region = regions.iter().map(|region| {
+            let mut region_replicas = by_region.remove(region).unwrap_or_default();
+            region_replicas.replicas.sort_unstable();
+            let slots = region_replicas.replicas.iter().map(|it| it.2).collect();
             let in_region = |it: &str| settings.region(it) == region;
-            region_slots.area = if *region == own {
-                Area {
+            region_replicas.slots = if *region == own {
+                RegionSlots {
                     entries: entries_here,
                     demand: self.demand() + self.near_loads.borrow().demand(),
                     slots,
                 }
             } else {
-                Area {
+                RegionSlots {
                     entries: roster.serving(in_region, now).count(),
                     demand: far.demand_of(region),
                     slots,
                 }
             };
-            region_slots
+            region_replicas
         });
-        let slots_by_region: Vec<RegionSlots> = slots_by_region.collect();
+        let replicas_by_region: Vec<RegionReplicas> = replicas_by_region.collect();
         let home = regions.iter().take_while(|it| **it != own).count();
-        (home, slots_by_region)
+        (home, replicas_by_region)
     }
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -1,38 +1,38 @@
 //! The entry: the process that receives callers' requests and routes them to replicas.
 //!
-//! - [`answer`]: responses that an entry generates itself.
+//! - [`abort`]: reasons for which a request ends without a complete response.
 //! - [`attempt`]: one attempt of a request at one replica.
-//! - [`choice`]: replica selection, and waiting while no replica has room.
-//! - `course`: an attempt, and a hedge while its replica is silent.
-//! - [`ending`]: reasons for which a request got no complete answer.
-//! - [`forward`]: the life of one request, from route lookup to the end of its answer.
-//! - [`front`]: callers' connections.
+//! - [`connection`]: callers' connections.
+//! - [`forward`]: the life of one request, from route lookup to the end of its response.
 //! - [`gossip`]: datagrams that an entry sends, and their intervals.
-//! - [`table_updates`]: changes of the platform's tables, applied to the entry's state.
+//! - `hedge`: an attempt, and a second one beside it while its replica is silent.
+//! - [`in_flight`]: requests in flight at replicas.
 //! - [`lookup`]: address lookups, readiness and metrics.
-//! - [`quarantine`]: requests that were running when replicas crashed.
+//! - [`maintenance`]: periodic recomputation and expiry of state.
+//! - [`quarantine`]: quarantine of requests that crash replicas.
 //! - [`receive`]: datagrams that an entry receives.
+//! - [`refusal`]: error responses of the entry itself.
 //! - [`registration`]: rows in the table of entries, by which later entries find their peers.
-//! - [`relay`]: forwarding of a replica's answer to the caller.
-//! - [`running`]: requests that are running at replicas.
-//! - [`maintenance`]: periodic recomputation and expiry of state.
+//! - [`relay`]: relaying of a replica's response to the caller.
+//! - [`selection`]: selection of a replica, and waiting for capacity.
 //! - [`staleness`]: the uncertainty of load information, and retry times for callers.
+//! - [`table_updates`]: changes of the platform's tables, applied to the entry's state.
 
-pub mod answer;
+pub mod abort;
 pub mod attempt;
-pub mod choice;
-mod course;
-pub mod ending;
+pub mod connection;
 pub mod forward;
-pub mod front;
 pub mod gossip;
+mod hedge;
+pub mod in_flight;
 pub mod lookup;
 pub mod maintenance;
 pub mod quarantine;
 pub mod receive;
+pub mod refusal;
 pub mod registration;
 pub mod relay;
-pub mod running;
+pub mod selection;
 pub mod staleness;
 pub mod table_updates;
 
@@ -53,18 +53,18 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{Config, Speed},
-        elsewhere::Elsewhere,
-        homes::Homes,
-        leave::Leave,
-        repeats::Budget,
+        drain::Drain,
+        freshness::Freshness,
+        remote_loads::RemoteLoads,
         replicas::{ReplicaKey, Replicas},
-        roster::{Acquaintance, Roster},
-        split::Demand,
-        standing::Standing,
+        retry_budget::Budget,
+        roster::{Discovery, Roster},
+        slot_split::RequestRate,
     },
     request::{age::Patience, shortage::Shortage},
-    version::named::Named,
+    version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
     datagram::{Presence, Switched},
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::Expected, quarantine::Suspicion, staleness::Demands};
+use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, staleness::Demands};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -140,7 +140,7 @@
     /// Other entries.
     roster: RefCell<Roster>,
     /// Target versions of each model's weights.
-    weights: RefCell<HashMap<String, Named>>,
+    weights: RefCell<HashMap<String, NamedVersions>>,
     /// Retry budgets, by service.
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
     /// Ages of callers' requests, by route.
@@ -150,11 +150,11 @@
     /// Capacity shortages, by service.
     shortages: RefCell<HashMap<Rc<str>, Shortage>>,
     /// Request rate of all services that run a model.
-    model_demand: RefCell<Demand>,
+    model_demand: RefCell<RequestRate>,
     /// Requests that other entries of this region have at replicas.
-    near_loads: RefCell<Elsewhere<Ipv4Addr>>,
+    near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests that entries of other regions have at replicas, by region.
-    far_loads: RefCell<Elsewhere<String>>,
+    far_loads: RefCell<RemoteLoads<String>>,
     /// Replicas of this region whose reported state changed since the last message to other regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
     /// State sent to agents last: replicas that switched versions, and the end of the operator's table.
@@ -170,13 +170,13 @@
     /// Tokens that are cancelled when a replica restarts, for replicas that received requests.
     starts: RefCell<HashMap<ReplicaKey, CancellationToken>>,
     /// Requests that were running when replicas crashed.
-    suspicion: Suspicion,
+    quarantine: QuarantineState,
     /// Number of callers' connections.
     open_connections: Cell<usize>,
     /// Number of these that only the caller still has to close.
     closing_connections: Cell<usize>,
     /// Set once the entry drains.
-    leave: Cell<Option<Leave>>,
+    leave: Cell<Option<Drain>>,
 }
 
 /// A running entry.
@@ -205,7 +205,7 @@
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(Demand::over(DEMAND_WINDOW_S)),
+            model_demand: RefCell::new(RequestRate::over(DEMAND_WINDOW_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -215,7 +215,7 @@
             sent_to_regions: Cell::default(),
             logged_aside: Cell::default(),
             starts: RefCell::default(),
-            suspicion: Suspicion::default(),
+            quarantine: QuarantineState::default(),
             open_connections: Cell::default(),
             closing_connections: Cell::default(),
             leave: Cell::default(),
@@ -261,7 +261,7 @@
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
-        if known && self.standing() != Standing::Aside {
+        if known && self.standing() != Freshness::Stale {
             Presence::Ready
         } else {
             Presence::Starting
@@ -269,10 +269,10 @@
     }
 
     /// Decides how this entry treats callers, given the operator's records that peers have and it lacks.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> Freshness {
         // Keys may have been revoked and routes moved during the stall; other entries have the changes.
         if self.node.stale_after_stall() {
-            return Standing::Aside;
+            return Freshness::Stale;
         }
         let table = Table::Operator;
         let beyond = || {
@@ -280,12 +280,12 @@
             self.roster.borrow().most_beyond(self.node.end(table), now)
         };
         let apply = Duration::from_millis(self.node.settings().apply_ms);
-        Standing::of(self.node.behind(table), apply, beyond)
+        Freshness::of(self.node.behind(table), apply, beyond)
     }
 
     /// Logs when this entry starts or stops to leave callers to other entries.
     fn log_standing(&self) {
-        let aside = self.standing() == Standing::Aside;
+        let aside = self.standing() == Freshness::Stale;
         if self.logged_aside.replace(aside) == aside {
             return;
         }
@@ -301,8 +301,8 @@
     /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let homes = match self.config.borrow().as_ref() {
-            Some(config) => config.homes_of_host(&lookup.host),
-            None => Homes::default(),
+            Some(config) => config.allowed_regions_of_host(&lookup.host),
+            None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
             homes.allow(region) || lookup.region.as_deref() == Some(region)
@@ -387,7 +387,7 @@
     }
 
     /// Records the time that a replica took to begin an answer.
-    pub fn record_answer_start(&self, key: ReplicaKey, expected: Expected) {
+    pub fn record_answer_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
@@ -417,14 +417,14 @@
     }
 
     /// Returns how complete this entry's knowledge of other entries is.
-    fn acquaintance(&self, now: Time) -> Acquaintance {
+    fn acquaintance(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
-            Acquaintance::None
+            Discovery::None
         } else if now < Time::ZERO.after_ms(window_ms) {
-            Acquaintance::Listed
+            Discovery::Listed
         } else {
-            Acquaintance::Met
+            Discovery::Complete
         }
     }
 
@@ -502,7 +502,7 @@
         entry.open_connections.set(entry.open_connections.get() + 1);
         let serving = Rc::clone(&entry);
         entry.node.scope.spawn(async move {
-            front::serve(Rc::clone(&serving), stream).await;
+            connection::serve(Rc::clone(&serving), stream).await;
             serving
                 .open_connections
                 .set(serving.open_connections.get() - 1);
@@ -517,7 +517,7 @@
         let entry = &self.entry;
         let node = &entry.node;
         node.leaving.set(true);
-        let leave = Leave::begin(node.clock.now(), node.settings().grace_ms);
+        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
         entry.leave.set(Some(leave));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.leave_started.notify_waiters();
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -7,10 +7,10 @@
 
 use super::{
     Entry,
-    attempt::{Ended, Expected},
-    ending::Ending,
+    abort::Ending,
+    attempt::{Ended, FirstTokenForecast},
     forward::Job,
-    running::Running,
+    in_flight::Running,
 };
 use crate::{
     events::Splitter,
@@ -103,7 +103,7 @@
     /// The request's place at the replica.
     pub(super) running: &'a Running,
     /// When the answer is to begin, until it does.
-    pub(super) expected: &'a mut Option<Expected>,
+    pub(super) expected: &'a mut Option<FirstTokenForecast>,
 }
 
 /// What reading on gave.
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -7,7 +7,7 @@
     clock::Time,
     process::{
         replicas::{Replica, ReplicaKey},
-        split::{self, Demand},
+        slot_split::{self, RequestRate},
     },
     request::placement::Doubt,
 };
@@ -28,9 +28,9 @@
 #[derive(Default)]
 pub(super) struct Demands {
     /// All requests.
-    pub(super) all: Demand,
+    pub(super) all: RequestRate,
     /// Requests that don't go to a slot of this entry's share.
-    pub(super) overflow: Demand,
+    pub(super) overflow: RequestRate,
 }
 
 /// Uncertainty about the load of a service's replicas.
@@ -70,10 +70,15 @@
                     .filter(|(_, it)| it.near == is_near && it.open(now))
             };
             let rate = others.demand / open().count().max(1) as f64;
-            let unseen = split::unseen(rate, others.age);
+            let unseen = slot_split::unseen_requests(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen)).sum();
             Doubt {
-                chance: split::chance(spare, others.entries, overflow, others.age),
+                chance: slot_split::overflow_probability(
+                    spare,
+                    others.entries,
+                    overflow,
+                    others.age,
+                ),
                 unseen,
             }
         };
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -10,7 +10,7 @@
         mirror::Record,
         replicas::ReplicaKey,
     },
-    version::named::{Named, Times},
+    version::named_versions::{NamedVersions, VersionTimes},
 };
 use gradeloft_wire::{frame::Table, quarantine};
 use slog::{info, warn};
@@ -35,7 +35,7 @@
     /// Returns the oldest versions of weights on which a request to a service may begin now.
     pub fn oldest_versions(&self, service: &str) -> OldestVersions {
         let now = self.node.clock.now();
-        let oldest = |named: &Named| OldestVersions {
+        let oldest = |named: &NamedVersions| OldestVersions {
             preferred: named.oldest_preferred(now),
             allowed: named.oldest_allowed(now),
         };
@@ -46,12 +46,16 @@
     /// Returns the time by which a request that waits at a replica has to begin there; `None` for no limit.
     pub fn begin_by(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
         let held = self.version_of(replica)?;
-        self.with_target_versions(service, |it| it.begin_by(held))
+        self.with_target_versions(service, |it| it.start_deadline(held))
             .flatten()
     }
 
     /// Reads the target versions of a service's model, if there are any.
-    fn with_target_versions<T>(&self, service: &str, get: impl FnOnce(&Named) -> T) -> Option<T> {
+    fn with_target_versions<T>(
+        &self,
+        service: &str,
+        get: impl FnOnce(&NamedVersions) -> T,
+    ) -> Option<T> {
         let config = self.config.borrow();
         let service = config.as_ref()?.service(service)?;
         let weights = self.weights.borrow();
@@ -81,7 +85,7 @@
 
     fn apply_entries(&self, records: &[Record]) {
         let is_request = |it: &&Record| quarantine::request(&it.key).is_some();
-        self.suspects_kept(records.iter().filter(is_request));
+        self.apply_suspect_records(records.iter().filter(is_request));
         let own = self.node.settings().address;
         let mut roster = self.roster.borrow_mut();
         for record in records.iter().filter(|it| it.value.is_some()) {
@@ -154,15 +158,15 @@
             true => now,
             false => written.after_ms(version_ms.saturating_sub(ms)),
         };
-        let times = Times {
+        let times = VersionTimes {
             preferred: before_end(VERSION_PREFERRED_MS),
             due: before_end(VERSION_REQUIRED_MS),
             expired: before_end(VERSION_WITHDRAWN_MS),
         };
         let mut weights = self.weights.borrow_mut();
         let named = weights.entry(model.clone()).or_default();
-        named.settle(now);
-        if !named.name(version, times) {
+        named.discard_superseded(now);
+        if !named.add(version, times) {
             return;
         }
         if let Some(log) = self.node.logs.line(Topic::Weights) {
@@ -206,7 +210,7 @@
                 }
                 drop(replicas);
                 if let Some(ended) = key_before.filter(|it| *it != key) {
-                    self.restarted(ended);
+                    self.replica_restarted(ended);
                 }
             }
             Err(error) => {
