--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -278,7 +278,7 @@
             let random = self
                 .node
                 .with_rng(|rng| roster.addresses_in(in_region).choose(rng));
-            let relay = delegates::relay(&members, round);
+            let relay = delegates::relay_for_turn(&members, round);
             (relay.or(random), random)
         });
         relays.collect()
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -205,7 +205,7 @@
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(RequestRate::over(DEMAND_WINDOW_S)),
+            model_demand: RefCell::new(RequestRate::with_window(DEMAND_WINDOW_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -277,7 +277,9 @@
         let table = Table::Operator;
         let beyond = || {
             let now = self.node.clock.now();
-            self.roster.borrow().most_beyond(self.node.end(table), now)
+            self.roster
+                .borrow()
+                .majority_beyond(self.node.end(table), now)
         };
         let apply = Duration::from_millis(self.node.settings().apply_ms);
         Freshness::of(self.node.behind(table), apply, beyond)
@@ -305,7 +307,7 @@
             None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
-            homes.allow(region) || lookup.region.as_deref() == Some(region)
+            homes.allows(region) || lookup.region.as_deref() == Some(region)
         });
         match bound.is_empty() {
             true => self.ready_addresses(|_| true),
@@ -372,7 +374,7 @@
     /// Notes that a replica sent data.
     pub fn note_activity(&self, key: ReplicaKey) {
         let now = self.node.clock.now();
-        self.replicas.borrow_mut().heard(key, now);
+        self.replicas.borrow_mut().received(key, now);
     }
 
     /// Returns the time since a caller's first attempt, given the time `left` to its deadline.
@@ -432,7 +434,7 @@
     pub fn take_repeat(&self, service: &Rc<str>) -> bool {
         let bounds = self.node.settings().repeats;
         let now = self.node.clock.now();
-        let entries = self.roster.borrow().sharers(self.acquaintance(now));
+        let entries = self.roster.borrow().budget_sharers(self.acquaintance(now));
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(Rc::clone(service)).or_default();
         let taken = budget.repeat(bounds, entries, now);
@@ -449,7 +451,7 @@
             .as_ref()
             .and_then(|it| it.service(service))
             .map_or(u32::MAX, |it| it.max_connections);
-        let entries = self.roster.borrow().most();
+        let entries = self.roster.borrow().peak_size();
         (f64::from(most) * CONNECTIONS_SHARE / entries as f64).max(1.0) as usize
     }
 
@@ -521,7 +523,7 @@
         entry.leave.set(Some(leave));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.leave_started.notify_waiters();
-        while !leave.over(entry.open_connections.get(), node.clock.now()) {
+        while !leave.finished(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(DRAIN_POLL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -179,7 +179,7 @@
         let listed = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
-        let listed = listed.filter(|_| now < Time::ZERO.after(readers::NAMES_COUNT));
+        let listed = listed.filter(|_| now < Time::ZERO.after(readers::LISTED_ONLY));
         let others = near.chain(listed).map(|it| roster::hash(&it));
         rendezvous::rank(table as u64, roster::hash(&settings.address), others)
     }
@@ -227,7 +227,7 @@
                 .as_ref()
                 .and_then(|it| it.service(&replica.listing.service));
             if let Some(warmup) = service.and_then(|it| it.warmup) {
-                replica.warms_for(warmup.ms, self.node.clock.now());
+                replica.set_warmup_left(warmup.ms, self.node.clock.now());
             }
         }
     }
@@ -278,8 +278,8 @@
                 since_start: now.since(Time::ZERO),
                 since_contact: entry.first_contact.get().map(|it| now.since(it)),
                 seed: settings.seeds.contains(&settings.address),
-                known: entry.node.behind(table).is_some(),
-                spare: table == Table::Entries,
+                held_by_peer: entry.node.behind(table).is_some(),
+                optional: table == Table::Entries,
                 rank: entry.startup_rank(table),
             });
         }
