--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -9,9 +9,9 @@
     clock::Time,
     process::membership::Membership,
     request::{
-        admission::{Ledger, Rate},
-        once::{self, Table},
-        route::{self, Candidate, Near},
+        admission::{Rate, TeamLimiter},
+        at_most_once::{self, ClaimTable},
+        route::{self, Candidate, Locality},
     },
     version::{
         bundle::{self, Key, Publisher},
@@ -318,12 +318,12 @@
     membership
 }
 
-fn ledger(count: usize) -> Ledger {
+fn ledger(count: usize) -> TeamLimiter {
     let rate = Rate {
         requests: 1e9,
         tokens: 1e9,
     };
-    let mut ledger = Ledger::default();
+    let mut ledger = TeamLimiter::default();
     for idx in 0..count {
         ledger.set_rate(&format!("team-{idx}"), rate, Time::ZERO);
     }
@@ -413,10 +413,10 @@
     fetch
 }
 
-fn claims(count: usize) -> Table<()> {
-    let mut table = Table::new(1);
+fn claims(count: usize) -> ClaimTable<()> {
+    let mut table = ClaimTable::new(1);
     for idx in 0..count {
-        let key = once::key("booking", "duty", &idx.to_string());
+        let key = at_most_once::key("booking", "duty", &idx.to_string());
         table.fold(
             idx as u64,
             &[Claim {
@@ -447,7 +447,7 @@
     Candidate {
         key: idx,
         node: idx as u64,
-        near: Near::Zone,
+        locality: Locality::Zone,
         own: 1,
         others: 2,
         reported: Time::ZERO,
--- a/crates/gradeloft_bench/src/limits.rs
+++ b/crates/gradeloft_bench/src/limits.rs
@@ -11,7 +11,7 @@
     process::shares::{
         Ask, Borrower, CUT_OFF_MS, Demand, Fleet, LEASE_MS, Lender, RENEW_MS, Reach, need,
     },
-    request::admission::Bucket,
+    request::admission::TokenBucket,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -96,7 +96,7 @@
 }
 
 struct Entry {
-    bucket: Bucket,
+    bucket: TokenBucket,
     demand: Demand,
     borrower: Borrower,
     /// Since when asks have stayed unanswered.
@@ -130,7 +130,7 @@
             Way::Static => ALLOWED / ENTRIES as f64,
         };
         let entry = || Entry {
-            bucket: Bucket::new(rate, Time::ZERO),
+            bucket: TokenBucket::new(rate, Time::ZERO),
             demand: Demand::default(),
             borrower: Borrower::default(),
             unanswered: None,
@@ -206,7 +206,7 @@
             let entry = &mut self.entries[idx];
             for _ in 0..count {
                 entry.demand.add(1.0, now);
-                admitted += u64::from(entry.bucket.take(1.0, now));
+                admitted += u64::from(entry.bucket.try_take(1.0, now));
             }
         }
         (wanted, admitted)
--- a/crates/gradeloft_daemon/src/agent/claims.rs
+++ b/crates/gradeloft_daemon/src/agent/claims.rs
@@ -8,7 +8,7 @@
 use gradeloft_platform::Fault;
 use gradeloft_policy::{
     clock::Time,
-    request::once::{Step, Table},
+    request::at_most_once::{ClaimTable, Step},
 };
 use gradeloft_wire::{
     id::Digest,
@@ -28,7 +28,7 @@
 /// Claims of the agent's service.
 pub struct Claims {
     /// What is known of them.
-    pub table: RefCell<Table<Outcome>>,
+    pub table: RefCell<ClaimTable<Outcome>>,
     waiting: RefCell<Vec<(Claim, oneshot::Sender<bool>)>>,
     queued: Notify,
 }
@@ -36,7 +36,7 @@
 impl Default for Claims {
     fn default() -> Claims {
         Claims {
-            table: RefCell::new(Table::new(EXPIRY_MS)),
+            table: RefCell::new(ClaimTable::new(EXPIRY_MS)),
             waiting: RefCell::default(),
             queued: Notify::new(),
         }
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -241,7 +241,7 @@
         let most = self.agent.settings.fetch_slots as usize;
         loop {
             let now = self.agent.node.clock.now();
-            let slots = self.agent.pace_in.borrow_mut().slots(most, now);
+            let slots = self.agent.pace_in.borrow_mut().max_concurrent(most, now);
             self.fetch.borrow_mut().set_slots(slots);
             let next = self
                 .agent
--- a/crates/gradeloft_daemon/src/agent/generate.rs
+++ b/crates/gradeloft_daemon/src/agent/generate.rs
@@ -7,7 +7,7 @@
     Fault,
     endpoint::{Engine, Generation, Output},
 };
-use gradeloft_policy::request::answer::Checker;
+use gradeloft_policy::request::response::ResponseChecker;
 use gradeloft_wire::{
     border::platform::EngineRequest,
     error::Kind,
@@ -63,7 +63,7 @@
         agent,
         request: work.request,
         version: &pin.version,
-        checker: Checker::new(work.request, &pin.version),
+        checker: ResponseChecker::new(work.request, &pin.version),
         outgoing,
     };
     relay.run(generation, deadline).await
@@ -73,7 +73,7 @@
     agent: &'a Agent,
     request: RequestId,
     version: &'a str,
-    checker: Checker,
+    checker: ResponseChecker,
     outgoing: &'a Outgoing,
 }
 
@@ -110,7 +110,7 @@
 
     async fn token(&mut self, version: &str, seq: u64, text: String) -> Result<(), Kind> {
         let data = text.into_bytes();
-        self.checker.piece(version, seq, &data)?;
+        self.checker.accept_piece(version, seq, &data)?;
         self.agent.live_out(data.len());
         let request = self.request;
         let piece = Reply::Piece {
@@ -140,7 +140,7 @@
     }
 
     fn cut(&self, kind: Kind) -> Kind {
-        if self.checker.begun() {
+        if self.checker.has_started() {
             Kind::Cut
         } else {
             kind
@@ -164,12 +164,12 @@
     /// Live bytes came in over the instance's link.
     pub(super) fn live_in(&self, bytes: usize) {
         let now = self.node.clock.now();
-        self.pace_in.borrow_mut().live(bytes as u64, now);
+        self.pace_in.borrow_mut().record_live(bytes as u64, now);
     }
 
     /// Live bytes went out over the instance's link.
     pub(super) fn live_out(&self, bytes: usize) {
         let now = self.node.clock.now();
-        self.pace_out.borrow_mut().live(bytes as u64, now);
+        self.pace_out.borrow_mut().record_live(bytes as u64, now);
     }
 }
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -45,7 +45,7 @@
     let wait = agent
         .pace_in
         .borrow_mut()
-        .delay(size, agent.node.clock.now());
+        .reserve(size, agent.node.clock.now());
     actix_rt::time::sleep(wait).await;
     let content = match ask.from {
         From::Origin => outside(&*agent.node.platform.origin, ask.chunk.digest, size).await?,
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -5,8 +5,8 @@
 use futures_util::StreamExt;
 use gradeloft_platform::endpoint::{Request, Response, Service};
 use gradeloft_policy::request::{
-    answer::Checker,
-    once::{self, Step},
+    at_most_once::{self, Step},
+    response::ResponseChecker,
 };
 use gradeloft_wire::{
     error::Kind,
@@ -85,7 +85,7 @@
             relay(agent, work.request, response, outgoing).await
         }
         Repeat::Key(key) => {
-            let key = once::key(name, &work.team, key);
+            let key = at_most_once::key(name, &work.team, key);
             let outcome = keyed(agent, service, request, key);
             let outcome = timeout(bound, outcome)
                 .await
@@ -117,13 +117,13 @@
             content_type,
         })
         .await;
-    let mut checker = Checker::new(request, "");
+    let mut checker = ResponseChecker::new(request, "");
     loop {
         match timeout(agent.node.idle(), response.body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 agent.live_out(bytes.len());
                 let (seq, _) = checker.totals();
-                checker.piece("", seq, &bytes)?;
+                checker.accept_piece("", seq, &bytes)?;
                 let (version, data) = (String::new(), bytes.to_vec());
                 outgoing
                     .send(&Reply::Piece {
@@ -167,8 +167,8 @@
             content_type,
         })
         .await;
-    let mut checker = Checker::new(request, "");
-    if !body.is_empty() && checker.piece("", 0, body).is_ok() {
+    let mut checker = ResponseChecker::new(request, "");
+    if !body.is_empty() && checker.accept_piece("", 0, body).is_ok() {
         let (version, data) = (String::new(), body.to_vec());
         outgoing
             .send(&Reply::Piece {
@@ -240,8 +240,8 @@
     };
     let mut table = agent.claims.table.borrow_mut();
     match &result {
-        Ok(outcome) => table.done(key, outcome.clone()),
-        Err(Kind::Unreachable) => table.unrun(key),
+        Ok(outcome) => table.complete(key, outcome.clone()),
+        Err(Kind::Unreachable) => table.mark_not_run(key),
         Err(kind) => {
             info!(agent.node.log, "outcome unknown"; "attempt" => %id, "kind" => kind.name());
         }
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -32,7 +32,7 @@
     };
     let bytes = content.len() as u64;
     let now = agent.node.clock.now();
-    let wait = agent.pace_out.borrow_mut().delay(bytes, now);
+    let wait = agent.pace_out.borrow_mut().reserve(bytes, now);
     actix_rt::time::sleep(wait).await;
     if outgoing.finish(&Reply::Chunk(content.to_vec())).await {
         agent.node.metrics.uploaded_bytes.inc_by(bytes);
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -7,9 +7,9 @@
     process::membership::{Peer, PeerKey},
     request::{
         admission,
-        answer::Checker,
+        response::ResponseChecker,
         retry::{self, Repeat},
-        route::{self, Candidate, Near, Scheme},
+        route::{self, Candidate, Locality, Scheme},
     },
 };
 use gradeloft_wire::{
@@ -66,7 +66,7 @@
 pub struct Stream {
     entry: Rc<Entry>,
     incoming: Incoming,
-    checker: Checker,
+    checker: ResponseChecker,
     /// The frame that was read to know that the answer has begun.
     first: Option<Reply>,
     deadline: Time,
@@ -81,7 +81,7 @@
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        if self.checker.whole() {
+        if self.checker.is_complete() {
             return Ok(None);
         }
         let read = read(
@@ -132,10 +132,10 @@
             kind,
             attempts: tried.len() as u32,
             repeat,
-            begun: false,
+            response_started: false,
         };
         let now = entry.node.clock.now();
-        let again = retry::again(
+        let again = retry::should_retry(
             failure,
             &mut entry.budget.borrow_mut(),
             now,
@@ -180,7 +180,7 @@
         // It waited for a connection or for a stream on one; the call itself goes out at once.
         Err(_) => return Err(entry.blame(key, Fault::Unsent)),
     };
-    let mut checker = Checker::new(request, target.version());
+    let mut checker = ResponseChecker::new(request, target.version());
     let waits_for_piece = matches!(target, Target::Weights(..));
     loop {
         let first = read(entry, &mut incoming, &mut checker, context.deadline).await;
@@ -203,7 +203,7 @@
 async fn read(
     entry: &Entry,
     incoming: &mut Incoming,
-    checker: &mut Checker,
+    checker: &mut ResponseChecker,
     deadline: Time,
 ) -> Result<Reply, Kind> {
     let left = entry.node.clock.until(deadline);
@@ -262,7 +262,7 @@
         let running = serving.iter().map(|(_, it)| it.own + it.others()).sum();
         let slots = serving.iter().map(|(_, it)| it.capacity()).sum();
         if tried.is_empty() && !serving.is_empty() {
-            let shed = admission::sheds(context.class, running, slots);
+            let shed = admission::should_shed(context.class, running, slots);
             if shed {
                 return Err(Kind::Shed);
             }
@@ -281,15 +281,15 @@
     }
 
     fn candidate(&self, key: PeerKey, peer: &Peer) -> Candidate<PeerKey> {
-        let near = if peer.instance.zone == self.node.settings.node.zone {
-            Near::Zone
+        let locality = if peer.instance.zone == self.node.settings.node.zone {
+            Locality::Zone
         } else {
-            Near::Elsewhere
+            Locality::OtherZone
         };
         Candidate {
             key,
             node: peer.node,
-            near,
+            locality,
             own: peer.own,
             others: peer.others(),
             reported: peer.noticed,
@@ -339,7 +339,7 @@
         if let Some(peer) = self.node.membership.borrow_mut().get_mut(key)
             && suspect
         {
-            peer.health.failed(now);
+            peer.health.record_failure(now);
         }
     }
 
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -6,7 +6,7 @@
     clock::Time,
     process::shares::{self, Ask, Borrower, CUT_OFF_MS, Demand, Fleet, LEASE_MS, Lender, Reach},
     rendezvous,
-    request::admission::{Ledger, Rate},
+    request::admission::{Rate, TeamLimiter},
 };
 use gradeloft_wire::{
     border::platform::InstanceRole,
@@ -35,7 +35,7 @@
 /// Rates of all teams of the bundle.
 #[derive(Default)]
 pub struct Limits {
-    ledger: Ledger,
+    ledger: TeamLimiter,
     teams: HashMap<String, Team>,
     /// Teams whose home this entry has been asked to be.
     lenders: HashMap<String, [Lender; 2]>,
@@ -100,7 +100,7 @@
         for (name, team) in &mut self.teams {
             let [requests, tokens] = &mut team.demand;
             let demand = [requests.rate(now), tokens.rate(now)];
-            let saved = self.ledger.saved(name, now);
+            let saved = self.ledger.remaining(name, now);
             let need = [
                 shares::need(demand[0], saved[0]),
                 shares::need(demand[1], saved[1]),
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -209,7 +209,7 @@
     let peers: Vec<&Peer> = membership
         .iter()
         .map(|(_, it)| it)
-        .filter(|it| !it.health.suspect(now))
+        .filter(|it| !it.health.is_suspect(now))
         .collect();
     let own = rendezvous::hash(node.settings.node.id.as_bytes());
     let drawn = gossip::draw(own, &peers);
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -550,7 +550,9 @@
             .iter()
             .find(|(_, it)| it.instance.id == "engine-0");
         peer.is_some_and(|(_, it)| {
-            it.instance.peer == other && !it.takes_work(now) && (!refused || it.health.suspect(now))
+            it.instance.peer == other
+                && !it.takes_work(now)
+                && (!refused || it.health.is_suspect(now))
         })
     };
     fleet
--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -9,9 +9,9 @@
         split::{self, Demand},
     },
     request::{
-        age::Patience,
+        caller_age::TimeBudgets,
         forecast,
-        placement::{self, Claim, Doubt, Wish},
+        placement::{self, Requirements, Uncertainty, Urgency},
         shortage::Shortage,
     },
 };
@@ -72,7 +72,7 @@
     position: usize,
     replicas: Replicas,
     keys: Vec<ReplicaKey>,
-    patience: Patience,
+    patience: TimeBudgets,
     shortage: Shortage,
     /// All requests.
     demand: Demand,
@@ -93,7 +93,7 @@
             position,
             replicas,
             keys,
-            patience: Patience::default(),
+            patience: TimeBudgets::default(),
             shortage: Shortage::default(),
             demand: Demand::default(),
             beyond: Demand::default(),
@@ -112,7 +112,7 @@
     ) -> Decision {
         self.demand.count(now);
         let age = self.patience.age(&asked.route, asked.left, now);
-        let claim = Claim::of(asked.goal.saturating_sub(age));
+        let claim = Urgency::of(asked.goal.saturating_sub(age));
         let chosen = match load.scheme {
             Scheme::Gradeloft => self.place(load, asked, claim, now, rng),
             baseline => self.baseline(baseline, rng).map(|it| (it, claim)),
@@ -123,7 +123,7 @@
         }
         let Some((replica, claim)) = chosen else {
             return Decision::Refused(match load.scheme {
-                Scheme::Gradeloft => self.shortage.refuse(asked.left, now, rng),
+                Scheme::Gradeloft => self.shortage.record_refusal(asked.left, now, rng),
                 _ => Duration::from_millis(BASELINE_BACK_MS),
             });
         };
@@ -146,17 +146,17 @@
         &self,
         load: &Load,
         asked: &Asked,
-        claim: Claim,
+        claim: Urgency,
         now: Time,
         rng: &mut ChaCha8Rng,
-    ) -> Option<(usize, Claim)> {
+    ) -> Option<(usize, Urgency)> {
         let open = || self.replicas.of(SERVICE).filter(|(_, it)| it.open(now));
         let age = now.since(self.told);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
         let unseen = split::unseen(rate, age);
         let spare = open().map(|(_, it)| it.spare(unseen)).sum();
-        let wish = Wish {
+        let wish = Requirements {
             zone: ZONE,
             oldest: None,
             same: None,
@@ -164,15 +164,15 @@
             claim,
             prompt_tokens: asked.prompt,
             speed: Some(&load.speed),
-            near: Doubt {
+            near: Uncertainty {
                 chance: split::chance(spare, others, self.beyond.rate(now), age),
                 unseen,
             },
-            far: Doubt::default(),
+            far: Uncertainty::default(),
         };
-        let claims = [Some(claim), claim.weaker()];
+        let claims = [Some(claim), claim.fallback()];
         claims.into_iter().flatten().find_map(|claim| {
-            let wish = Wish { claim, ..wish };
+            let wish = Requirements { claim, ..wish };
             let key = placement::choose(self.replicas.of(SERVICE), wish, now, rng)?;
             Some((self.keys.iter().position(|it| *it == key)?, claim))
         })
@@ -226,7 +226,7 @@
             replica.own_waiting -= 1;
             replica.own_waiting_tokens -= prompt;
             let took_ms = took.as_secs_f64() * 1000.0;
-            replica.slowness.learn(expected_ms, took_ms);
+            replica.slowness.observe(expected_ms, took_ms);
         }
     }
 
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -374,8 +374,8 @@
             }) => {
                 // A piece from the origin waited there, which says nothing of this agent's link.
                 if matches!(ask.from, From::Owner(_) | From::Source(_)) {
-                    self.window.arrived(took);
-                    self.agent.congested.set(self.window.congested());
+                    self.window.record_arrival(took);
+                    self.agent.congested.set(self.window.is_congested());
                 }
                 if self.fetch.borrow_mut().arrived(ask.idx, ask.from, now) {
                     self.arrived(ask, content);
--- a/crates/gradeloft_gateway/src/agent/share.rs
+++ b/crates/gradeloft_gateway/src/agent/share.rs
@@ -77,7 +77,10 @@
         return;
     };
     let now = agent.node.clock.now();
-    let wait = agent.pace_out.borrow_mut().delay(content.len() as u64, now);
+    let wait = agent
+        .pace_out
+        .borrow_mut()
+        .reserve(content.len() as u64, now);
     actix_rt::time::sleep(wait).await;
     outgoing.finish(&Reply::Chunk(content.to_vec())).await;
 }
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -237,7 +237,7 @@
             Stage::Answering(passage) => passage.silence()?,
         };
         let silence = match self.counted {
-            true => Duration::from_millis(wait::LOOK_MS),
+            true => Duration::from_millis(wait::POLL_INTERVAL_MS),
             false => first,
         };
         spare.then_some(silence)
@@ -302,7 +302,7 @@
                         return Err(Ended::Failed(Failure::Outdated, None));
                     }
                     // The replica has newer weights by now, or its answer is about to be read.
-                    patient.set(timers.sleep_until(patience.max(now.after_ms(wait::LOOK_MS))));
+                    patient.set(timers.sleep_until(patience.max(now.after_ms(wait::POLL_INTERVAL_MS))));
                 }
             }
         }
--- a/crates/gradeloft_gateway/src/entry/choice.rs
+++ b/crates/gradeloft_gateway/src/entry/choice.rs
@@ -9,7 +9,7 @@
         replicas::{Replica, ReplicaKey},
     },
     request::{
-        placement::{self, Census, Claim, Wish},
+        placement::{self, ExclusionCounts, Requirements, Urgency},
         wait,
     },
 };
@@ -35,7 +35,7 @@
     job.census = Some(census);
     let since = *job.waits_since.get_or_insert(now);
     let objective = Duration::from_millis(job.route.goal_ms);
-    let until = wait::until(
+    let until = wait::wait_deadline(
         job.claim,
         census,
         job.received.at,
@@ -47,7 +47,7 @@
     let Some(until) = until.filter(|it| now < *it && entry.speed(&job.service).is_some()) else {
         return Room::None;
     };
-    let look = until.min(now.after_ms(wait::LOOK_MS));
+    let look = until.min(now.after_ms(wait::POLL_INTERVAL_MS));
     tokio::select! {
         biased;
         () = caller.gone() => Room::CallerGone,
@@ -69,11 +69,11 @@
 /// As [`choose`], for a request that a replica has: whether one is found says nothing of a want of room.
 pub(super) fn another(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
     job.claim = match job.head_sent {
-        true => Claim::Begun,
-        false => Claim::of(job.goal.since(now)),
+        true => Urgency::Resumed,
+        false => Urgency::of(job.goal.since(now)),
     };
     let mut chosen = choose_by_version(entry, job, now);
-    if let Some(weaker) = job.claim.weaker().filter(|_| chosen.is_none()) {
+    if let Some(weaker) = job.claim.fallback().filter(|_| chosen.is_none()) {
         job.claim = weaker;
         chosen = choose_by_version(entry, job, now);
     }
@@ -91,22 +91,22 @@
 }
 
 /// Why none of a service's replicas can get a request now.
-fn census(entry: &Entry, job: &Job, now: Time) -> Census {
+fn census(entry: &Entry, job: &Job, now: Time) -> ExclusionCounts {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
-    let wish = Wish {
+    let wish = Requirements {
         oldest: entry.oldest_versions(&job.service).allowed,
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
     let here = |it: &Replica| at_home(&settings, job, it);
-    placement::census(replicas.of(&job.service), here, wish, now)
+    placement::count_exclusions(replicas.of(&job.service), here, wish, now)
 }
 
 fn choose_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
-    let wish = Wish {
+    let wish = Requirements {
         oldest,
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
@@ -131,9 +131,9 @@
     zone: &'a str,
     speed: Option<&'a Speed>,
     now: Time,
-) -> Wish<'a> {
+) -> Requirements<'a> {
     let view = entry.view(&job.service, now);
-    Wish {
+    Requirements {
         zone,
         oldest: None,
         same: job.version,
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -11,8 +11,8 @@
         standing::Standing,
     },
     request::{
-        attempt::{Failure, Progress, Ran},
-        placement::{Census, Claim},
+        attempt::{Attempts, Failure, Ran},
+        placement::{ExclusionCounts, Urgency},
     },
 };
 use gradeloft_wire::{frame::Table, id::Fingerprint};
@@ -55,12 +55,12 @@
     /// Tokens of its prompt; 0 where it has none.
     pub prompt_tokens: f64,
     /// What its answer could still be when the present replica was chosen.
-    pub claim: Claim,
+    pub claim: Urgency,
     /// Time until the first token that was forecast when the present replica was chosen, in milliseconds;
     /// 0 where none was.
     pub expected_ms: u64,
     /// Attempts.
-    pub progress: Progress,
+    pub progress: Attempts,
     /// Replicas tried.
     pub tried: Vec<ReplicaKey>,
     /// Whether the head of a stream went out to the caller.
@@ -82,7 +82,7 @@
     /// Failures so far, for the log.
     trail: Vec<Failure>,
     /// Why no replica was found when one was looked for last.
-    pub(super) census: Option<Census>,
+    pub(super) census: Option<ExclusionCounts>,
     /// Since when none is found.
     pub(super) waits_since: Option<Time>,
     fingerprint: OnceCell<Fingerprint>,
@@ -198,9 +198,9 @@
         deadline: received.at.after_ms(patience_ms),
         goal: received.at.after(goal),
         prompt_tokens: prompt_tokens(entry, &received),
-        claim: Claim::Late,
+        claim: Urgency::Late,
         expected_ms: 0,
-        progress: Progress::new(route.kind, route.max_attempts),
+        progress: Attempts::new(route.kind, route.max_attempts),
         service,
         team,
         homes,
@@ -279,7 +279,7 @@
             }
             course::End::Failed(answer) => {
                 stored = answer.or(stored);
-                if !job.progress.may_repeat() {
+                if !job.progress.may_retry() {
                     break exhausted(&job);
                 }
             }
@@ -291,7 +291,7 @@
 
 /// Notes a failure of a replica with a request.
 pub(super) fn failed(entry: &Entry, job: &mut Job, replica: ReplicaKey, failure: Failure) {
-    job.progress.ended(failure);
+    job.progress.record_failure(failure);
     note(entry, job, replica, failure);
 }
 
@@ -306,7 +306,7 @@
     let mut replicas = entry.replicas.borrow_mut();
     if failure == Failure::Misdirected {
         replicas.replaced(replica);
-    } else if failure.blames_replica() {
+    } else if failure.implicates_replica() {
         replicas.failed(replica, now);
     }
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -63,7 +63,7 @@
         split::Demand,
         standing::Standing,
     },
-    request::{age::Patience, shortage::Shortage},
+    request::{caller_age::TimeBudgets, shortage::Shortage},
     version::named::Named,
 };
 use gradeloft_wire::{
@@ -136,7 +136,7 @@
     /// Versions of each model's weights that replicas are to serve.
     weights: RefCell<HashMap<String, Named>>,
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
-    patience: RefCell<Patience>,
+    patience: RefCell<TimeBudgets>,
     /// Requests that come for each service.
     demands: RefCell<HashMap<Rc<str>, Demands>>,
     /// Want of room, by service.
@@ -383,7 +383,7 @@
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
-            replica.slowness.learn(expected.after_ms, took_ms);
+            replica.slowness.observe(expected.after_ms, took_ms);
         }
     }
 
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -179,7 +179,7 @@
                 .suspicion
                 .known
                 .borrow_mut()
-                .blame(*request, lost.hash, now);
+                .record_crash(*request, lost.hash, now);
             if news {
                 self.learned(*request, Source::Own, now);
             }
--- a/crates/gradeloft_gateway/src/entry/quarantine/keep.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/keep.rs
@@ -36,10 +36,13 @@
             return;
         }
         known.expire(now);
-        self.node.metrics.quarantined.set(known.shut_out() as i64);
+        self.node
+            .metrics
+            .quarantined
+            .set(known.quarantined() as i64);
         let kept = self.suspicion.kept.borrow();
         let mut unkept = self.suspicion.unkept.borrow_mut();
-        for request in kept.keys().filter(|it| !known.knows(**it)) {
+        for request in kept.keys().filter(|it| !known.contains(**it)) {
             let (from, to) = DELETE_MS;
             let wait = || now.after_ms(self.node.with_rng(|it| it.random_range(from..to)));
             unkept.entry(*request).or_insert_with(wait);
@@ -102,7 +105,7 @@
         let kept = self.suspicion.kept.borrow();
         let kept = kept.get(&request);
         let key = quarantine::key(request);
-        let Some(word) = known.word(request, now) else {
+        let Some(word) = known.snapshot(request, now) else {
             // What is kept and known to nobody any more is too old to matter.
             return kept.map(|_| Put { key, value: None });
         };
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -24,7 +24,7 @@
     clock::Time,
     process::{cadence::Budget, news::News, replicas::ReplicaKey, roster},
     rendezvous,
-    request::quarantine::{Quarantine, SHUT_OUT_AT, Verdict},
+    request::quarantine::{QUARANTINE_CRASHES, Quarantine, Verdict},
 };
 use gradeloft_wire::{
     codec,
@@ -70,7 +70,7 @@
 impl Drop for Try {
     fn drop(&mut self) {
         if let Some(entry) = self.entry.upgrade() {
-            entry.suspicion.known.borrow_mut().end_try(self.request);
+            entry.suspicion.known.borrow_mut().end_attempt(self.request);
         }
     }
 }
@@ -111,7 +111,7 @@
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
         job.only = None;
         let known = self.suspicion.known.borrow();
-        if known.is_empty() || !known.knows(job.fingerprint()) {
+        if known.is_empty() || !known.contains(job.fingerprint()) {
             return None;
         }
         let request = job.fingerprint();
@@ -120,15 +120,15 @@
         drop(known);
         match verdict {
             Verdict::Admitted => None,
-            Verdict::Alone => {
-                self.suspicion.known.borrow_mut().begin_try(request);
+            Verdict::Exclusive => {
+                self.suspicion.known.borrow_mut().begin_attempt(request);
                 job.only = Some(Try {
                     entry: Rc::downgrade(self),
                     request,
                 });
                 None
             }
-            Verdict::Busy(back) | Verdict::ShutOut(back) => Some(Refusal::Quarantined(back)),
+            Verdict::Busy(back) | Verdict::Quarantined(back) => Some(Refusal::Quarantined(back)),
         }
     }
 
@@ -145,7 +145,7 @@
     /// Whether replicas ended under a request.
     pub(super) fn suspects_request(&self, job: &Job) -> bool {
         let known = self.suspicion.known.borrow();
-        !known.is_empty() && known.knows(job.fingerprint())
+        !known.is_empty() && known.contains(job.fingerprint())
     }
 
     /// A request was answered: it does not end replicas.
@@ -166,17 +166,17 @@
     pub(super) fn receive_suspects(&self, suspects: &[Suspect], source: Source, now: Time) {
         for suspect in suspects {
             let merged = self.suspicion.known.borrow_mut().merge(suspect, now);
-            if merged.news {
+            if merged.changed {
                 self.learned(suspect.request, source, now);
             }
             if source == Source::Store {
                 continue;
             }
             let mut news = self.suspicion.news.borrow_mut();
-            if merged.lacking {
+            if merged.incomplete {
                 let wait = self.node.with_rng(|it| it.random_range(0..ANSWER_MS));
                 news.answer(suspect.request, now.after_ms(wait));
-            } else if !merged.news {
+            } else if !merged.changed {
                 news.heard(suspect.request);
             }
         }
@@ -186,11 +186,14 @@
     fn learned(&self, request: Fingerprint, source: Source, now: Time) {
         let known = self.suspicion.known.borrow();
         let crashes = known.crashes(request);
-        self.node.metrics.quarantined.set(known.shut_out() as i64);
-        if (SHUT_OUT_AT <= crashes || source == Source::Own)
+        self.node
+            .metrics
+            .quarantined
+            .set(known.quarantined() as i64);
+        if (QUARANTINE_CRASHES <= crashes || source == Source::Own)
             && let Some(log) = self.node.logs.line(Topic::State)
         {
-            let word = known.word(request, now);
+            let word = known.snapshot(request, now);
             let starts = word.iter().flat_map(|it| &it.crashes);
             let starts = starts.map(|it| match it.void {
                 true => format!("({:08x})", it.start),
@@ -198,7 +201,7 @@
             });
             let starts: Vec<String> = starts.collect();
             info!(log, "suspect"; "fingerprint" => %request, "crashes" => crashes,
-                "shut_out" => known.is_shut_out(request), "starts" => starts.join(","),
+                "shut_out" => known.is_quarantined(request), "starts" => starts.join(","),
                 "source" => %source, "age_ms" => word.map_or(0, |it| it.age_ms));
         }
         drop(known);
@@ -236,7 +239,7 @@
         drop(news);
         let suspects: Vec<Suspect> = due
             .into_iter()
-            .filter_map(|it| known.word(it, now))
+            .filter_map(|it| known.snapshot(it, now))
             .collect();
         drop(known);
         if suspects.is_empty() {
@@ -278,7 +281,7 @@
         let mut worst: Vec<Fingerprint> = all.collect();
         worst.sort_unstable_by_key(|it| (Reverse(known.crashes(*it)), *it));
         let words = worst.into_iter().take(IN_DATAGRAM);
-        let suspects: Vec<Suspect> = words.filter_map(|it| known.word(it, now)).collect();
+        let suspects: Vec<Suspect> = words.filter_map(|it| known.snapshot(it, now)).collect();
         drop(known);
         if suspects.is_empty() {
             return;
--- a/crates/gradeloft_gateway/src/entry/view.rs
+++ b/crates/gradeloft_gateway/src/entry/view.rs
@@ -9,7 +9,7 @@
         replicas::{Replica, ReplicaKey},
         split::{self, Demand},
     },
-    request::placement::Doubt,
+    request::placement::Uncertainty,
 };
 
 use super::{Entry, forward::Job};
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct View {
     /// For those of its region.
-    pub near: Doubt,
+    pub near: Uncertainty,
     /// For those of other regions.
-    pub far: Doubt,
+    pub far: Uncertainty,
 }
 
 impl Entry {
@@ -72,7 +72,7 @@
             let rate = others.demand / open().count().max(1) as f64;
             let unseen = split::unseen(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen)).sum();
-            Doubt {
+            Uncertainty {
                 chance: split::chance(spare, others.entries, beyond, others.age),
                 unseen,
             }
@@ -99,7 +99,7 @@
     /// Whether callers of a service have been refused for want of room a moment ago.
     pub fn refuses(&self, service: &str, now: Time) -> bool {
         let shortages = self.shortages.borrow();
-        shortages.get(service).is_some_and(|it| it.lasts(now))
+        shortages.get(service).is_some_and(|it| it.is_active(now))
     }
 
     /// When the caller of a request that found no replica is to come back.
@@ -108,6 +108,7 @@
         let mut shortages = self.shortages.borrow_mut();
         let shortage = shortages.entry(Rc::clone(&job.service)).or_default();
         let left = job.deadline.since(now);
-        self.node.with_rng(|rng| shortage.refuse(left, now, rng))
+        self.node
+            .with_rng(|rng| shortage.record_refusal(left, now, rng))
     }
 }
--- a/crates/gradeloft_policy/src/connection/health.rs
+++ b/crates/gradeloft_policy/src/connection/health.rs
@@ -16,19 +16,19 @@
 
 impl Health {
     /// A call or a connection failed.
-    pub fn failed(&mut self, now: Time) {
+    pub fn record_failure(&mut self, now: Time) {
         let doubled = FIRST_SUSPICION_MS << self.failures.min(5);
         self.failures = self.failures.saturating_add(1);
         self.suspect_until = now.after_ms(doubled.min(LONGEST_SUSPICION_MS));
     }
 
     /// It answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
     /// Whether to leave it alone for now.
-    pub fn suspect(&self, now: Time) -> bool {
+    pub fn is_suspect(&self, now: Time) -> bool {
         now < self.suspect_until
     }
 
--- a/crates/gradeloft_policy/src/connection/pace.rs
+++ b/crates/gradeloft_policy/src/connection/pace.rs
@@ -23,8 +23,8 @@
 /// ```
 /// use gradeloft_policy::{clock::Time, connection::pace::Pacer};
 /// let mut pacer = Pacer::new(1_000_000);
-/// assert!(pacer.delay(100_000, Time::ZERO).is_zero());
-/// assert_eq!(pacer.delay(100_000, Time::ZERO).as_millis(), 80);
+/// assert!(pacer.reserve(100_000, Time::ZERO).is_zero());
+/// assert_eq!(pacer.reserve(100_000, Time::ZERO).as_millis(), 80);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Pacer {
@@ -48,14 +48,14 @@
     }
 
     /// Live requests moved so many bytes.
-    pub fn live(&mut self, bytes: u64, now: Time) {
+    pub fn record_live(&mut self, bytes: u64, now: Time) {
         self.decay(now);
         self.live += bytes as f64 / WINDOW_S;
     }
 
     /// How long to wait before so many bytes of weights go; they are granted. What goes without
     /// a wait is at most a short burst ahead of the rate.
-    pub fn delay(&mut self, bytes: u64, now: Time) -> Duration {
+    pub fn reserve(&mut self, bytes: u64, now: Time) -> Duration {
         let rate = self.rate(now);
         let start = self.free_at.max(now);
         self.free_at = start.after(Duration::from_secs_f64(bytes as f64 / rate));
@@ -75,7 +75,7 @@
     }
 
     /// How many chunks to ask for at once, of `most`.
-    pub fn slots(&mut self, most: usize, now: Time) -> usize {
+    pub fn max_concurrent(&mut self, most: usize, now: Time) -> usize {
         self.decay(now);
         if self.beside_live() {
             most.min(SLOTS_BESIDE_LIVE)
--- a/crates/gradeloft_policy/src/connection/window.rs
+++ b/crates/gradeloft_policy/src/connection/window.rs
@@ -19,7 +19,7 @@
 /// use std::time::Duration;
 /// use gradeloft_policy::connection::window::Window;
 /// let mut window = Window::new(Duration::from_millis(40));
-/// window.arrived(Duration::from_millis(900));
+/// window.record_arrival(Duration::from_millis(900));
 /// assert_eq!(window.size(), 1);
 /// ```
 #[derive(Clone, Debug)]
@@ -45,12 +45,12 @@
     }
 
     /// Whether the last pieces took so long that one at a time is asked for.
-    pub fn congested(&self) -> bool {
+    pub fn is_congested(&self) -> bool {
         self.size < 2.0
     }
 
     /// A piece came after `took`.
-    pub fn arrived(&mut self, took: Duration) {
+    pub fn record_arrival(&mut self, took: Duration) {
         self.size = if self.nominal * SLOW < took {
             (self.size / 2.0).max(1.0)
         } else {
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -54,7 +54,7 @@
     pub fn takes_work(&self, now: Time) -> bool {
         let leaving = self.notice.as_ref().is_none_or(|it| it.leaving);
         let listed_leaving = self.instance.state == InstanceState::Leaving;
-        self.connected && !leaving && !listed_leaving && !self.health.suspect(now)
+        self.connected && !leaving && !listed_leaving && !self.health.is_suspect(now)
     }
 
     /// Requests that it can run at once.
@@ -140,7 +140,7 @@
             peer.connected = true;
             peer.noticed = now;
             peer.notice = Some(notice);
-            peer.health.succeeded();
+            peer.health.record_success();
         }
     }
 
@@ -150,7 +150,7 @@
             return;
         };
         peer.connected = false;
-        peer.health.failed(now);
+        peer.health.record_failure(now);
         if !peer.listed {
             self.peers.remove(key);
         }
--- a/crates/gradeloft_policy/src/request/admission.rs
+++ b/crates/gradeloft_policy/src/request/admission.rs
@@ -14,24 +14,24 @@
 /// A token bucket, filled at a rate and drained by what is admitted.
 ///
 /// ```
-/// use gradeloft_policy::{clock::Time, request::admission::Bucket};
-/// let mut bucket = Bucket::new(1.0, Time::ZERO);
-/// assert!(bucket.take(2.0, Time::ZERO));
-/// assert!(!bucket.take(1.0, Time::ZERO));
-/// assert!(bucket.take(1.0, Time::ZERO.after_ms(1000)));
+/// use gradeloft_policy::{clock::Time, request::admission::TokenBucket};
+/// let mut bucket = TokenBucket::new(1.0, Time::ZERO);
+/// assert!(bucket.try_take(2.0, Time::ZERO));
+/// assert!(!bucket.try_take(1.0, Time::ZERO));
+/// assert!(bucket.try_take(1.0, Time::ZERO.after_ms(1000)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     /// At most [`BURST_S`] seconds of `rate`, and at least one; below zero after a debt.
     level: f64,
     filled: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `rate` units a second.
-    pub fn new(rate: f64, now: Time) -> Bucket {
-        Bucket {
+    pub fn new(rate: f64, now: Time) -> TokenBucket {
+        TokenBucket {
             rate,
             level: capacity(rate),
             filled: now,
@@ -46,7 +46,7 @@
     }
 
     /// Takes `amount`, if it is there.
-    pub fn take(&mut self, amount: f64, now: Time) -> bool {
+    pub fn try_take(&mut self, amount: f64, now: Time) -> bool {
         self.fill(now);
         if self.level < amount {
             return false;
@@ -94,8 +94,8 @@
 }
 
 struct Account {
-    requests: Bucket,
-    tokens: Bucket,
+    requests: TokenBucket,
+    tokens: TokenBucket,
 }
 
 /// Buckets of all teams at one entry, each filled at the entry's present share of the team's rate.
@@ -103,12 +103,12 @@
 /// A request is charged its prompt when it is admitted and its answer when it is done, so a team
 /// may overdraw its tokens by what runs and then waits.
 #[derive(Default)]
-pub struct Ledger {
+pub struct TeamLimiter {
     /// Only teams of the bundle in force.
     accounts: HashMap<String, Account>,
 }
 
-impl Ledger {
+impl TeamLimiter {
     /// Forgets the teams that are not among these.
     pub fn retain(&mut self, kept: impl Fn(&str) -> bool) {
         self.accounts.retain(|team, _| kept(team));
@@ -122,8 +122,8 @@
                 account.tokens.set_rate(rate.tokens, now);
             }
             None => {
-                let requests = Bucket::new(rate.requests, now);
-                let tokens = Bucket::new(rate.tokens, now);
+                let requests = TokenBucket::new(rate.requests, now);
+                let tokens = TokenBucket::new(rate.tokens, now);
                 self.accounts
                     .insert(team.to_owned(), Account { requests, tokens });
             }
@@ -131,7 +131,7 @@
     }
 
     /// Requests and tokens that a team has left.
-    pub fn saved(&mut self, team: &str, now: Time) -> [f64; 2] {
+    pub fn remaining(&mut self, team: &str, now: Time) -> [f64; 2] {
         let account = self.accounts.get_mut(team);
         account.map_or([0.0; 2], |it| {
             [it.requests.level(now), it.tokens.level(now)]
@@ -141,7 +141,7 @@
     /// Admits a request with a prompt of `tokens`, or says why not.
     pub fn admit(&mut self, team: &str, tokens: f64, now: Time) -> Result<(), Kind> {
         let account = self.accounts.get_mut(team).ok_or(Kind::NotFound)?;
-        if account.tokens.is_empty(now) || !account.requests.take(1.0, now) {
+        if account.tokens.is_empty(now) || !account.requests.try_take(1.0, now) {
             return Err(Kind::RateLimited);
         }
         account.tokens.charge(tokens, now);
@@ -158,7 +158,7 @@
 
 /// Whether a request of a class (0 is the most important) is shed while `running` of `slots` are
 /// taken: each class leaves a share of the slots to those above it, so the lowest goes first.
-pub fn sheds(class: u8, running: u32, slots: u32) -> bool {
+pub fn should_shed(class: u8, running: u32, slots: u32) -> bool {
     let usable = 1.0 - HEADROOM * f64::from(class);
     let bound = (f64::from(slots) * usable.max(HEADROOM)).max(1.0);
     bound <= f64::from(running)
--- a/crates/gradeloft_policy/src/request/once.rs
+++ b/crates/gradeloft_policy/src/request/at_most_once.rs
@@ -16,7 +16,7 @@
 /// What to do with a keyed call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step<O> {
-    /// Append this claim and read the stream up to it, then ask [`Table::settle`].
+    /// Append this claim and read the stream up to it, then ask [`ClaimTable::settle`].
     Claim(Claim),
     /// Answer with the outcome of the first call.
     Replay(O),
@@ -38,7 +38,7 @@
 }
 
 /// Claims of one service as one agent knows them; `O` is the outcome kept for repeated calls.
-pub struct Table<O> {
+pub struct ClaimTable<O> {
     /// First claim of each key by offset, from the log. Never replaced.
     claimed: HashMap<Digest, (u128, u64)>,
     own: HashMap<Digest, Own<O>>,
@@ -51,10 +51,10 @@
     expiry_ms: u64,
 }
 
-impl<O: Clone> Table<O> {
+impl<O: Clone> ClaimTable<O> {
     /// An empty table.
-    pub fn new(expiry_ms: u64) -> Table<O> {
-        Table {
+    pub fn new(expiry_ms: u64) -> ClaimTable<O> {
+        ClaimTable {
             claimed: HashMap::new(),
             own: HashMap::new(),
             outcomes: VecDeque::new(),
@@ -88,7 +88,7 @@
 
     /// Forgets claims that the log has dropped: those below `oldest`.
     pub fn drop_below(&mut self, oldest: u64) {
-        let Table { claimed, own, .. } = self;
+        let ClaimTable { claimed, own, .. } = self;
         let dropped: Vec<Digest> = claimed
             .iter()
             .filter(|(_, (_, offset))| *offset < oldest)
@@ -164,7 +164,7 @@
     }
 
     /// The call that [`Step::Run`] allowed did not reach the endpoint after all.
-    pub fn unrun(&mut self, key: Digest) {
+    pub fn mark_not_run(&mut self, key: Digest) {
         let first = self.claimed.get(&key).map(|(attempt, _)| *attempt);
         if let (Some(Own::Started), Some(attempt)) = (self.own.get(&key), first) {
             self.own.insert(key, Own::Abandoned { attempt });
@@ -173,7 +173,7 @@
 
     /// The call ran with this outcome. The oldest outcome is forgotten when too many are kept: a
     /// repeat of that call is still refused, as one whose outcome is unknown.
-    pub fn done(&mut self, key: Digest, outcome: O) {
+    pub fn complete(&mut self, key: Digest, outcome: O) {
         if self.outcomes.len() == MAX_OUTCOMES
             && let Some(oldest) = self.outcomes.pop_front()
             && let Some(own) = self.own.get_mut(&oldest)
--- a/crates/gradeloft_policy/src/request/attempt.rs
+++ b/crates/gradeloft_policy/src/request/attempt.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether it speaks against the replica, so that others are better for a while.
-    pub fn blames_replica(self) -> bool {
+    pub fn implicates_replica(self) -> bool {
         !matches!(
             self,
             Failure::Failed | Failure::Outdated | Failure::Refused | Failure::Withdrawn
@@ -79,7 +79,7 @@
 
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Progress {
+pub struct Attempts {
     /// What may be repeated.
     pub kind: Kind,
     /// Replicas that got it, or may have.
@@ -90,10 +90,10 @@
     pub ran: Ran,
 }
 
-impl Progress {
+impl Attempts {
     /// No attempt yet.
-    pub fn new(kind: Kind, max_attempts: u32) -> Progress {
-        Progress {
+    pub fn new(kind: Kind, max_attempts: u32) -> Attempts {
+        Attempts {
             kind,
             attempts: 0,
             max_attempts: max_attempts.max(1),
@@ -102,7 +102,7 @@
     }
 
     /// Takes the end of an attempt in. Whatever reached a replica counts against the limit.
-    pub fn ended(&mut self, failure: Failure) {
+    pub fn record_failure(&mut self, failure: Failure) {
         if failure != Failure::Unsent {
             self.attempts += 1;
         }
@@ -112,7 +112,7 @@
     }
 
     /// Whether another replica may get the request.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         let harmless = self.ran == Ran::No || self.kind.repeatable();
         harmless && self.attempts < self.max_attempts
     }
--- a/crates/gradeloft_policy/src/request/age.rs
+++ b/crates/gradeloft_policy/src/request/caller_age.rs
@@ -66,13 +66,13 @@
         .copied()
 }
 
-/// Patience of the callers of each route.
+/// Time budgets of the callers of each route.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct TimeBudgets {
     routes: HashMap<Rc<str>, Samples>,
 }
 
-impl Patience {
+impl TimeBudgets {
     /// Takes in that a caller of a route has `left`; gives how long it has waited at least.
     pub fn age(&mut self, route: &Rc<str>, left: Duration, now: Time) -> Duration {
         let samples = self.routes.entry(Rc::clone(route)).or_default();
--- a/crates/gradeloft_policy/src/request/forecast.rs
+++ b/crates/gradeloft_policy/src/request/forecast.rs
@@ -83,7 +83,7 @@
 
     /// Takes in that an answer began after `took_ms`, where the published speed let expect
     /// `expected_ms`.
-    pub fn learn(&mut self, expected_ms: f64, took_ms: f64) {
+    pub fn observe(&mut self, expected_ms: f64, took_ms: f64) {
         if expected_ms <= 0.0 {
             return;
         }
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -48,54 +48,54 @@
 
 /// What an answer to a request can still be.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Claim {
+pub enum Urgency {
     /// It has begun, and goes on at another replica.
-    Begun,
+    Resumed,
     /// It is late whenever it begins.
     Late,
     /// It is in time if it begins within so many milliseconds.
-    Timely(f64),
+    OnTime(f64),
 }
 
-impl Claim {
+impl Urgency {
     /// Of a request that has so much time left to be in time.
-    pub fn of(left: Duration) -> Claim {
+    pub fn of(left: Duration) -> Urgency {
         if left.is_zero() {
-            Claim::Late
+            Urgency::Late
         } else {
-            Claim::Timely(left.as_secs_f64() * 1000.0)
+            Urgency::OnTime(left.as_secs_f64() * 1000.0)
         }
     }
 
     /// What the request can be where no replica makes it that.
-    pub fn weaker(self) -> Option<Claim> {
-        matches!(self, Claim::Timely(_)).then_some(Claim::Late)
+    pub fn fallback(self) -> Option<Urgency> {
+        matches!(self, Urgency::OnTime(_)).then_some(Urgency::Late)
     }
 
     /// Rank in a replica's queue, from 0 for the first to 9: streams that go on, then what can be in
     /// time, then what is late; within each by the operator's `priority` of its route.
     pub fn rank(self, priority: u32) -> u32 {
         match self {
-            Claim::Begun => 0,
-            Claim::Timely(_) => 1 + priority.min(3),
-            Claim::Late => 5 + priority.min(4),
+            Urgency::Resumed => 0,
+            Urgency::OnTime(_) => 1 + priority.min(3),
+            Urgency::Late => 5 + priority.min(4),
         }
     }
 }
 
-impl fmt::Display for Claim {
+impl fmt::Display for Urgency {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Claim::Begun => f.write_str("begun"),
-            Claim::Late => f.write_str("late"),
-            Claim::Timely(within_ms) => write!(f, "timely:{within_ms:.0}"),
+            Urgency::Resumed => f.write_str("begun"),
+            Urgency::Late => f.write_str("late"),
+            Urgency::OnTime(within_ms) => write!(f, "timely:{within_ms:.0}"),
         }
     }
 }
 
 /// What a request asks of its replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Requirements<'a> {
     /// The entry's availability zone.
     pub zone: &'a str,
     /// Oldest version of weights allowed; `None` for any.
@@ -105,28 +105,28 @@
     /// Replicas that this request has been sent to.
     pub tried: &'a [ReplicaKey],
     /// What its answer can still be.
-    pub claim: Claim,
+    pub claim: Urgency,
     /// Tokens of its prompt.
     pub prompt_tokens: f64,
     /// How fast the service's engines work; `None` for services without a model.
     pub speed: Option<&'a Speed>,
     /// How far what is known of replicas in this entry's region may be off.
-    pub near: Doubt,
+    pub near: Uncertainty,
     /// The same for replicas of other regions, of which is heard later.
-    pub far: Doubt,
+    pub far: Uncertainty,
 }
 
 /// How far what an entry knows of others' requests may be off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Doubt {
+pub struct Uncertainty {
     /// Part of the requests beyond the entry's own slots that may go where others' slots are free.
     pub chance: f64,
     /// Requests that may have come to each replica since others told what they have there.
     pub unseen: f64,
 }
 
-impl Wish<'_> {
-    fn doubt(&self, replica: &Replica) -> Doubt {
+impl Requirements<'_> {
+    fn doubt(&self, replica: &Replica) -> Uncertainty {
         if replica.near { self.near } else { self.far }
     }
 }
@@ -173,7 +173,7 @@
 /// slots are seen free, entries draw among them, as all see the same.
 pub fn choose<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
-    wish: Wish<'_>,
+    wish: Requirements<'_>,
     now: Time,
     rng: &mut impl Rng,
 ) -> Option<ReplicaKey> {
@@ -181,7 +181,7 @@
     let fewest = candidates.iter().map(|it| it.flaws).min()?;
     let flawless = candidates.into_iter().filter(|it| it.flaws == fewest);
     let candidates: Vec<Candidate> = flawless.collect();
-    let is_split = wish.speed.is_some() && wish.claim != Claim::Begun;
+    let is_split = wish.speed.is_some() && wish.claim != Urgency::Resumed;
     if !is_split {
         return least_cost(candidates, rng);
     }
@@ -199,14 +199,14 @@
 
 fn candidates<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
-    wish: Wish<'_>,
+    wish: Requirements<'_>,
     now: Time,
     rng: &mut impl Rng,
 ) -> Vec<Candidate> {
     let open: Vec<(ReplicaKey, &Replica)> = replicas
         .filter(|(key, it)| allowed(it, wish, now) && !wish.tried.contains(key))
         .collect();
-    let mut draw = |doubt: Doubt| match rng.random::<f64>() < doubt.chance {
+    let mut draw = |doubt: Uncertainty| match rng.random::<f64>() < doubt.chance {
         true => Slots::Any,
         false => Slots::Own,
     };
@@ -247,7 +247,7 @@
 
 /// Why replicas can't get a request, by how many.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Census {
+pub struct ExclusionCounts {
     /// Leaving, about to load, or without weights.
     pub closed: u32,
     /// With as many requests as they are given, or cold.
@@ -260,9 +260,9 @@
     pub away: u32,
 }
 
-impl fmt::Display for Census {
+impl fmt::Display for ExclusionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Census {
+        let ExclusionCounts {
             closed,
             full,
             old,
@@ -278,13 +278,13 @@
 
 /// Counts why replicas can't get a request; each counts once, by the first reason that holds. `at_home` says whether a
 /// replica is in a region in which the request may be served.
-pub fn census<'a>(
+pub fn count_exclusions<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
     at_home: impl Fn(&Replica) -> bool,
-    wish: Wish<'_>,
+    wish: Requirements<'_>,
     now: Time,
-) -> Census {
-    let mut census = Census::default();
+) -> ExclusionCounts {
+    let mut census = ExclusionCounts::default();
     for (key, replica) in replicas {
         if !at_home(replica) {
             census.away += 1;
@@ -303,7 +303,7 @@
 
 /// Whether a replica can take the request. Where all are short of time, those that can be answered in
 /// time come before those that can't, as both take the same work.
-fn has_room(replica: &Replica, wish: Wish<'_>, slots: Slots, now: Time) -> bool {
+fn has_room(replica: &Replica, wish: Requirements<'_>, slots: Slots, now: Time) -> bool {
     if !replica.warm_enough(now) {
         return false;
     }
@@ -315,9 +315,9 @@
     let borrows = slots == Slots::Any;
     let spare = replica.spare(wish.doubt(replica).unseen);
     match wish.claim {
-        Claim::Begun => takes_more,
-        Claim::Late => borrows && f64::from(all) * SPARE < spare,
-        Claim::Timely(within_ms) => {
+        Urgency::Resumed => takes_more,
+        Urgency::Late => borrows && f64::from(all) * SPARE < spare,
+        Urgency::OnTime(within_ms) => {
             (replica.has_own_slot() || (borrows && 0.0 < spare))
                 && first_token_ms(replica, speed, wish.prompt_tokens) <= within_ms * TIMELY
         }
@@ -330,7 +330,7 @@
     published_ms * replica.slowness.factor()
 }
 
-fn allowed(replica: &Replica, wish: Wish<'_>, now: Time) -> bool {
+fn allowed(replica: &Replica, wish: Requirements<'_>, now: Time) -> bool {
     let new_enough = wish.oldest.is_none_or(|oldest| {
         let version = replica.version(now);
         !replica.listing.has_model || version.is_some_and(|it| oldest <= it)
@@ -338,7 +338,7 @@
     replica.open(now) && new_enough
 }
 
-fn cost(replica: &Replica, wish: Wish<'_>, newest: Option<u64>, now: Time) -> f64 {
+fn cost(replica: &Replica, wish: Requirements<'_>, newest: Option<u64>, now: Time) -> f64 {
     let slots = f64::from(replica.listing.slots.max(1));
     let version = replica.version(now);
     let mut cost = f64::from(replica.load()) / slots;
@@ -354,7 +354,7 @@
     cost
 }
 
-fn flaws(replica: &Replica, wish: Wish<'_>, now: Time) -> Flaws {
+fn flaws(replica: &Replica, wish: Requirements<'_>, now: Time) -> Flaws {
     Flaws {
         suspect: replica.suspect(now),
         silent: replica.silent(now),
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -21,7 +21,7 @@
 /// Crashes that no other request explains as well, from which on a request is shut out. Two happen by chance:
 /// of twelve replicas with fifteen innocent requests each, about one innocent for each crash is also at the
 /// next one, and one in a hundred at a third (`tests/quarantine.rs`).
-pub const SHUT_OUT_AT: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Crashes from which on an entry has one try of a request under way at most, so that what is still to be
 /// found out costs one replica at a time.
 const ALONE_AT: usize = 2;
@@ -45,20 +45,20 @@
     /// Nothing speaks against it.
     Admitted,
     /// It may, as long as it is the only one of its kind under way at this entry.
-    Alone,
+    Exclusive,
     /// One like it is under way; it may in a while.
     Busy(Duration),
     /// It ends replicas; it may not before so much time has passed.
-    ShutOut(Duration),
+    Quarantined(Duration),
 }
 
 /// What a word of another entry brought.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Merged {
     /// Something that was not known here.
-    pub news: bool,
+    pub changed: bool,
     /// It lacked something that is known here.
-    pub lacking: bool,
+    pub incomplete: bool,
 }
 
 /// What is known of one request.
@@ -123,14 +123,14 @@
     }
 
     /// Whether anything is known of a request.
-    pub fn knows(&self, request: Fingerprint) -> bool {
+    pub fn contains(&self, request: Fingerprint) -> bool {
         self.suspects.contains_key(&request)
     }
 
     /// How many are shut out.
-    pub fn shut_out(&self) -> usize {
+    pub fn quarantined(&self) -> usize {
         let all = self.fingerprints();
-        all.filter(|it| self.is_shut_out(*it)).count()
+        all.filter(|it| self.is_quarantined(*it)).count()
     }
 
     /// Crashes of a request that count.
@@ -139,14 +139,14 @@
     }
 
     /// A replica ended while it had a request; gives whether that is news.
-    pub fn blame(&mut self, request: Fingerprint, start: u32, now: Time) -> bool {
+    pub fn record_crash(&mut self, request: Fingerprint, start: u32, now: Time) -> bool {
         let crash = Crash { start, void: false };
         let word = Word {
             request,
             crashes: vec![crash],
             age_ms: 0,
         };
-        self.merge(&word, now).news
+        self.merge(&word, now).changed
     }
 
     /// A request was answered by a replica that lives: it does not end those that begin it. Gives whether that
@@ -169,13 +169,13 @@
         let crashed_at = now.before_ms(u64::from(word.age_ms));
         suspect.crashed_at = suspect.crashed_at.max(crashed_at);
         Merged {
-            news: before != suspect.crashes,
-            lacking: suspect.exceeds(&word.crashes),
+            changed: before != suspect.crashes,
+            incomplete: suspect.exceeds(&word.crashes),
         }
     }
 
     /// What is known of a request, as other entries are told it.
-    pub fn word(&self, request: Fingerprint, now: Time) -> Option<Word> {
+    pub fn snapshot(&self, request: Fingerprint, now: Time) -> Option<Word> {
         let suspect = self.suspects.get(&request)?;
         let age_ms = now.since(suspect.crashed_at).as_millis();
         Some(Word {
@@ -194,27 +194,27 @@
         if suspect.count() < ALONE_AT {
             return Verdict::Admitted;
         }
-        if self.is_shut_out(request) {
+        if self.is_quarantined(request) {
             let until = suspect.crashed_at.after(pause(suspect.count()));
             if !home || now < until {
-                return Verdict::ShutOut(until.since(now).max(FIRST_PAUSE));
+                return Verdict::Quarantined(until.since(now).max(FIRST_PAUSE));
             }
         }
         match suspect.tries {
-            0 => Verdict::Alone,
+            0 => Verdict::Exclusive,
             _ => Verdict::Busy(BUSY_BACK),
         }
     }
 
     /// A try of a request is under way.
-    pub fn begin_try(&mut self, request: Fingerprint) {
+    pub fn begin_attempt(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.tries += 1;
         }
     }
 
     /// A try of a request is over, and it is clear how it ended.
-    pub fn end_try(&mut self, request: Fingerprint) {
+    pub fn end_attempt(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.tries = suspect.tries.saturating_sub(1);
         }
@@ -224,7 +224,7 @@
     pub fn expire(&mut self, now: Time) {
         self.suspects.retain(|_, it| {
             let remembered = match it.count() {
-                SHUT_OUT_AT.. => 2 * pause(it.count()),
+                QUARANTINE_CRASHES.. => 2 * pause(it.count()),
                 _ => REMEMBERED,
             };
             0 < it.tries || now < it.crashed_at.after(remembered)
@@ -232,12 +232,12 @@
     }
 
     /// Whether a request has enough crashes that no other request explains as well.
-    pub fn is_shut_out(&self, request: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&request) else {
             return false;
         };
         let count = suspect.count();
-        if count < SHUT_OUT_AT {
+        if count < QUARANTINE_CRASHES {
             return false;
         }
         let all = self.suspects.iter();
@@ -248,7 +248,7 @@
         let own = suspect
             .open()
             .filter(|it| !rivals.iter().any(|rival| rival.has(*it)));
-        SHUT_OUT_AT <= own.count()
+        QUARANTINE_CRASHES <= own.count()
     }
 
     /// Lets go of the request that matters least, if a further one needs the room.
@@ -266,6 +266,6 @@
 
 /// Time from the last of so many crashes until a request that is shut out is tried once more.
 fn pause(crashes: usize) -> Duration {
-    let doublings = crashes.saturating_sub(SHUT_OUT_AT).min(16) as u32;
+    let doublings = crashes.saturating_sub(QUARANTINE_CRASHES).min(16) as u32;
     (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE)
 }
--- a/crates/gradeloft_policy/src/request/answer.rs
+++ b/crates/gradeloft_policy/src/request/response.rs
@@ -11,7 +11,7 @@
 /// A frame of another attempt or version, out of order or repeated ends the answer: it becomes an
 /// error to its caller and never somebody else's text.
 #[derive(Clone, Debug)]
-pub struct Checker {
+pub struct ResponseChecker {
     request: RequestId,
     /// Version that the request is pinned to; empty for services.
     version: String,
@@ -21,10 +21,10 @@
     ended: bool,
 }
 
-impl Checker {
+impl ResponseChecker {
     /// A checker for an attempt pinned to a version.
-    pub fn new(request: RequestId, version: &str) -> Checker {
-        Checker {
+    pub fn new(request: RequestId, version: &str) -> ResponseChecker {
+        ResponseChecker {
             request,
             version: version.to_owned(),
             count: 0,
@@ -39,9 +39,9 @@
             return Err(Kind::Mismatch);
         }
         match reply {
-            Reply::Head { request, .. } => self.owns(*request),
+            Reply::Head { request, .. } => self.check_request(*request),
             Reply::Refused { request, kind } => {
-                self.owns(*request)?;
+                self.check_request(*request)?;
                 Err(*kind)
             }
             Reply::Piece {
@@ -50,8 +50,8 @@
                 seq,
                 data,
             } => {
-                self.owns(*request)?;
-                self.piece(version, *seq, data)
+                self.check_request(*request)?;
+                self.accept_piece(version, *seq, data)
             }
             Reply::End {
                 request,
@@ -59,15 +59,15 @@
                 count,
                 digest,
             } => {
-                self.owns(*request)?;
-                self.end(version, *count, *digest)
+                self.check_request(*request)?;
+                self.accept_end(version, *count, *digest)
             }
             _ => Err(Kind::Mismatch),
         }
     }
 
     /// Takes a piece that is known to belong to the attempt.
-    pub fn piece(&mut self, version: &str, seq: u64, data: &[u8]) -> Result<(), Kind> {
+    pub fn accept_piece(&mut self, version: &str, seq: u64, data: &[u8]) -> Result<(), Kind> {
         if version != self.version || seq != self.count {
             return Err(Kind::Mismatch);
         }
@@ -77,12 +77,12 @@
     }
 
     /// Whether any piece was accepted.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         0 < self.count
     }
 
     /// Whether the closing frame came and matched.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
@@ -91,7 +91,7 @@
         (self.count, Digest(self.hasher.finalize().into()))
     }
 
-    fn owns(&self, request: RequestId) -> Result<(), Kind> {
+    fn check_request(&self, request: RequestId) -> Result<(), Kind> {
         if request == self.request {
             Ok(())
         } else {
@@ -99,7 +99,7 @@
         }
     }
 
-    fn end(&mut self, version: &str, count: u64, digest: Digest) -> Result<(), Kind> {
+    fn accept_end(&mut self, version: &str, count: u64, digest: Digest) -> Result<(), Kind> {
         if version != self.version || (count, digest) != self.totals() {
             return Err(Kind::Mismatch);
         }
--- a/crates/gradeloft_policy/src/request/retry.rs
+++ b/crates/gradeloft_policy/src/request/retry.rs
@@ -61,12 +61,12 @@
     /// Whether the request may run more than once.
     pub repeat: Repeat,
     /// Whether the caller has been sent a part of the answer.
-    pub begun: bool,
+    pub response_started: bool,
 }
 
 /// Whether to try again; takes one retry out of the budget if so.
-pub fn again(failure: Failure, budget: &mut Budget, now: Time, deadline: Time) -> bool {
-    if failure.begun || MAX_ATTEMPTS <= failure.attempts || deadline <= now {
+pub fn should_retry(failure: Failure, budget: &mut Budget, now: Time, deadline: Time) -> bool {
+    if failure.response_started || MAX_ATTEMPTS <= failure.attempts || deadline <= now {
         return false;
     }
     let allowed = match failure.kind.row().retry {
--- a/crates/gradeloft_policy/src/request/route.rs
+++ b/crates/gradeloft_policy/src/request/route.rs
@@ -17,11 +17,11 @@
 
 /// How near a replica is.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Near {
+pub enum Locality {
     /// In the entry's availability zone.
     Zone,
     /// In another one.
-    Elsewhere,
+    OtherZone,
 }
 
 /// A replica that serves the pinned version, takes work and is not suspect.
@@ -32,7 +32,7 @@
     /// Hash of its instance's name.
     pub node: u64,
     /// Where it is.
-    pub near: Near,
+    pub locality: Locality,
     /// Requests of this entry that run there.
     pub own: u32,
     /// Requests of others that ran there when it last reported.
@@ -127,6 +127,6 @@
     let order = first
         .load(now)
         .total_cmp(&second.load(now))
-        .then(first.near.cmp(&second.near));
+        .then(first.locality.cmp(&second.locality));
     Some(if order.is_le() { first } else { second })
 }
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -34,13 +34,13 @@
 impl Shortage {
     /// Whether callers have been refused lately. A request waits in a moment's want of room only: in a lasting one it
     /// would take the place of one that came later and can still be in time.
-    pub fn lasts(self, now: Time) -> bool {
+    pub fn is_active(self, now: Time) -> bool {
         self.span
             .is_some_and(|(_, last)| now < last.after_ms(CALM_MS))
     }
 
     /// A caller that still has `left` is refused; gives when it is to come back.
-    pub fn refuse(&mut self, left: Duration, now: Time, rng: &mut impl Rng) -> Duration {
+    pub fn record_refusal(&mut self, left: Duration, now: Time, rng: &mut impl Rng) -> Duration {
         let since = match self.span {
             Some((since, last)) if now < last.after_ms(OVER_MS) => since,
             _ => now,
--- a/crates/gradeloft_policy/src/request/wait.rs
+++ b/crates/gradeloft_policy/src/request/wait.rs
@@ -7,12 +7,12 @@
 
 use std::time::Duration;
 
-use super::placement::{Census, Claim};
+use super::placement::{ExclusionCounts, Urgency};
 use crate::clock::Time;
 
 /// Pause after which a request that waits looks for room again without having been woken, in milliseconds: other
 /// entries' requests end without a word, and are told of each eighth of a second.
-pub const LOOK_MS: u64 = 40;
+pub const POLL_INTERVAL_MS: u64 = 40;
 /// Longest wait of a stream that is to go on, in milliseconds: its caller leaves after two seconds without an event, and
 /// a replica needs a third of one to read what it has so far.
 const BEGUN_MS: u64 = 1_200;
@@ -25,21 +25,21 @@
 /// first. Where no replica takes requests of its kind at all, which the `census` of them tells, a wait is in vain. While
 /// callers are `refused`, only streams wait: on days that are short from end to end the worst-served kind of request
 /// was worth 0.58 in place of 0.69, as the long prompts that need a quiet replica waited in vain behind short ones.
-pub fn until(
-    claim: Claim,
-    census: Census,
+pub fn wait_deadline(
+    claim: Urgency,
+    census: ExclusionCounts,
     received: Time,
     objective: Duration,
     deadline: Time,
     since: Time,
     refused: bool,
 ) -> Option<Time> {
-    if census.full == 0 || (refused && claim != Claim::Begun) {
+    if census.full == 0 || (refused && claim != Urgency::Resumed) {
         return None;
     }
     Some(match claim {
-        Claim::Begun => deadline.min(since.after_ms(BEGUN_MS)),
-        Claim::Late | Claim::Timely(_) => {
+        Urgency::Resumed => deadline.min(since.after_ms(BEGUN_MS)),
+        Urgency::Late | Urgency::OnTime(_) => {
             let most = deadline.since(received).mul_f64(PART);
             received.after(objective.min(most))
         }
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -12,9 +12,9 @@
         split,
     },
     request::{
-        age::Patience,
+        caller_age::TimeBudgets,
         forecast::{Queue, Slowness, first_token_ms},
-        placement::{self, Census, Claim, Doubt, Wish},
+        placement::{self, ExclusionCounts, Requirements, Uncertainty, Urgency},
         shortage::Shortage,
         wait,
     },
@@ -34,17 +34,17 @@
     usual_answer: 120.0,
 };
 
-const SURE: Doubt = Doubt {
+const SURE: Uncertainty = Uncertainty {
     chance: 1.0,
     unseen: 0.0,
 };
 
-const WISH: Wish<'static> = Wish {
+const WISH: Requirements<'static> = Requirements {
     zone: "z",
     oldest: None,
     same: None,
     tried: &[],
-    claim: Claim::Timely(400.0),
+    claim: Urgency::OnTime(400.0),
     prompt_tokens: 900.0,
     speed: Some(&SPEED),
     near: SURE,
@@ -55,7 +55,7 @@
     replicas.list(listing(id, Some(1)))
 }
 
-fn choose(replicas: &Replicas, wish: Wish<'_>) -> Option<ReplicaKey> {
+fn choose(replicas: &Replicas, wish: Requirements<'_>) -> Option<ReplicaKey> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     placement::choose(replicas.of("m"), wish, Time::ZERO, &mut rng)
 }
@@ -86,12 +86,12 @@
 #[test]
 fn answers_correct_the_forecast_within_bounds() {
     let mut slowness = Slowness::default();
-    (0..100).for_each(|_| slowness.learn(100.0, 250.0));
+    (0..100).for_each(|_| slowness.observe(100.0, 250.0));
     assert!((2.4..2.6).contains(&slowness.factor()));
-    (0..100).for_each(|_| slowness.learn(100.0, 60_000.0));
+    (0..100).for_each(|_| slowness.observe(100.0, 60_000.0));
     assert!(slowness.factor() <= 4.0);
     let before = slowness;
-    slowness.learn(0.0, 100.0);
+    slowness.observe(0.0, 100.0);
     assert_eq!(slowness, before);
 }
 
@@ -104,31 +104,31 @@
     assert_eq!(choose(&replicas, WISH), None, "behind 300 ms of prompts");
     replicas.get_mut(key).unwrap().own_waiting_tokens = 1_800.0;
     assert_eq!(choose(&replicas, WISH), Some(key));
-    replicas.get_mut(key).unwrap().slowness.learn(1.0, 100.0);
+    replicas.get_mut(key).unwrap().slowness.observe(1.0, 100.0);
     (0..30).for_each(|_| {
         let slow = &mut replicas.get_mut(key).unwrap().slowness;
-        slow.learn(100.0, 300.0);
+        slow.observe(100.0, 300.0);
     });
     assert_eq!(choose(&replicas, WISH), None, "a slow replica");
 }
 
 #[rstest]
 // An eighth of the slots stays free for those that can be in time.
-#[case(13, Claim::Late, true)]
-#[case(14, Claim::Late, false)]
-#[case(14, Claim::Timely(400.0), true)]
+#[case(13, Urgency::Late, true)]
+#[case(14, Urgency::Late, false)]
+#[case(14, Urgency::OnTime(400.0), true)]
 // A stream that goes on is not held up by a full replica's slots.
-#[case(17, Claim::Timely(400.0), false)]
-#[case(17, Claim::Begun, true)]
+#[case(17, Urgency::OnTime(400.0), false)]
+#[case(17, Urgency::Resumed, true)]
 fn late_requests_fill_what_is_left_free(
     #[case] load: u32,
-    #[case] claim: Claim,
+    #[case] claim: Urgency,
     #[case] sent: bool,
 ) {
     let mut replicas = Replicas::default();
     let key = listed(&mut replicas, "a");
     replicas.get_mut(key).unwrap().own = load;
-    let wish = Wish { claim, ..WISH };
+    let wish = Requirements { claim, ..WISH };
     assert_eq!(choose(&replicas, wish), sent.then_some(key));
 }
 
@@ -139,8 +139,8 @@
     let other = listed(&mut replicas, "bb");
     let replica = replicas.get_mut(own).unwrap();
     (replica.part, replica.own, replica.others) = (4, 3, 16);
-    let never = Wish {
-        near: Doubt {
+    let never = Requirements {
+        near: Uncertainty {
             chance: 0.0,
             ..SURE
         },
@@ -150,8 +150,8 @@
     replicas.get_mut(own).unwrap().own = 4;
     assert_eq!(choose(&replicas, never), None);
     assert_eq!(choose(&replicas, WISH), Some(other));
-    let stale = Wish {
-        near: Doubt {
+    let stale = Requirements {
+        near: Uncertainty {
             unseen: 16.0,
             ..SURE
         },
@@ -163,11 +163,11 @@
 #[test]
 fn ranks_put_streams_first_and_late_requests_last() {
     let ranks = [
-        Claim::Begun.rank(9),
-        Claim::Timely(1.0).rank(0),
-        Claim::Timely(1.0).rank(9),
-        Claim::Late.rank(0),
-        Claim::Late.rank(9),
+        Urgency::Resumed.rank(9),
+        Urgency::OnTime(1.0).rank(0),
+        Urgency::OnTime(1.0).rank(9),
+        Urgency::Late.rank(0),
+        Urgency::Late.rank(9),
     ];
     assert_eq!(ranks, [0, 1, 4, 5, 9]);
 }
@@ -175,7 +175,7 @@
 #[test]
 fn a_caller_that_comes_back_is_as_old_as_the_time_that_it_lacks() {
     let route: Rc<str> = "r".into();
-    let mut patience = Patience::default();
+    let mut patience = TimeBudgets::default();
     let mut age = |left_ms, now_ms| {
         let left = Duration::from_millis(left_ms);
         let age = patience.age(&route, left, Time::ZERO.after_ms(now_ms));
@@ -193,7 +193,7 @@
 #[test]
 fn first_tries_of_callers_that_differ_in_patience_are_fresh() {
     let route: Rc<str> = "r".into();
-    let mut patience = Patience::default();
+    let mut patience = TimeBudgets::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut late, mut missed) = (0, 0);
     for number in 0..400_u64 {
@@ -214,7 +214,7 @@
 #[test]
 fn in_a_long_shortage_callers_that_are_alike_are_as_old_as_the_time_that_they_lack() {
     let route: Rc<str> = "r".into();
-    let mut patience = Patience::default();
+    let mut patience = TimeBudgets::default();
     for number in 0..400_u64 {
         let waited = if number % 2 == 1 {
             1_000 + number * 2
@@ -230,7 +230,7 @@
 #[test]
 fn what_callers_of_a_route_that_is_gone_told_is_forgotten() {
     let route: Rc<str> = "r".into();
-    let mut patience = Patience::default();
+    let mut patience = TimeBudgets::default();
     patience.age(&route, Duration::from_millis(6_000), Time::ZERO);
     patience.retain(|it| it != "r");
     let left = Duration::from_millis(1_000);
@@ -243,7 +243,7 @@
     let mut shortage = Shortage::default();
     let left = Duration::from_millis(6_000);
     let mut back_ms = |at_ms| {
-        let back = shortage.refuse(left, Time::ZERO.after_ms(at_ms), &mut rng);
+        let back = shortage.record_refusal(left, Time::ZERO.after_ms(at_ms), &mut rng);
         back.as_millis()
     };
     assert!((45..=60).contains(&back_ms(1_000)));
@@ -281,30 +281,30 @@
 
 #[rstest]
 // For as long as it can be in time.
-#[case(Claim::Timely(500.0), 5, 500, 6_000, Some(1_500))]
-#[case(Claim::Late, 5, 500, 6_000, Some(1_500))]
+#[case(Urgency::OnTime(500.0), 5, 500, 6_000, Some(1_500))]
+#[case(Urgency::Late, 5, 500, 6_000, Some(1_500))]
 // A quarter of the caller's time at most.
-#[case(Claim::Timely(500.0), 5, 500, 1_000, Some(1_250))]
+#[case(Urgency::OnTime(500.0), 5, 500, 1_000, Some(1_250))]
 // A stream that goes on, from when it broke.
-#[case(Claim::Begun, 5, 500, 6_000, Some(3_200))]
-#[case(Claim::Begun, 5, 500, 1_500, Some(2_500))]
+#[case(Urgency::Resumed, 5, 500, 6_000, Some(3_200))]
+#[case(Urgency::Resumed, 5, 500, 1_500, Some(2_500))]
 // No replica takes requests at all: the caller is told at once.
-#[case(Claim::Timely(500.0), 0, 500, 6_000, None)]
-#[case(Claim::Begun, 0, 500, 6_000, None)]
+#[case(Urgency::OnTime(500.0), 0, 500, 6_000, None)]
+#[case(Urgency::Resumed, 0, 500, 6_000, None)]
 fn a_request_waits_for_room_while_that_is_of_use(
-    #[case] claim: Claim,
+    #[case] claim: Urgency,
     #[case] full: u32,
     #[case] objective_ms: u64,
     #[case] time_ms: u64,
     #[case] until_ms: Option<u64>,
 ) {
-    let census = Census {
+    let census = ExclusionCounts {
         full,
-        ..Census::default()
+        ..ExclusionCounts::default()
     };
     let received = Time::ZERO.after_ms(1_000);
     let until = |refused| {
-        let until = wait::until(
+        let until = wait::wait_deadline(
             claim,
             census,
             received,
@@ -317,7 +317,7 @@
     };
     assert_eq!(until(false), until_ms);
     // While others are refused, only streams that go on wait.
-    let waits = claim == Claim::Begun;
+    let waits = claim == Urgency::Resumed;
     assert_eq!(until(true), until_ms.filter(|_| waits));
 }
 
@@ -325,8 +325,8 @@
 fn want_of_room_is_a_moments_again_after_two_seconds_without_a_refusal() {
     let mut shortage = Shortage::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    assert!(!shortage.lasts(Time::ZERO));
-    shortage.refuse(Duration::from_secs(6), Time::ZERO, &mut rng);
-    assert!(shortage.lasts(Time::ZERO.after_ms(1_999)));
-    assert!(!shortage.lasts(Time::ZERO.after_ms(2_000)));
+    assert!(!shortage.is_active(Time::ZERO));
+    shortage.record_refusal(Duration::from_secs(6), Time::ZERO, &mut rng);
+    assert!(shortage.is_active(Time::ZERO.after_ms(1_999)));
+    assert!(!shortage.is_active(Time::ZERO.after_ms(2_000)));
 }
--- a/crates/gradeloft_policy/tests/once.rs
+++ b/crates/gradeloft_policy/tests/at_most_once.rs
@@ -2,7 +2,7 @@
 
 use gradeloft_policy::{
     clock::Time,
-    request::once::{self, Step, Table},
+    request::at_most_once::{self, ClaimTable, Step},
 };
 use gradeloft_wire::{error::Kind, id::Digest, record::Claim};
 use proptest::prelude::*;
@@ -10,11 +10,11 @@
 const EXPIRY_MS: u64 = 1_000;
 
 fn key() -> Digest {
-    once::key("booking", "duty", "k1")
+    at_most_once::key("booking", "duty", "k1")
 }
 
-fn table() -> Table<&'static str> {
-    Table::new(EXPIRY_MS)
+fn table() -> ClaimTable<&'static str> {
+    ClaimTable::new(EXPIRY_MS)
 }
 
 fn claimed(step: Step<&'static str>) -> Claim {
@@ -42,7 +42,7 @@
         table.arrive(key(), 3, Time::ZERO),
         Step::Refuse(Kind::Duplicate)
     );
-    table.done(key(), "booked");
+    table.complete(key(), "booked");
     assert_eq!(table.arrive(key(), 4, Time::ZERO), Step::Replay("booked"));
 }
 
@@ -127,10 +127,10 @@
 #[test]
 fn keys_of_other_teams_and_services_are_other_keys() {
     let keys = [
-        once::key("booking", "duty", "k1"),
-        once::key("booking", "guides", "k1"),
-        once::key("portal", "duty", "k1"),
-        once::key("bookingd", "uty", "k1"),
+        at_most_once::key("booking", "duty", "k1"),
+        at_most_once::key("booking", "guides", "k1"),
+        at_most_once::key("portal", "duty", "k1"),
+        at_most_once::key("bookingd", "uty", "k1"),
     ];
     for (idx, key) in keys.iter().enumerate() {
         assert!(keys[idx + 1..].iter().all(|it| it != key));
@@ -160,7 +160,7 @@
 
 /// An agent in the property test: its table, its claim not yet appended, and its running call.
 struct Agent {
-    table: Table<&'static str>,
+    table: ClaimTable<&'static str>,
     claim: Option<Claim>,
     started: bool,
 }
@@ -206,7 +206,7 @@
                 }
                 Event::Done => {
                     if agent.started {
-                        agent.table.done(key(), "booked");
+                        agent.table.complete(key(), "booked");
                         agent.started = false;
                     }
                 }
@@ -225,7 +225,7 @@
                 Event::Unrun => {
                     // The endpoint could not be reached: that run did not take place.
                     if agent.started {
-                        agent.table.unrun(key());
+                        agent.table.mark_not_run(key());
                         agent.started = false;
                         runs -= 1;
                     }
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -13,7 +13,7 @@
         repeats::{Bounds, Budget},
         roster::{Acquaintance, Roster, State, Status},
     },
-    request::attempt::{Failure, Progress, Ran},
+    request::attempt::{Attempts, Failure, Ran},
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -262,20 +262,20 @@
         ]), 0..12),
         max_attempts in 0..5u32,
     ) {
-        let mut progress = Progress::new(kind, max_attempts);
+        let mut progress = Attempts::new(kind, max_attempts);
         let mut arrivals = 0;
         let mut may_have_run = false;
         for failure in failures {
-            if !progress.may_repeat() {
+            if !progress.may_retry() {
                 break;
             }
-            progress.ended(failure);
+            progress.record_failure(failure);
             arrivals += u32::from(failure != Failure::Unsent);
             may_have_run |= !matches!(failure, Failure::Misdirected | Failure::Refused | Failure::Unsent);
             let repeatable = matches!(kind, Kind::Idempotent | Kind::ResumableStream);
             prop_assert!(arrivals <= max_attempts.max(1));
             prop_assert_eq!(progress.ran == Ran::Unknown, may_have_run);
-            prop_assert!(!progress.may_repeat() || !may_have_run || repeatable);
+            prop_assert!(!progress.may_retry() || !may_have_run || repeatable);
         }
     }
 
@@ -413,11 +413,11 @@
     #[case] repeat: bool,
     #[case] ran: Ran,
 ) {
-    let mut progress = Progress::new(kind, 2);
-    progress.ended(failure);
-    assert_eq!((progress.may_repeat(), progress.ran), (repeat, ran));
-    progress.ended(failure);
-    assert!(failure == Failure::Unsent || !progress.may_repeat());
+    let mut progress = Attempts::new(kind, 2);
+    progress.record_failure(failure);
+    assert_eq!((progress.may_retry(), progress.ran), (repeat, ran));
+    progress.record_failure(failure);
+    assert!(failure == Failure::Unsent || !progress.may_retry());
 }
 
 fn word(incarnation: u64, zone: &str, state: State) -> Status<'_> {
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -5,30 +5,30 @@
 use gradeloft_policy::{
     clock::Time,
     process::replicas::{Listing, ReplicaKey, Replicas, Report, Trust},
-    request::placement::{self, Claim, Doubt, Wish},
+    request::placement::{self, Requirements, Uncertainty, Urgency},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use support::listing;
 
-const SURE: Doubt = Doubt {
+const SURE: Uncertainty = Uncertainty {
     chance: 1.0,
     unseen: 0.0,
 };
 
-const WISH: Wish<'static> = Wish {
+const WISH: Requirements<'static> = Requirements {
     zone: "z",
     oldest: None,
     same: None,
     tried: &[],
-    claim: Claim::Timely(400.0),
+    claim: Urgency::OnTime(400.0),
     prompt_tokens: 0.0,
     speed: None,
     near: SURE,
     far: SURE,
 };
 
-fn choose(replicas: &Replicas, wish: Wish<'_>, now: Time) -> Option<ReplicaKey> {
+fn choose(replicas: &Replicas, wish: Requirements<'_>, now: Time) -> Option<ReplicaKey> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     placement::choose(replicas.of("m"), wish, now, &mut rng)
 }
@@ -43,7 +43,7 @@
     replicas.list(leaving);
     let now = Time::ZERO;
     assert_eq!(choose(&replicas, WISH, now), Some(old));
-    let strict = Wish {
+    let strict = Requirements {
         oldest: Some(2),
         ..WISH
     };
@@ -109,7 +109,7 @@
     let same = replicas.list(listing("a", Some(1)));
     replicas.list(listing("bb", Some(2)));
     replicas.get_mut(same).unwrap().own = 12;
-    let wish = Wish {
+    let wish = Requirements {
         same: Some(1),
         ..WISH
     };
@@ -134,13 +134,13 @@
     replicas.list(listing("ccc", Some(1)));
     replicas.list(listing("dddd", None));
     let tried = replicas.list(listing("eeeee", Some(2)));
-    let wish = Wish {
+    let wish = Requirements {
         oldest: Some(2),
         tried: &[tried],
         ..WISH
     };
     assert_eq!(choose(&replicas, wish, Time::ZERO), None);
-    let census = placement::census(replicas.of("m"), |_| true, wish, Time::ZERO);
+    let census = placement::count_exclusions(replicas.of("m"), |_| true, wish, Time::ZERO);
     assert_eq!(census.to_string(), "closed:1,full:2,old:1,tried:1,away:0");
 }
 
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -117,16 +117,16 @@
 #[test]
 fn suspicion_grows_with_failures_and_ends_by_itself() {
     let mut health = Health::default();
-    health.failed(Time::ZERO);
-    assert!(health.suspect(Time::ZERO.after_ms(249)));
-    assert!(!health.suspect(Time::ZERO.after_ms(250)));
+    health.record_failure(Time::ZERO);
+    assert!(health.is_suspect(Time::ZERO.after_ms(249)));
+    assert!(!health.is_suspect(Time::ZERO.after_ms(250)));
     for _ in 0..20 {
-        health.failed(Time::ZERO);
+        health.record_failure(Time::ZERO);
     }
-    assert!(health.suspect(Time::ZERO.after_ms(7_999)));
-    assert!(!health.suspect(Time::ZERO.after_ms(8_000)));
-    health.succeeded();
-    assert!(!health.suspect(Time::ZERO));
+    assert!(health.is_suspect(Time::ZERO.after_ms(7_999)));
+    assert!(!health.is_suspect(Time::ZERO.after_ms(8_000)));
+    health.record_success();
+    assert!(!health.is_suspect(Time::ZERO));
 }
 
 fn serving(version: &str, replicas: u32) -> Serving {
@@ -228,7 +228,7 @@
     let mut pacer = Pacer::new(1_000_000);
     assert_eq!(pacer.rate(Time::ZERO), 1_000_000.0);
     for step in 0..50 {
-        pacer.live(8_000, Time::ZERO.after_ms(step * 10));
+        pacer.record_live(8_000, Time::ZERO.after_ms(step * 10));
     }
     let busy = Time::ZERO.after_ms(500);
     let rate = pacer.rate(busy);
@@ -237,13 +237,16 @@
         "{rate} beside 800,000 live"
     );
     let quiet = busy.after_ms(5_000);
-    assert_eq!((pacer.rate(quiet), pacer.slots(8, quiet)), (1_000_000.0, 8));
+    assert_eq!(
+        (pacer.rate(quiet), pacer.max_concurrent(8, quiet)),
+        (1_000_000.0, 8)
+    );
 }
 
 #[test]
 fn weights_keep_a_small_share_under_any_live_load() {
     let mut pacer = Pacer::new(1_000_000);
-    pacer.live(10_000_000, Time::ZERO);
+    pacer.record_live(10_000_000, Time::ZERO);
     assert_eq!(pacer.rate(Time::ZERO), 50_000.0);
 }
 
--- a/crates/gradeloft_policy/tests/quarantine.rs
+++ b/crates/gradeloft_policy/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use gradeloft_policy::{
     clock::Time,
-    request::quarantine::{Quarantine, SHUT_OUT_AT, Verdict},
+    request::quarantine::{QUARANTINE_CRASHES, Quarantine, Verdict},
 };
 use gradeloft_wire::{
     id::Fingerprint,
@@ -46,20 +46,20 @@
 #[rstest]
 #[case::nothing_known(&[], Verdict::Admitted)]
 #[case::one_crash_is_bad_luck(&[(1, vec![10])], Verdict::Admitted)]
-#[case::after_two_it_goes_alone(&[(1, vec![10, 11])], Verdict::Alone)]
-#[case::the_same_crash_counts_once(&[(1, vec![10, 11]), (1, vec![10, 11])], Verdict::Alone)]
+#[case::after_two_it_goes_alone(&[(1, vec![10, 11])], Verdict::Exclusive)]
+#[case::the_same_crash_counts_once(&[(1, vec![10, 11]), (1, vec![10, 11])], Verdict::Exclusive)]
 #[case::after_three_it_goes_nowhere(
     &[(1, vec![10, 11, 12])],
-    Verdict::ShutOut(Duration::from_secs(600))
+    Verdict::Quarantined(Duration::from_secs(600))
 )]
 #[case::others_with_fewer_crashes_explain_less(
     &[(1, vec![10, 11, 12]), (2, vec![10, 11]), (3, vec![12])],
-    Verdict::ShutOut(Duration::from_secs(600))
+    Verdict::Quarantined(Duration::from_secs(600))
 )]
-#[case::another_explains_one_of_them_as_well(&[(1, vec![10, 11, 12]), (2, vec![12, 13, 14])], Verdict::Alone)]
+#[case::another_explains_one_of_them_as_well(&[(1, vec![10, 11, 12]), (2, vec![12, 13, 14])], Verdict::Exclusive)]
 #[case::a_further_crash_tells_them_apart(
     &[(1, vec![10, 11, 12, 15]), (2, vec![12, 13, 14])],
-    Verdict::ShutOut(Duration::from_secs(1_200))
+    Verdict::Quarantined(Duration::from_secs(1_200))
 )]
 fn what_speaks_against_a_request(#[case] words: &[(u64, Vec<u32>)], #[case] verdict: Verdict) {
     let known = known(words);
@@ -73,73 +73,85 @@
     let mut known = known(&[(1, vec![10, 11, 12])]);
     assert!(known.clear(request(1)));
     assert_eq!(known.verdict(request(1), false, at(100)), Verdict::Admitted);
-    assert!(!known.merge(&word(1, &[10, 11, 12]), at(101)).news);
+    assert!(!known.merge(&word(1, &[10, 11, 12]), at(101)).changed);
     assert_eq!(known.verdict(request(1), false, at(101)), Verdict::Admitted);
     // It is not above suspicion by that.
     known.merge(&word(1, &[13, 14, 15]), at(102));
     let verdict = known.verdict(request(1), false, at(102));
-    assert!(matches!(verdict, Verdict::ShutOut(_)), "{verdict:?}");
+    assert!(matches!(verdict, Verdict::Quarantined(_)), "{verdict:?}");
     assert!(!known.clear(request(2)), "nothing was known of it");
 }
 
 #[test]
 fn a_suspect_is_tried_once_at_a_time() {
     let mut known = known(&[(1, vec![10, 11])]);
-    known.begin_try(request(1));
+    known.begin_attempt(request(1));
     let busy = known.verdict(request(1), true, at(100));
     assert!(matches!(busy, Verdict::Busy(_)), "{busy:?}");
-    known.end_try(request(1));
-    assert_eq!(known.verdict(request(1), true, at(100)), Verdict::Alone);
+    known.end_attempt(request(1));
+    assert_eq!(known.verdict(request(1), true, at(100)), Verdict::Exclusive);
 }
 
 #[test]
 fn one_entry_tries_a_request_again_after_pauses_that_grow() {
     let mut known = known(&[(1, vec![10, 11, 12])]);
     let verdict = |known: &Quarantine, home, s| known.verdict(request(1), home, at(s));
-    assert!(matches!(verdict(&known, true, 699), Verdict::ShutOut(_)));
-    assert_eq!(verdict(&known, true, 700), Verdict::Alone);
-    assert!(matches!(verdict(&known, false, 700), Verdict::ShutOut(_)));
-    known.blame(request(1), 13, at(700));
-    assert!(matches!(verdict(&known, true, 1_899), Verdict::ShutOut(_)));
-    assert_eq!(verdict(&known, true, 1_900), Verdict::Alone);
+    assert!(matches!(
+        verdict(&known, true, 699),
+        Verdict::Quarantined(_)
+    ));
+    assert_eq!(verdict(&known, true, 700), Verdict::Exclusive);
+    assert!(matches!(
+        verdict(&known, false, 700),
+        Verdict::Quarantined(_)
+    ));
+    known.record_crash(request(1), 13, at(700));
+    assert!(matches!(
+        verdict(&known, true, 1_899),
+        Verdict::Quarantined(_)
+    ));
+    assert_eq!(verdict(&known, true, 1_900), Verdict::Exclusive);
     for start in 14..40 {
-        known.blame(request(1), start, at(2_000));
+        known.record_crash(request(1), start, at(2_000));
     }
     let day = 24 * 3_600;
-    assert!(matches!(verdict(&known, true, day), Verdict::ShutOut(_)));
-    assert_eq!(verdict(&known, true, 2_000 + day), Verdict::Alone);
+    assert!(matches!(
+        verdict(&known, true, day),
+        Verdict::Quarantined(_)
+    ));
+    assert_eq!(verdict(&known, true, 2_000 + day), Verdict::Exclusive);
 }
 
 #[test]
 fn what_is_old_is_forgotten_and_what_is_shut_out_last() {
     let mut known = known(&[(1, vec![10, 11, 12]), (2, vec![10])]);
     known.expire(at(1_050));
-    assert!(known.knows(request(1)) && !known.knows(request(2)));
+    assert!(known.contains(request(1)) && !known.contains(request(2)));
     known.expire(at(1_301));
-    assert!(!known.knows(request(1)));
+    assert!(!known.contains(request(1)));
 }
 
 #[test]
 fn thousands_of_suspects_push_none_out_that_is_shut_out() {
     let mut known = known(&[(1, vec![10, 11, 12])]);
     for number in 2..5_000 {
-        known.blame(request(number), number as u32, at(101));
+        known.record_crash(request(number), number as u32, at(101));
     }
-    assert!(known.is_shut_out(request(1)));
+    assert!(known.is_quarantined(request(1)));
     assert!(known.fingerprints().count() <= 1_024);
-    assert!(known.knows(request(4_999)), "the newest is there");
+    assert!(known.contains(request(4_999)), "the newest is there");
 }
 
 #[test]
 fn a_word_that_lacks_something_is_told_so() {
     let mut known = known(&[(1, vec![10, 11])]);
-    assert!(known.merge(&word(1, &[10]), at(100)).lacking);
+    assert!(known.merge(&word(1, &[10]), at(100)).incomplete);
     let same = known.merge(&word(1, &[10, 11]), at(100));
-    assert!(!same.lacking && !same.news);
+    assert!(!same.incomplete && !same.changed);
     let more = known.merge(&word(1, &[10, 11, 12]), at(100));
-    assert!(more.news && !more.lacking);
+    assert!(more.changed && !more.incomplete);
     known.clear(request(1));
-    assert!(known.merge(&word(1, &[10, 11, 12]), at(100)).lacking);
+    assert!(known.merge(&word(1, &[10, 11, 12]), at(100)).incomplete);
 }
 
 proptest! {
@@ -166,15 +178,15 @@
         }
         // One exchange both ways, as entries answer words that lack something.
         for number in 0..4 {
-            if let Some(word) = one.word(request(number), at(1)) {
+            if let Some(word) = one.snapshot(request(number), at(1)) {
                 other.merge(&word, at(1));
             }
-            if let Some(word) = other.word(request(number), at(1)) {
+            if let Some(word) = other.snapshot(request(number), at(1)) {
                 one.merge(&word, at(1));
             }
             prop_assert_eq!(
-                one.word(request(number), at(1)),
-                other.word(request(number), at(1))
+                one.snapshot(request(number), at(1)),
+                other.snapshot(request(number), at(1))
             );
         }
     }
@@ -210,12 +222,12 @@
     fn end(&mut self, with: &[u64], others: &[u64]) {
         let start = self.fresh() as u32;
         for number in with.iter().chain(others) {
-            self.known.blame(request(*number), start, at(1));
+            self.known.record_crash(request(*number), start, at(1));
         }
     }
 
     fn shut_out(&self, numbers: impl IntoIterator<Item = u64>) -> usize {
-        let shut_out = |it: &u64| self.known.is_shut_out(request(*it));
+        let shut_out = |it: &u64| self.known.is_quarantined(request(*it));
         numbers.into_iter().filter(shut_out).count()
     }
 }
@@ -234,7 +246,7 @@
         let mut crashes = 0;
         while fleet.shut_out([1]) == 0 {
             crashes += 1;
-            assert!(crashes <= 2 * SHUT_OUT_AT, "seed {seed}");
+            assert!(crashes <= 2 * QUARANTINE_CRASHES, "seed {seed}");
             // Each of those that returned is at the replica that ends next by chance.
             let chance = 1.0 / fleet.replicas as f64;
             let mut beside: Vec<u64> = Vec::new();
@@ -253,12 +265,12 @@
             returning = beside;
         }
         most = most.max(crashes);
-        late += usize::from(SHUT_OUT_AT < crashes);
+        late += usize::from(QUARANTINE_CRASHES < crashes);
         innocent_total += innocents.len();
         wrongly += fleet.shut_out(innocents);
     }
     assert_eq!(wrongly, 0, "of {innocent_total}");
-    assert!(most <= SHUT_OUT_AT + 2, "{most}");
+    assert!(most <= QUARANTINE_CRASHES + 2, "{most}");
     assert!(late <= 200 / 8, "{late}");
 }
 
--- a/crates/gradeloft_policy/tests/request.rs
+++ b/crates/gradeloft_policy/tests/request.rs
@@ -3,10 +3,10 @@
 use gradeloft_policy::{
     clock::Time,
     request::{
-        admission::{Ledger, Rate, sheds},
-        answer::Checker,
+        admission::{Rate, TeamLimiter, should_shed},
+        response::ResponseChecker,
         retry::{self, Budget, Failure, Repeat},
-        route::{self, Candidate, Near},
+        route::{self, Candidate, Locality},
     },
 };
 use gradeloft_wire::{
@@ -42,11 +42,11 @@
 
 #[test]
 fn a_whole_answer_passes() {
-    let mut checker = Checker::new(REQUEST, "v1");
+    let mut checker = ResponseChecker::new(REQUEST, "v1");
     assert_eq!(checker.accept(&piece(7, "v1", 0, "a")), Ok(()));
     assert_eq!(checker.accept(&piece(7, "v1", 1, "b")), Ok(()));
     assert_eq!(checker.accept(&end("v1", 2, "ab")), Ok(()));
-    assert!(checker.whole());
+    assert!(checker.is_complete());
 }
 
 #[rstest]
@@ -59,15 +59,15 @@
 #[case::end_of_another_version(end("v2", 1, "a"))]
 #[case::no_answer_at_all(Reply::Have(Vec::new()))]
 fn a_frame_that_does_not_belong_ends_the_answer(#[case] frame: Reply) {
-    let mut checker = Checker::new(REQUEST, "v1");
+    let mut checker = ResponseChecker::new(REQUEST, "v1");
     checker.accept(&piece(7, "v1", 0, "a")).unwrap();
     assert_eq!(checker.accept(&frame), Err(Kind::Mismatch));
-    assert!(!checker.whole());
+    assert!(!checker.is_complete());
 }
 
 #[test]
 fn a_frame_after_the_end_is_refused() {
-    let mut checker = Checker::new(REQUEST, "v1");
+    let mut checker = ResponseChecker::new(REQUEST, "v1");
     checker.accept(&end("v1", 0, "")).unwrap();
     assert_eq!(
         checker.accept(&piece(7, "v1", 0, "late")),
@@ -80,7 +80,7 @@
         kind,
         attempts: 1,
         repeat,
-        begun: false,
+        response_started: false,
     }
 }
 
@@ -90,7 +90,7 @@
         let tried = |repeat| {
             let mut budget = Budget::new(10);
             let deadline = Time::ZERO.after_ms(1);
-            retry::again(failure(kind, repeat), &mut budget, Time::ZERO, deadline)
+            retry::should_retry(failure(kind, repeat), &mut budget, Time::ZERO, deadline)
         };
         let row = kind.row();
         assert_eq!(
@@ -113,13 +113,13 @@
 fn nothing_is_retried_after_a_part_was_sent_the_deadline_or_the_last_attempt() {
     let again = |failure: Failure, now: Time| {
         let mut budget = Budget::new(10);
-        retry::again(failure, &mut budget, now, Time::ZERO.after_ms(10))
+        retry::should_retry(failure, &mut budget, now, Time::ZERO.after_ms(10))
     };
     let fresh = failure(Kind::Busy, Repeat::Allowed);
     assert!(again(fresh, Time::ZERO));
     assert!(!again(
         Failure {
-            begun: true,
+            response_started: true,
             ..fresh
         },
         Time::ZERO
@@ -142,7 +142,12 @@
     for _ in 0..1_000 {
         budget.earn();
         let failed = failure(Kind::Unreachable, Repeat::Allowed);
-        retries += u32::from(retry::again(failed, &mut budget, Time::ZERO, deadline));
+        retries += u32::from(retry::should_retry(
+            failed,
+            &mut budget,
+            Time::ZERO,
+            deadline,
+        ));
     }
     assert!((100..=110).contains(&retries), "{retries}");
 }
@@ -152,8 +157,8 @@
     tokens: 100.0,
 };
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger() -> TeamLimiter {
+    let mut ledger = TeamLimiter::default();
     ledger.set_rate("loud", RATE, Time::ZERO);
     ledger.set_rate("quiet", RATE, Time::ZERO);
     ledger
@@ -211,15 +216,15 @@
 #[case(1, 9, true)]
 #[case(2, 8, true)]
 fn the_lowest_class_is_shed_first(#[case] class: u8, #[case] running: u32, #[case] shed: bool) {
-    assert_eq!(sheds(class, running, 10), shed);
+    assert_eq!(should_shed(class, running, 10), shed);
 }
 
-fn candidate(key: u32, own: u32, others: u32, near: Near) -> Candidate<u32> {
+fn candidate(key: u32, own: u32, others: u32, locality: Locality) -> Candidate<u32> {
     let reported = Time::ZERO;
     Candidate {
         key,
         node: u64::from(key),
-        near,
+        locality,
         own,
         others,
         reported,
@@ -230,7 +235,9 @@
 #[test]
 fn a_prefix_keeps_its_replica_until_that_is_much_busier_than_the_rest() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let idle: Vec<_> = (0..8).map(|it| candidate(it, 0, 0, Near::Zone)).collect();
+    let idle: Vec<_> = (0..8)
+        .map(|it| candidate(it, 0, 0, Locality::Zone))
+        .collect();
     let home = route::choose(&idle, Some(42), Time::ZERO, &mut rng).unwrap();
     for _ in 0..20 {
         assert_eq!(
@@ -255,7 +262,7 @@
 
 #[test]
 fn an_old_report_counts_less_than_a_fresh_one() {
-    let told = candidate(0, 1, 8, Near::Zone);
+    let told = candidate(0, 1, 8, Locality::Zone);
     assert!(0.85 < told.load(Time::ZERO));
     assert!(told.load(Time::ZERO.after_ms(5_000)) < 0.11);
 }
@@ -263,8 +270,8 @@
 #[test]
 fn the_nearer_of_two_equals_is_chosen() {
     let pair = [
-        candidate(0, 1, 0, Near::Elsewhere),
-        candidate(1, 1, 0, Near::Zone),
+        candidate(0, 1, 0, Locality::OtherZone),
+        candidate(1, 1, 0, Locality::Zone),
     ];
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let chosen = (0..400).filter_map(|_| route::choose(&pair, None, Time::ZERO, &mut rng));
--- a/crates/gradeloft_policy/tests/restarts.rs
+++ b/crates/gradeloft_policy/tests/restarts.rs
@@ -37,7 +37,7 @@
     replicas.failed(before, NOW);
     let known = replicas.get_mut(before).unwrap();
     (known.own, known.own_waiting, known.others, known.part) = (5, 2, 7, 4);
-    known.slowness.learn(100.0, 400.0);
+    known.slowness.observe(100.0, 400.0);
     let hash = known.hash();
     let after = replicas.list(started(2, None));
     assert_ne!(before, after);
--- a/crates/gradeloft_policy/tests/versions.rs
+++ b/crates/gradeloft_policy/tests/versions.rs
@@ -206,11 +206,11 @@
 fn slow_pieces_narrow_the_window_and_quick_ones_widen_it() {
     let mut window = Window::new(Duration::from_millis(40));
     for _ in 0..20 {
-        window.arrived(Duration::from_millis(50));
+        window.record_arrival(Duration::from_millis(50));
     }
     assert_eq!(window.size(), 6);
     for _ in 0..5 {
-        window.arrived(Duration::from_millis(900));
+        window.record_arrival(Duration::from_millis(900));
     }
     assert_eq!(window.size(), 1);
 }
