--- a/crates/gradeloft_gateway/src/entry/running.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -33,7 +33,7 @@
     }
 
     /// The start of a replica that `ended` names is over: what was under way there gets no answer any more.
-    pub(super) fn restarted(&self, ended: ReplicaKey) {
+    pub(super) fn replica_restarted(&self, ended: ReplicaKey) {
         let token = self.starts.borrow_mut().remove(&ended);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
@@ -87,6 +87,6 @@
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
             replica.own -= 1;
         }
-        self.entry.room.notify_waiters();
+        self.entry.room_freed.notify_waiters();
     }
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -1,40 +1,40 @@
 //! The process that callers talk to.
 //!
-//! - [`answer`]: answers that an entry gives by itself.
+//! - [`abort`]: reasons why a request ends without a complete response.
 //! - [`attempt`]: one request sent to one replica.
-//! - [`choice`]: which replica gets a request, and how it waits where none has room.
-//! - `course`: an attempt, and another beside it while its replica is silent.
-//! - [`ending`]: what ended a request that got no whole answer.
+//! - [`connection`]: connections of callers.
 //! - [`forward`]: one request, from its route to its end.
-//! - [`front`]: connections of callers.
 //! - [`gossip`]: datagrams that it sends, and how often.
-//! - [`learn`]: what an entry learns from the platform's tables.
+//! - `hedge`: an attempt, and a second one beside it while its replica is silent.
+//! - [`in_flight`]: requests in flight at replicas.
 //! - [`lookup`]: addresses, readiness, metrics.
-//! - [`quarantine`]: requests under which replicas ended.
+//! - [`maintenance`]: what it works out anew several times a second.
+//! - [`quarantine`]: quarantine of requests that crash replicas.
 //! - [`receive`]: datagrams that it receives.
-//! - [`register`]: how it makes itself known to later ones.
-//! - [`relay`]: a replica's answer on its way to the caller.
-//! - [`running`]: requests that run at replicas.
-//! - [`upkeep`]: what it works out anew several times a second.
-//! - [`view`]: what it knows of other entries' requests, and when callers come back.
-
-pub mod answer;
+//! - [`refusal`]: error responses of the entry itself.
+//! - [`registration`]: how it makes itself known to later ones.
+//! - [`relay`]: relaying of a replica's response to the caller.
+//! - [`selection`]: selection of a replica, and waiting for capacity.
+//! - [`staleness`]: what it knows of other entries' requests, and when callers come back.
+//! - [`table_updates`]: what an entry learns from the platform's tables.
+
+pub mod abort;
 pub mod attempt;
-pub mod choice;
-mod course;
-pub mod ending;
+pub mod connection;
 pub mod forward;
-pub mod front;
 pub mod gossip;
-pub mod learn;
+mod hedge;
+pub mod in_flight;
 pub mod lookup;
+pub mod maintenance;
 pub mod quarantine;
 pub mod receive;
-pub mod register;
+pub mod refusal;
+pub mod registration;
 pub mod relay;
-pub mod running;
-pub mod upkeep;
-pub mod view;
+pub mod selection;
+pub mod staleness;
+pub mod table_updates;
 
 use std::{
     cell::{Cell, RefCell},
@@ -53,18 +53,18 @@
 use gradeloft_policy::{
     clock::Time,
     process::{
+        allowed_regions::AllowedRegions,
         document::{Config, Speed},
-        elsewhere::Elsewhere,
-        homes::Homes,
-        leave::Leave,
-        repeats::Budget,
+        drain::Drain,
+        freshness::Freshness,
+        remote_loads::RemoteLoads,
         replicas::{ReplicaKey, Replicas},
-        roster::{Acquaintance, Roster},
-        split::Demand,
-        standing::Standing,
+        retry_budget::Budget,
+        roster::{Discovery, Roster},
+        slot_split::RequestRate,
     },
     request::{caller_age::TimeBudgets, shortage::Shortage},
-    version::named::Named,
+    version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
     datagram::{Presence, Switched},
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::Expected, quarantine::Suspicion, view::Demands};
+use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, staleness::Demands};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -111,7 +111,7 @@
 
 /// Oldest versions of weights on which a request may begin.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Oldest {
+pub struct OldestVersions {
     /// Where a replica with it has room; `None` for any.
     pub preferred: Option<u64>,
     /// At all; `None` for any.
@@ -129,12 +129,12 @@
     /// Connections to replicas.
     pub pool: Pool,
     /// Notified when the process begins to leave.
-    pub left: Notify,
+    pub leave_started: Notify,
     /// Notified when a replica may have room for one more request.
-    pub room: Notify,
+    pub room_freed: Notify,
     roster: RefCell<Roster>,
     /// Versions of each model's weights that replicas are to serve.
-    weights: RefCell<HashMap<String, Named>>,
+    weights: RefCell<HashMap<String, NamedVersions>>,
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
     patience: RefCell<TimeBudgets>,
     /// Requests that come for each service.
@@ -142,11 +142,11 @@
     /// Want of room, by service.
     shortages: RefCell<HashMap<Rc<str>, Shortage>>,
     /// Requests that come for services which run a model.
-    model_demand: RefCell<Demand>,
+    model_demand: RefCell<RequestRate>,
     /// Requests of the other entries of this region at replicas.
-    near_loads: RefCell<Elsewhere<Ipv4Addr>>,
+    near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests of other regions' entries at replicas, by region.
-    far_loads: RefCell<Elsewhere<String>>,
+    far_loads: RefCell<RemoteLoads<String>>,
     /// Replicas near whose agents reported something new since the last message to other regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
     /// What was sent to agents last: replicas that changed over, and how far the operator's table goes.
@@ -162,13 +162,13 @@
     /// What signals to requests that the start of their replica is over, for replicas that got any.
     starts: RefCell<HashMap<ReplicaKey, CancellationToken>>,
     /// Requests under which replicas ended.
-    suspicion: Suspicion,
+    quarantine: QuarantineState,
     /// Connections of callers.
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
     /// Of these, those that have ended but for the callers' side.
-    closing: Cell<usize>,
+    closing_connections: Cell<usize>,
     /// Set once it leaves.
-    leave: Cell<Option<Leave>>,
+    leave: Cell<Option<Drain>>,
 }
 
 /// A running entry.
@@ -189,15 +189,15 @@
             node,
             config: RefCell::default(),
             replicas: RefCell::default(),
-            left: Notify::new(),
-            room: Notify::new(),
+            leave_started: Notify::new(),
+            room_freed: Notify::new(),
             roster: RefCell::default(),
             weights: RefCell::default(),
             budgets: RefCell::default(),
             patience: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(Demand::over(DEMAND_S)),
+            model_demand: RefCell::new(RequestRate::over(DEMAND_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -207,19 +207,19 @@
             sent_to_regions: Cell::default(),
             logged_aside: Cell::default(),
             starts: RefCell::default(),
-            suspicion: Suspicion::default(),
-            open: Cell::default(),
-            closing: Cell::default(),
+            quarantine: QuarantineState::default(),
+            open_connections: Cell::default(),
+            closing_connections: Cell::default(),
             leave: Cell::default(),
         });
         entry.meet_seeds();
         let observing = Rc::downgrade(&entry);
-        entry.node.observe(Rc::new(move |table, records| {
+        entry.node.set_observer(Rc::new(move |table, records| {
             if let Some(entry) = observing.upgrade() {
                 entry.changed(table, &records);
             }
         }));
-        entry.node.elect(Rc::new(Rc::downgrade(&entry)));
+        entry.node.set_election(Rc::new(Rc::downgrade(&entry)));
         let peers = peer_listener(&entry.node, Rc::new(Peers(Rc::clone(&entry.node)))).await?;
         let servers = lookup::start(&entry).await?;
         let listener = TcpListener::bind(frontend).await?;
@@ -233,7 +233,7 @@
 
     fn spawn_tasks(self: &Rc<Entry>, listener: TcpListener) {
         let node = &self.node;
-        node.scope.spawn(Rc::clone(node).tick());
+        node.scope.spawn(Rc::clone(node).detect_stalls());
         let follow = |table, wait, pause| Rc::clone(node).follow(table, wait, pause);
         node.scope
             .spawn(follow(Table::Operator, WAIT_ORDERS, PAUSE_ORDERS));
@@ -253,7 +253,7 @@
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
-        if known && self.standing() != Standing::Aside {
+        if known && self.standing() != Freshness::Stale {
             Presence::Ready
         } else {
             Presence::Starting
@@ -261,10 +261,10 @@
     }
 
     /// What it makes of the operator's records that peers have and it lacks.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> Freshness {
         // Keys may be gone and routes moved while it stood still; others know.
-        if self.node.unaware() {
-            return Standing::Aside;
+        if self.node.stale_after_stall() {
+            return Freshness::Stale;
         }
         let table = Table::Operator;
         let beyond = || {
@@ -272,12 +272,12 @@
             self.roster.borrow().most_beyond(self.node.end(table), now)
         };
         let apply = Duration::from_millis(self.node.settings().apply_ms);
-        Standing::of(self.node.behind(table), apply, beyond)
+        Freshness::of(self.node.behind(table), apply, beyond)
     }
 
     /// Logs when it begins to leave callers to others, and when it takes them again.
     fn show_standing(&self) {
-        let aside = self.standing() == Standing::Aside;
+        let aside = self.standing() == Freshness::Stale;
         if self.logged_aside.replace(aside) == aside {
             return;
         }
@@ -293,8 +293,8 @@
     /// these and of the caller's region only, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let homes = match self.config.borrow().as_ref() {
-            Some(config) => config.homes_of_host(&lookup.host),
-            None => Homes::default(),
+            Some(config) => config.allowed_regions_of_host(&lookup.host),
+            None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
             homes.allow(region) || lookup.region.as_deref() == Some(region)
@@ -346,7 +346,7 @@
     }
 
     /// Ids of replicas, for logs.
-    pub fn names(&self, keys: &[ReplicaKey]) -> Vec<String> {
+    pub fn replica_ids(&self, keys: &[ReplicaKey]) -> Vec<String> {
         let replicas = self.replicas.borrow();
         let name = |it: &ReplicaKey| replicas.get(*it).map(|it| it.listing.id.to_string());
         let keys = keys.iter();
@@ -379,7 +379,7 @@
     }
 
     /// A replica began an answer.
-    pub fn began(&self, key: ReplicaKey, expected: Expected) {
+    pub fn record_answer_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
@@ -409,14 +409,14 @@
     }
 
     /// How well it knows which other entries there are.
-    fn acquaintance(&self, now: Time) -> Acquaintance {
+    fn acquaintance(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
-            Acquaintance::None
+            Discovery::None
         } else if now < Time::ZERO.after_ms(window_ms) {
-            Acquaintance::Listed
+            Discovery::Listed
         } else {
-            Acquaintance::Met
+            Discovery::Complete
         }
     }
 
@@ -435,7 +435,7 @@
     }
 
     /// Connections that this entry may have to each replica of a service.
-    pub fn connections_each(&self, service: &str) -> usize {
+    pub fn max_connections_per_replica(&self, service: &str) -> usize {
         let config = self.config.borrow();
         let most = config
             .as_ref()
@@ -489,11 +489,13 @@
             actix_rt::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        entry.open.set(entry.open.get() + 1);
+        entry.open_connections.set(entry.open_connections.get() + 1);
         let serving = Rc::clone(&entry);
         entry.node.scope.spawn(async move {
-            front::serve(Rc::clone(&serving), stream).await;
-            serving.open.set(serving.open.get() - 1);
+            connection::serve(Rc::clone(&serving), stream).await;
+            serving
+                .open_connections
+                .set(serving.open_connections.get() - 1);
         });
     }
 }
@@ -505,14 +507,14 @@
         let entry = &self.entry;
         let node = &entry.node;
         node.leaving.set(true);
-        let leave = Leave::begin(node.clock.now(), node.settings().grace_ms);
+        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
         entry.leave.set(Some(leave));
-        info!(node.logs.root, "leaving"; "open" => entry.open.get());
-        entry.left.notify_waiters();
-        while !leave.over(entry.open.get(), node.clock.now()) {
+        info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
+        entry.leave_started.notify_waiters();
+        while !leave.over(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(LOOK).await;
         }
-        let cut = entry.open.get() - entry.closing.get();
+        let cut = entry.open_connections.get() - entry.closing_connections.get();
         info!(node.logs.root, "left"; "cut_off" => cut);
         node.scope.end();
         cut
