--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -179,9 +179,9 @@
             let mut news = self.quarantine.news.borrow_mut();
             if merged.incomplete {
                 let wait = self.node.with_rng(|it| it.random_range(0..ANSWER_MS));
-                news.answer(suspect.request, now.after_ms(wait));
+                news.schedule_answer(suspect.request, now.after_ms(wait));
             } else if !merged.changed {
-                news.heard(suspect.request);
+                news.cancel_answer(suspect.request);
             }
         }
     }
