--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -63,7 +63,7 @@
         roster::{Discovery, Roster},
         slot_split::RequestRate,
     },
-    request::{age::Patience, shortage::Shortage},
+    request::{caller_age::TimeBudgets, shortage::Shortage},
     version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
@@ -144,7 +144,7 @@
     /// Retry budgets, by service.
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
     /// Ages of callers' requests, by route.
-    patience: RefCell<Patience>,
+    patience: RefCell<TimeBudgets>,
     /// Request rates, by service.
     demands: RefCell<HashMap<Rc<str>, Demands>>,
     /// Capacity shortages, by service.
@@ -393,7 +393,7 @@
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
-            replica.slowness.learn(expected.after_ms, took_ms);
+            replica.slowness.observe(expected.after_ms, took_ms);
         }
     }
 
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -9,7 +9,7 @@
         replicas::{Replica, ReplicaKey},
         slot_split::{self, RequestRate},
     },
-    request::placement::Doubt,
+    request::placement::Uncertainty,
 };
 
 use super::{Entry, forward::Job};
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Staleness {
     /// Of the entry's own region.
-    pub near: Doubt,
+    pub near: Uncertainty,
     /// Of other regions.
-    pub far: Doubt,
+    pub far: Uncertainty,
 }
 
 impl Entry {
@@ -72,7 +72,7 @@
             let rate = others.demand / open().count().max(1) as f64;
             let unseen = slot_split::unseen_requests(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen)).sum();
-            Doubt {
+            Uncertainty {
                 chance: slot_split::overflow_probability(
                     spare,
                     others.entries,
@@ -104,7 +104,7 @@
     /// Returns whether callers of a service were refused for lack of room a moment ago.
     pub fn recently_refused(&self, service: &str, now: Time) -> bool {
         let shortages = self.shortages.borrow();
-        shortages.get(service).is_some_and(|it| it.lasts(now))
+        shortages.get(service).is_some_and(|it| it.is_active(now))
     }
 
     /// Returns the time after which the caller of a request that found no replica should retry.
@@ -113,6 +113,7 @@
         let mut shortages = self.shortages.borrow_mut();
         let shortage = shortages.entry(Rc::clone(&job.service)).or_default();
         let left = job.deadline.since(now);
-        self.node.with_rng(|rng| shortage.refuse(left, now, rng))
+        self.node
+            .with_rng(|rng| shortage.record_refusal(left, now, rng))
     }
 }
