--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -49,7 +49,7 @@
     let wait = agent
         .pace_in
         .borrow_mut()
-        .delay(size, agent.node.clock.now());
+        .reserve(size, agent.node.clock.now());
     actix_rt::time::sleep(wait).await;
     let content = match ask.from {
         Upstream::Origin => outside(&*agent.node.platform.origin, ask.chunk.digest, size).await?,
--- a/crates/gradeloft_policy/tests/restarts.rs
+++ b/crates/gradeloft_policy/tests/restarts.rs
@@ -42,7 +42,7 @@
         known.other_requests,
         known.own_slots,
     ) = (5, 2, 7, 4);
-    known.slowness.learn(100.0, 400.0);
+    known.slowness.observe(100.0, 400.0);
     let hash = known.hash();
     let after = replicas.list(started(2, None));
     assert_ne!(before, after);
