--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -373,7 +373,7 @@
 }
 /// Until when the request may wait at a replica before it is taken back, as the weights there expire.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
-    let time = entry.begin_by(&job.service, replica);
+    let time = entry.start_deadline(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
 }
 
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -73,7 +73,7 @@
             Ok(Some(head)) => head,
             Ok(None) => return,
             Err(refusal) => {
-                let refusal = refusal.by(entry.standing());
+                let refusal = refusal.by(entry.freshness());
                 refuse(entry, wire, refusal, None, true).await;
                 return;
             }
@@ -87,7 +87,7 @@
         let (body, has_body) = match body {
             Ok(Ok(body)) => body,
             Ok(Err(Some(refusal))) => {
-                let refusal = refusal.by(entry.standing());
+                let refusal = refusal.by(entry.freshness());
                 refuse(entry, wire, refusal, Some(&head), true).await;
                 return;
             }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -142,7 +142,7 @@
     let Some(config) = entry.config.borrow().clone() else {
         return Err(Box::new((Refusal::NoConfig, received)));
     };
-    let standing = entry.standing();
+    let standing = entry.freshness();
     if standing == Freshness::Stale {
         return Err(Box::new((Refusal::Behind, received)));
     }
@@ -191,7 +191,7 @@
         .and_then(|it| it.parse().ok());
     let patience_ms = told.map_or(route.timeout_ms, |it: u64| it.min(route.timeout_ms));
     let left = Duration::from_millis(told.unwrap_or(route.timeout_ms));
-    let age = entry.age(&route.name, left);
+    let age = entry.caller_age(&route.name, left);
     let goal = Duration::from_millis(route.goal_ms).saturating_sub(age);
     let service = entry.node.with_rng(|it| route.draw(it));
     Job {
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -22,7 +22,7 @@
             replica.note_sent(self.node.clock.now());
             replica.own_waiting_tokens += prompt_tokens;
         }
-        let mut starts = self.starts.borrow_mut();
+        let mut starts = self.restart_tokens.borrow_mut();
         Running {
             waiting: Cell::new(true),
             entry: Rc::clone(self),
@@ -34,7 +34,7 @@
 
     /// The start of a replica that `ended` names is over: what was under way there gets no answer any more.
     pub(super) fn replica_restarted(&self, ended: ReplicaKey) {
-        let token = self.starts.borrow_mut().remove(&ended);
+        let token = self.restart_tokens.borrow_mut().remove(&ended);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
         }
@@ -47,7 +47,7 @@
     /// Forgets the starts of replicas that are gone, which finish what runs there.
     pub(super) fn forget_starts(&self) {
         let replicas = self.replicas.borrow();
-        let mut starts = self.starts.borrow_mut();
+        let mut starts = self.restart_tokens.borrow_mut();
         starts.retain(|key, _| replicas.get(*key).is_some());
     }
 }
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -85,7 +85,7 @@
     match entry.presence() {
         Presence::Ready => text(200, "ready\n"),
         Presence::Leaving => text(503, "leaving\n"),
-        Presence::Starting if entry.standing() == Freshness::Stale => text(503, "behind\n"),
+        Presence::Starting if entry.freshness() == Freshness::Stale => text(503, "behind\n"),
         Presence::Starting => text(503, "starting\n"),
     }
 }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -33,7 +33,7 @@
     pub(super) fn maintain(self: &Rc<Entry>) {
         let now = self.node.clock.now();
         self.node.show_behind();
-        self.log_standing();
+        self.log_freshness();
         self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
             if let Some(log) = self.node.logs.line(Topic::State) {
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -144,7 +144,7 @@
     /// Retry budgets, by service.
     budgets: RefCell<HashMap<Rc<str>, Budget>>,
     /// Ages of callers' requests, by route.
-    patience: RefCell<TimeBudgets>,
+    caller_ages: RefCell<TimeBudgets>,
     /// Request rates, by service.
     demands: RefCell<HashMap<Rc<str>, Demands>>,
     /// Capacity shortages, by service.
@@ -166,9 +166,9 @@
     /// Number of rounds so far in which messages went to other regions.
     sent_to_regions: Cell<usize>,
     /// Whether the log last reported that this entry leaves callers to other entries.
-    logged_aside: Cell<bool>,
+    logged_stale: Cell<bool>,
     /// Tokens that are cancelled when a replica restarts, for replicas that received requests.
-    starts: RefCell<HashMap<ReplicaKey, CancellationToken>>,
+    restart_tokens: RefCell<HashMap<ReplicaKey, CancellationToken>>,
     /// Requests that were running when replicas crashed.
     quarantine: QuarantineState,
     /// Number of callers' connections.
@@ -202,7 +202,7 @@
             roster: RefCell::default(),
             weights: RefCell::default(),
             budgets: RefCell::default(),
-            patience: RefCell::default(),
+            caller_ages: RefCell::default(),
             demands: RefCell::default(),
             shortages: RefCell::default(),
             model_demand: RefCell::new(RequestRate::with_window(DEMAND_WINDOW_S)),
@@ -213,8 +213,8 @@
             first_contact: Cell::default(),
             announce_pending: Cell::default(),
             sent_to_regions: Cell::default(),
-            logged_aside: Cell::default(),
-            starts: RefCell::default(),
+            logged_stale: Cell::default(),
+            restart_tokens: RefCell::default(),
             quarantine: QuarantineState::default(),
             open_connections: Cell::default(),
             closing_connections: Cell::default(),
@@ -261,7 +261,7 @@
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
-        if known && self.standing() != Freshness::Stale {
+        if known && self.freshness() != Freshness::Stale {
             Presence::Ready
         } else {
             Presence::Starting
@@ -269,7 +269,7 @@
     }
 
     /// Decides how this entry treats callers, given the operator's records that peers have and it lacks.
-    pub fn standing(&self) -> Freshness {
+    pub fn freshness(&self) -> Freshness {
         // Keys may have been revoked and routes moved during the stall; other entries have the changes.
         if self.node.stale_after_stall() {
             return Freshness::Stale;
@@ -286,14 +286,14 @@
     }
 
     /// Logs when this entry starts or stops to leave callers to other entries.
-    fn log_standing(&self) {
-        let aside = self.standing() == Freshness::Stale;
-        if self.logged_aside.replace(aside) == aside {
+    fn log_freshness(&self) {
+        let stale = self.freshness() == Freshness::Stale;
+        if self.logged_stale.replace(stale) == stale {
             return;
         }
         if let Some(log) = self.node.logs.line(Topic::State) {
             let behind = self.node.behind(Table::Operator);
-            info!(log, "standing changed"; "aside" => aside, "config" => self.config_version(),
+            info!(log, "freshness changed"; "aside" => stale, "config" => self.config_version(),
                 "end" => self.node.end(Table::Operator),
                 "behind_ms" => behind.map_or(-1, |it| it.as_millis() as i64));
         }
@@ -378,9 +378,9 @@
     }
 
     /// Returns the time since a caller's first attempt, given the time `left` to its deadline.
-    pub fn age(&self, route: &Rc<str>, left: Duration) -> Duration {
+    pub fn caller_age(&self, route: &Rc<str>, left: Duration) -> Duration {
         let now = self.node.clock.now();
-        self.patience.borrow_mut().age(route, left, now)
+        self.caller_ages.borrow_mut().age(route, left, now)
     }
 
     /// Returns the speed of a service's engines, if the service runs a model.
@@ -389,7 +389,7 @@
     }
 
     /// Records the time that a replica took to begin an answer.
-    pub fn record_answer_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
+    pub fn record_response_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             let took_ms = took.as_secs_f64() * 1000.0;
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -415,7 +415,7 @@
     entry.note_activity(replica);
     source.running.begun();
     if let Some(expected) = source.expected.take() {
-        entry.record_answer_start(replica, expected);
+        entry.record_response_start(replica, expected);
     }
 }
 
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the time by which a request that waits at a replica has to begin there; `None` for no limit.
-    pub fn begin_by(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
+    pub fn start_deadline(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
         let held = self.version_of(replica)?;
         self.with_target_versions(service, |it| it.start_deadline(held))
             .flatten()
@@ -144,7 +144,9 @@
             .iter()
             .map(|it| Rc::clone(&it.name))
             .collect();
-        self.patience.borrow_mut().retain(|it| routes.contains(it));
+        self.caller_ages
+            .borrow_mut()
+            .retain(|it| routes.contains(it));
         *self.config.borrow_mut() = Some(Rc::new(Config::new(document)));
         self.node.metrics.config.set(version as i64);
     }
--- a/crates/gradeloft_gateway/tests/entry/cut_off.rs
+++ b/crates/gradeloft_gateway/tests/entry/cut_off.rs
@@ -174,7 +174,7 @@
         });
         world.tables.write(Table::Operator, "weights/m", Some("2"));
         let old = entry.replicas.borrow().iter().next().unwrap().0;
-        until(|| async { entry.begin_by("s", old).is_some() }).await;
+        until(|| async { entry.start_deadline("s", old).is_some() }).await;
         let asking = request("GET", "");
         let asked = world.ask(&asking);
         let filling = async {
