--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -237,7 +237,7 @@
             Stage::Answering(passage) => passage.silence()?,
         };
         let silence = match self.counted {
-            true => Duration::from_millis(wait::LOOK_MS),
+            true => Duration::from_millis(wait::POLL_INTERVAL_MS),
             false => first,
         };
         spare.then_some(silence)
@@ -302,7 +302,7 @@
                         return Err(Ended::Failed(Failure::Outdated, None));
                     }
                     // The replica has newer weights by now, or its answer is about to be read.
-                    patient.set(timers.sleep_until(patience.max(now.after_ms(wait::LOOK_MS))));
+                    patient.set(timers.sleep_until(patience.max(now.after_ms(wait::POLL_INTERVAL_MS))));
                 }
             }
         }
@@ -373,7 +373,7 @@
 }
 /// Until when the request may wait at a replica before it is taken back, as the weights there expire.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
-    let time = entry.begin_by(&job.service, replica);
+    let time = entry.start_deadline(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
 }
 
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -131,7 +131,7 @@
     fn lives(&self, key: ReplicaKey) -> bool {
         let lost = self.quarantine.lost.borrow();
         let replicas = self.replicas.borrow();
-        let spoke = replicas.get(key).map(|it| it.spoke);
+        let spoke = replicas.get(key).map(|it| it.last_received);
         let lost_at = lost.get(&key).map(|it| it.since);
         lost_at
             .zip(spoke)
@@ -179,7 +179,7 @@
                 .quarantine
                 .known
                 .borrow_mut()
-                .blame(*request, lost.hash, now);
+                .record_crash(*request, lost.hash, now);
             if news {
                 self.learned(*request, Source::Own, now);
             }
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -7,13 +7,13 @@
     clock::Time,
     process::{
         allowed_regions::AllowedRegions,
-        document::{CallerLimits, Config, Denied, Document, Kind, Route, Target},
+        document::{CallerLimits, Config, Denied, Document, Route, RouteKind, Target},
         mirror::{Mirror, Record, Update},
         readers,
         retry_budget::{Bounds, Budget},
         roster::{Discovery, Roster, State, Status},
     },
-    request::attempt::{Failure, Progress, Ran},
+    request::attempt::{Attempts, Failure, Ran},
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -25,7 +25,7 @@
         name: name.into(),
         host: "a.example".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Once,
+        kind: RouteKind::Once,
         targets: vec![Target {
             service: "s".into(),
             weight: 1.0,
@@ -254,7 +254,7 @@
     /// run. Fails if any failure counts for less than it is.
     #[test]
     fn attempts_in_any_order_keep_the_promises(
-        kind in prop::sample::select(vec![Kind::Idempotent, Kind::Once, Kind::ResumableStream, Kind::Stream]),
+        kind in prop::sample::select(vec![RouteKind::Idempotent, RouteKind::Once, RouteKind::ResumableStream, RouteKind::Stream]),
         failures in prop::collection::vec(prop::sample::select(vec![
             Failure::Broken, Failure::Failed, Failure::Lost, Failure::Misdirected,
             Failure::Outdated, Failure::Refused, Failure::Silent, Failure::Unsent,
@@ -262,20 +262,20 @@
         ]), 0..12),
         max_attempts in 0..5u32,
     ) {
-        let mut progress = Progress::new(kind, max_attempts);
+        let mut progress = Attempts::new(kind, max_attempts);
         let mut arrivals = 0;
         let mut may_have_run = false;
         for failure in failures {
-            if !progress.may_repeat() {
+            if !progress.may_retry() {
                 break;
             }
-            progress.ended(failure);
+            progress.record_failure(failure);
             arrivals += u32::from(failure != Failure::Unsent);
             may_have_run |= !matches!(failure, Failure::Misdirected | Failure::Refused | Failure::Unsent);
-            let repeatable = matches!(kind, Kind::Idempotent | Kind::ResumableStream);
+            let repeatable = matches!(kind, RouteKind::Idempotent | RouteKind::ResumableStream);
             prop_assert!(arrivals <= max_attempts.max(1));
             prop_assert_eq!(progress.ran == Ran::Unknown, may_have_run);
-            prop_assert!(!progress.may_repeat() || !may_have_run || repeatable);
+            prop_assert!(!progress.may_retry() || !may_have_run || repeatable);
         }
     }
 
@@ -378,7 +378,7 @@
         let mut spend = |roster: &Roster, acquaintance| {
             while budget.repeat(
                 bounds,
-                roster.sharers(acquaintance),
+                roster.budget_sharers(acquaintance),
                 Time::ZERO.after_ms(300),
             ) {
                 repeats += 1;
@@ -392,32 +392,35 @@
     }
     assert!(f64::from(repeats) <= bounds.slack, "{repeats}");
     // Nothing is taken for good from who has met the others.
-    assert_eq!(Roster::default().sharers(Discovery::Complete), Some(1));
+    assert_eq!(
+        Roster::default().budget_sharers(Discovery::Complete),
+        Some(1)
+    );
 }
 
 #[rstest]
 // A call that may not be repeated goes elsewhere only if it certainly has not run.
-#[case(Kind::Once, Failure::Unsent, true, Ran::No)]
-#[case(Kind::Once, Failure::Refused, true, Ran::No)]
-#[case(Kind::Once, Failure::Misdirected, true, Ran::No)]
-#[case(Kind::Once, Failure::Lost, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Broken, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Failed, false, Ran::Unknown)]
-#[case(Kind::Once, Failure::Silent, false, Ran::Unknown)]
-#[case(Kind::Stream, Failure::Broken, false, Ran::Unknown)]
-#[case(Kind::ResumableStream, Failure::Broken, true, Ran::Unknown)]
-#[case(Kind::Idempotent, Failure::Lost, true, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Unsent, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Refused, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Misdirected, true, Ran::No)]
+#[case(RouteKind::Once, Failure::Lost, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Broken, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Failed, false, Ran::Unknown)]
+#[case(RouteKind::Once, Failure::Silent, false, Ran::Unknown)]
+#[case(RouteKind::Stream, Failure::Broken, false, Ran::Unknown)]
+#[case(RouteKind::ResumableStream, Failure::Broken, true, Ran::Unknown)]
+#[case(RouteKind::Idempotent, Failure::Lost, true, Ran::Unknown)]
 fn what_may_follow_a_failed_attempt(
-    #[case] kind: Kind,
+    #[case] kind: RouteKind,
     #[case] failure: Failure,
     #[case] repeat: bool,
     #[case] ran: Ran,
 ) {
-    let mut progress = Progress::new(kind, 2);
-    progress.ended(failure);
-    assert_eq!((progress.may_repeat(), progress.ran), (repeat, ran));
-    progress.ended(failure);
-    assert!(failure == Failure::Unsent || !progress.may_repeat());
+    let mut progress = Attempts::new(kind, 2);
+    progress.record_failure(failure);
+    assert_eq!((progress.may_retry(), progress.ran), (repeat, ran));
+    progress.record_failure(failure);
+    assert!(failure == Failure::Unsent || !progress.may_retry());
 }
 
 fn word(incarnation: u64, zone: &str, state: State) -> Status<'_> {
@@ -447,7 +450,7 @@
     roster.receive(gone, word(5, "z", State::Ready), later);
     roster.receive(gone, word(1, "z", State::Leaving), later);
     assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
-    assert_eq!(roster.most(), 4);
+    assert_eq!(roster.peak_size(), 4);
 }
 
 #[test]
