--- a/crates/gradeloft_policy/src/version/fetch/owners.rs
+++ b/crates/gradeloft_policy/src/version/fetch/owners.rs
@@ -2,8 +2,8 @@
 //!
 //! An agent reads a few chunks at a time, so the origin's link is mostly idle once only an agent that owns many chunks
 //! is still reading. So the load is bounded: a chunk goes to the agent of the highest rendezvous score that owns less
-//! than its share. By rendezvous hashing alone, one of 13 agents owns seven of 48 chunks, and the last ten chunks arrive
-//! in 0.8 s instead of 0.45 s.
+//! than its share. By rendezvous hashing alone, one of 13 agents owns seven of 48 chunks, and the last ten chunks
+//! arrive in 0.8 s instead of 0.45 s.
 
 use crate::rendezvous;
 
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -35,8 +35,8 @@
 /// Number of replicas that must be ordered to load after a given one before that one is open again.
 const FOLLOWERS: u64 = 3;
 /// Time for which the last replicas get no requests after an order for a superseded version, in milliseconds.
-/// If the instance of the replica ordered last stopped at that moment, the requests that the replica holds would begin on
-/// the superseded version after the newer one is due.
+/// If the instance of the replica ordered last stopped at that moment, the requests that the replica holds would
+/// begin on the superseded version after the newer one is due.
 const LAST_CLOSED_MS: u64 = 700;
 
 /// Handling of the requests that run on a replica when it is ordered to load.
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns the time over which `all` replicas load a superseded version, in milliseconds. It is shorter for few replicas,
-/// as the one that was ordered last has to remain closed until the next one is.
+/// Returns the time over which `all` replicas load a superseded version, in milliseconds. It is shorter for few
+/// replicas, as the one that was ordered last has to remain closed until the next one is.
 fn superseded_ms(version_ms: u64, all: usize) -> u64 {
     let over_ms = (version_ms as f64 * SUPERSEDED_FRACTION) as u64;
     over_ms.min(LAST_CLOSED_MS * all as u64)
@@ -130,8 +130,8 @@
         switched_enough || named.after_ms((version_ms as f64 * self.latest_start()) as u64) <= now
     }
 
-    /// Returns whether it is the replica's turn in a fleet that has fetched the version at `ready`. The replicas load one
-    /// after the other until the version is needed, because a fleet near full load can spare few replicas at once.
+    /// Returns whether it is the replica's turn in a fleet that has fetched the version at `ready`. The replicas load
+    /// one after the other until the version is needed, because a fleet near full load can spare few replicas at once.
     pub fn has_turn(self, ready: Time, named: Time, version_ms: u64, now: Time) -> bool {
         let last = named.after_ms((version_ms as f64 * LAST_LOAD_START) as u64);
         let over = last.since(ready).min(MAX_SPREAD);
@@ -145,8 +145,8 @@
         since.after_ms(over_ms * self.rank as u64 / self.all as u64) <= now
     }
 
-    /// Returns the time for which the replica gets no requests after an order for a superseded version, in milliseconds:
-    /// until [`FOLLOWERS`] other replicas have been ordered to load it.
+    /// Returns the time for which the replica gets no requests after an order for a superseded version, in
+    /// milliseconds: until [`FOLLOWERS`] other replicas have been ordered to load it.
     pub fn closed_ms(self, version_ms: u64) -> u64 {
         if self.all < self.rank + 1 + FOLLOWERS as usize {
             return LAST_CLOSED_MS;
