--- a/crates/gradeloft_policy/tests/chain.rs
+++ b/crates/gradeloft_policy/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Which published bundle is in force.
+//! Tests of the selection of the bundle in force.
 
 use gradeloft_policy::version::{
     bundle::{self, Key, Publisher},
@@ -15,12 +15,12 @@
     Key::new([seed; 32])
 }
 
-fn trusted(name: &str, seed: u8) -> Publisher {
+fn publisher(name: &str, seed: u8) -> Publisher {
     Publisher::new(name, &key(seed).public()).unwrap()
 }
 
 fn content(number: u64, parent: Option<Digest>, note: &str) -> Bundle {
-    let publisher = |name: &str, seed| border::Publisher {
+    let entry = |name: &str, seed| border::Publisher {
         name: name.to_owned(),
         key: key(seed).public(),
     };
@@ -29,7 +29,7 @@
         number,
         parent: parent.map(|it| it.to_string()),
         note: Some(note.to_owned()),
-        publishers: vec![publisher("ana", 1), publisher("ben", 2)],
+        publishers: vec![entry("ana", 1), entry("ben", 2)],
         classes: vec!["normal".to_owned()],
         teams: Vec::new(),
         models: Vec::new(),
@@ -46,27 +46,27 @@
 }
 
 fn chain() -> Chain {
-    Chain::new(vec![trusted("ana", 1), trusted("ben", 2)])
+    Chain::new(vec![publisher("ana", 1), publisher("ben", 2)])
 }
 
 #[test]
-fn the_first_of_two_racers_wins_and_the_other_learns_who_did() {
+fn the_first_of_two_concurrent_bundles_wins_and_the_refusal_names_its_signer() {
     let first = signed(1, None, "first");
     let winner = signed(2, Some(&first), "winner");
     let loser = key(2).sign(&content(2, Some(first.digest()), "loser"), "ben");
     let mut chain = chain();
     assert_eq!(chain.fold(&first), Verdict::Accepted);
     assert_eq!(chain.fold(&winner), Verdict::Accepted);
-    let outrun = Refusal::Outrun {
+    let superseded = Refusal::Outrun {
         number: 2,
         signer: "ana".to_owned(),
     };
-    assert_eq!(chain.fold(&loser), Verdict::Refused(outrun));
+    assert_eq!(chain.fold(&loser), Verdict::Refused(superseded));
     assert_eq!(chain.head().unwrap().digest, winner.digest());
 }
 
 #[test]
-fn a_record_that_stands_twice_or_an_old_offset_changes_nothing() {
+fn duplicate_and_older_records_change_nothing() {
     let first = signed(1, None, "first");
     let second = signed(2, Some(&first), "second");
     let mut chain = chain();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_signed_bundle_that_is_faulty_or_not_canonical_is_refused() {
+fn an_invalid_or_non_canonical_signed_bundle_is_refused() {
     let mut faulty = content(1, None, "faulty");
     faulty.publishers.push(faulty.publishers[0].clone());
     let mut chain = chain();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn publishers_rotate_with_the_bundle() {
+fn each_bundle_sets_the_trusted_publishers_of_its_successor() {
     let mut rotated = content(1, None, "only ben from now on");
     rotated.publishers.remove(0);
     let first = key(1).sign(&rotated, "ana");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_bundle_whose_parent_is_missing_waits_for_it() {
+fn a_bundle_without_its_parent_is_refused_from_the_log_and_adopted_from_a_peer() {
     let first = signed(1, None, "first");
     let second = signed(2, Some(&first), "second");
     let mut chain = chain();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn checkpoints_are_spread_and_come_before_the_time_is_over() {
+fn checkpoints_are_spread_over_the_last_tenth_of_the_interval() {
     assert!(!checkpoint_due(0, 899, 1_000, 0.0));
     assert!(checkpoint_due(0, 900, 1_000, 0.0));
     assert!(!checkpoint_due(0, 999, 1_000, 1.0));
@@ -155,10 +155,10 @@
 }
 
 proptest! {
-    /// Whatever a node hears from peers in between, its number never falls, and after the whole
-    /// log it has the same head as a node that heard nothing.
+    /// The number of a node's head never decreases, whatever bundles it adopts from peers, and after the whole
+    /// log it has the same head as a node that adopted none.
     #[test]
-    fn nodes_agree_and_never_go_back(
+    fn nodes_converge_and_their_number_never_decreases(
         order in prop::collection::vec((0usize..12, any::<bool>()), 0..60),
     ) {
         let mut log: Vec<SignedBundle> = Vec::new();
@@ -169,9 +169,9 @@
             log.extend([winner.clone(), loser]);
             accepted.push(winner);
         }
-        let mut quiet = chain();
+        let mut isolated = chain();
         for record in &log {
-            quiet.fold(record);
+            isolated.fold(record);
         }
         let mut node = chain();
         let mut next = 0;
@@ -188,6 +188,6 @@
         for record in &log[next..] {
             node.fold(record);
         }
-        prop_assert_eq!(node.head().unwrap().digest, quiet.head().unwrap().digest);
+        prop_assert_eq!(node.head().unwrap().digest, isolated.head().unwrap().digest);
     }
 }
