--- a/crates/gradeloft_policy/src/clock.rs
+++ b/crates/gradeloft_policy/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time as decisions see it.
+//! Time, as an input of decisions.
 
 use std::time::Duration;
 
-/// A point in time of one process: microseconds since its start, monotonic.
+/// A monotonic point in time of one process, in microseconds since its start.
 ///
 /// ```
 /// use gradeloft_policy::clock::Time;
@@ -12,30 +12,30 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The start of the process.
+    /// Start of the process.
     pub const ZERO: Time = Time(0);
 
-    /// This time and `ms` milliseconds.
+    /// Returns the time `ms` milliseconds later.
     pub fn after_ms(self, ms: u64) -> Time {
         Time(self.0.saturating_add(ms.saturating_mul(1000)))
     }
 
-    /// This time and `duration`.
+    /// Returns the time `duration` later.
     pub fn after(self, duration: Duration) -> Time {
         Time(self.0.saturating_add(duration.as_micros() as u64))
     }
 
-    /// This time less `ms` milliseconds; the start of the process if that is later.
+    /// Returns the time `ms` milliseconds earlier, at least [`Time::ZERO`].
     pub fn before_ms(self, ms: u64) -> Time {
         Time(self.0.saturating_sub(ms.saturating_mul(1000)))
     }
 
-    /// Time since `earlier`; zero when that is later.
+    /// Returns the time since `earlier`; zero if that is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Seconds since `earlier`.
+    /// Returns the seconds since `earlier`; zero if that is later.
     pub fn seconds_since(self, earlier: Time) -> f64 {
         self.since(earlier).as_secs_f64()
     }
--- a/crates/gradeloft_policy/src/connection/mod.rs
+++ b/crates/gradeloft_policy/src/connection/mod.rs
@@ -1,8 +1,8 @@
-//! What lives for a connection.
+//! State and decisions that last for one connection.
 //!
-//! - [`health`]: whether a peer can be relied on at present.
-//! - [`pace`]: how fast weights may go, beside live requests.
-//! - [`window`]: how many pieces of weights are asked for at once.
+//! - [`health`]: whether a peer is usable.
+//! - [`pace`]: transfer rate of weights beside live requests.
+//! - [`window`]: number of concurrent requests for pieces of weights.
 
 pub mod health;
 pub mod pace;
--- a/crates/gradeloft_policy/src/connection/pace.rs
+++ b/crates/gradeloft_policy/src/connection/pace.rs
@@ -1,24 +1,24 @@
-//! How fast weights may go over an instance's link, beside live requests.
+//! Rate limit for weights on an instance's link, with priority for live requests.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Weights get at least this share of the link, so that a rollout ends.
-const LEAST_SHARE: f64 = 0.05;
-/// Share of the link left free above what live requests use, for their next burst.
+/// Smallest share of the link for weights, so that a rollout completes.
+const MIN_SHARE: f64 = 0.05;
+/// Share of the link that stays free beside live requests, for their next burst.
 const HEADROOM: f64 = 0.2;
-/// Live requests count as present from this share of the link on.
-const PRESENT: f64 = 0.002;
-/// Chunks asked for at once beside live requests. Whatever is under way queues before them on the
-/// last link, where nobody can put them first.
-const SLOTS_BESIDE_LIVE: usize = 1;
-/// Time over which live bytes are averaged, in seconds.
+/// Share of the link from which on live requests count as present.
+const LIVE_THRESHOLD: f64 = 0.002;
+/// Concurrent chunk requests beside live requests. Chunks in flight queue ahead of live requests on
+/// the last link, which can't prioritize.
+const MAX_CONCURRENT_BESIDE_LIVE: usize = 1;
+/// Time constant of the average over live bytes, in seconds.
 const WINDOW_S: f64 = 0.5;
-/// Bytes that may go at once, as time at the full link.
+/// Burst size, as transfer time at the full link rate, in seconds.
 const BURST_S: f64 = 0.02;
 
-/// Paces one direction of a link.
+/// Rate limiter for one direction of a link.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, connection::pace::Pacer};
@@ -29,15 +29,15 @@
 #[derive(Clone, Debug)]
 pub struct Pacer {
     link: f64,
-    /// Live bytes a second, averaged.
+    /// Moving average of live traffic, in bytes per second.
     live: f64,
     live_at: Time,
-    /// When what was granted so far has gone at the rate then in force.
+    /// Time at which all granted transfers have ended at their rates.
     free_at: Time,
 }
 
 impl Pacer {
-    /// A pacer for a link of so many bytes a second.
+    /// Creates a pacer for a link of `link_bytes_per_s`.
     pub fn new(link_bytes_per_s: u64) -> Pacer {
         Pacer {
             link: link_bytes_per_s.max(1) as f64,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Live requests moved so many bytes.
+    /// Records bytes transferred by live requests.
     pub fn record_live(&mut self, bytes: u64, now: Time) {
         self.decay(now);
         self.live += bytes as f64 / WINDOW_S;
     }
 
-    /// How long to wait before so many bytes of weights go; they are granted. What goes without
-    /// a wait is at most a short burst ahead of the rate.
+    /// Grants a transfer of weights and returns the delay before it may start. Transfers without a
+    /// delay exceed the rate by a short burst at most.
     pub fn reserve(&mut self, bytes: u64, now: Time) -> Duration {
         let rate = self.rate(now);
         let start = self.free_at.max(now);
@@ -64,28 +64,28 @@
             .saturating_sub(Duration::from_secs_f64(BURST_S))
     }
 
-    /// Bytes a second that weights may use.
+    /// Returns the rate available to weights, in bytes per second.
     pub fn rate(&mut self, now: Time) -> f64 {
         self.decay(now);
-        if !self.beside_live() {
+        if !self.has_live_traffic() {
             return self.link;
         }
         let left = self.link * (1.0 - HEADROOM) - self.live;
-        left.max(self.link * LEAST_SHARE)
+        left.max(self.link * MIN_SHARE)
     }
 
-    /// How many chunks to ask for at once, of `most`.
+    /// Returns how many chunks to request concurrently, at most `most`.
     pub fn max_concurrent(&mut self, most: usize, now: Time) -> usize {
         self.decay(now);
-        if self.beside_live() {
-            most.min(SLOTS_BESIDE_LIVE)
+        if self.has_live_traffic() {
+            most.min(MAX_CONCURRENT_BESIDE_LIVE)
         } else {
             most
         }
     }
 
-    fn beside_live(&self) -> bool {
-        self.link * PRESENT <= self.live
+    fn has_live_traffic(&self) -> bool {
+        self.link * LIVE_THRESHOLD <= self.live
     }
 
     fn decay(&mut self, now: Time) {
--- a/crates/gradeloft_policy/src/connection/window.rs
+++ b/crates/gradeloft_policy/src/connection/window.rs
@@ -1,19 +1,19 @@
-//! How many pieces of weights one agent asks for at once.
+//! Adaptive number of concurrent requests for pieces of weights by one agent.
 //!
-//! A piece that takes much longer than its time on the agent's own link waited in a queue, before
-//! live requests to the replica beside it, so fewer are asked for; pieces that come quickly let the
-//! number grow again.
+//! A piece that takes much longer than its transfer time on the agent's own link was queued, ahead
+//! of live requests to the replica on the same instance, so the window shrinks. Pieces that arrive
+//! quickly let it grow again.
 
 use std::time::Duration;
 
-/// Most pieces at once.
-const MOST: f64 = 6.0;
-/// A piece is slow if it takes so many times its time on the link.
-const SLOW: u32 = 8;
-/// Pieces more at once for each that came quickly.
+/// Largest window.
+const MAX_SIZE: f64 = 6.0;
+/// Multiple of the nominal transfer time beyond which a piece is slow.
+const SLOW_FACTOR: u32 = 8;
+/// Growth of the window for each piece that arrives quickly.
 const GROWTH: f64 = 0.5;
 
-/// Pieces asked for at once.
+/// Window of concurrent piece requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -24,37 +24,37 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// At least 1, at most [`MOST`].
+    /// Window size, from 1 to [`MAX_SIZE`].
     size: f64,
-    /// Time of a piece on the agent's link.
+    /// Transfer time of a piece on the agent's link.
     nominal: Duration,
 }
 
 impl Window {
-    /// A window for pieces that take `nominal` on the agent's link.
+    /// Creates a window for pieces that take `nominal` on the agent's link.
     pub fn new(nominal: Duration) -> Window {
         Window {
-            size: MOST / 2.0,
+            size: MAX_SIZE / 2.0,
             nominal,
         }
     }
 
-    /// Pieces that may be asked for at once.
+    /// Returns the number of pieces that may be requested concurrently.
     pub fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// Whether the last pieces took so long that one at a time is asked for.
+    /// Returns whether recent pieces were so slow that only one is requested at a time.
     pub fn is_congested(&self) -> bool {
         self.size < 2.0
     }
 
-    /// A piece came after `took`.
+    /// Records a piece that arrived after `took`.
     pub fn record_arrival(&mut self, took: Duration) {
-        self.size = if self.nominal * SLOW < took {
+        self.size = if self.nominal * SLOW_FACTOR < took {
             (self.size / 2.0).max(1.0)
         } else {
-            (self.size + GROWTH).min(MOST)
+            (self.size + GROWTH).min(MAX_SIZE)
         };
     }
 }
--- a/crates/gradeloft_policy/src/request/admission.rs
+++ b/crates/gradeloft_policy/src/request/admission.rs
@@ -1,4 +1,4 @@
-//! Rates of teams and the shedding of classes.
+//! Rate limits of teams and load shedding by class.
 
 use std::collections::HashMap;
 
@@ -6,12 +6,12 @@
 
 use crate::clock::Time;
 
-/// Seconds of its rate that a bucket holds when full.
+/// Seconds of refill that a full bucket holds.
 const BURST_S: f64 = 2.0;
-/// Share of the fleet's slots that each class below the first leaves free for those above it.
-const HEADROOM: f64 = 0.1;
+/// Share of the fleet's slots that each class below the highest leaves free for the classes above.
+const CLASS_HEADROOM: f64 = 0.1;
 
-/// A token bucket, filled at a rate and drained by what is admitted.
+/// A token bucket.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, request::admission::TokenBucket};
@@ -23,31 +23,31 @@
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
-    /// At most [`BURST_S`] seconds of `rate`, and at least one; below zero after a debt.
+    /// At most [`BURST_S`] seconds of `rate`, and at least 1; negative when overdrawn.
     level: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket of `rate` units a second.
+    /// Creates a full bucket that refills at `rate` units per second.
     pub fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket {
             rate,
             level: capacity(rate),
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Changes the rate; what is in stays, up to the new capacity.
+    /// Changes the rate. The current level stays, up to the new capacity.
     pub fn set_rate(&mut self, rate: f64, now: Time) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.level = self.level.min(capacity(rate));
     }
 
-    /// Takes `amount`, if it is there.
+    /// Removes `amount` if the bucket holds that much.
     pub fn try_take(&mut self, amount: f64, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         if self.level < amount {
             return false;
         }
@@ -55,28 +55,28 @@
         true
     }
 
-    /// Takes `amount` whether or not it is there: for costs that are known only afterwards.
+    /// Removes `amount` even if that overdraws the bucket, for costs known only afterwards.
     pub fn charge(&mut self, amount: f64, now: Time) {
-        self.fill(now);
+        self.refill(now);
         self.level -= amount;
     }
 
-    /// What is left; below zero after a debt.
+    /// Returns the current level; negative when overdrawn.
     pub fn level(&mut self, now: Time) -> f64 {
-        self.fill(now);
+        self.refill(now);
         self.level
     }
 
-    /// Whether nothing is left.
+    /// Returns whether the bucket is empty or overdrawn.
     pub fn is_empty(&mut self, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.level <= 0.0
     }
 
-    fn fill(&mut self, now: Time) {
-        let added = self.rate * now.seconds_since(self.filled);
+    fn refill(&mut self, now: Time) {
+        let added = self.rate * now.seconds_since(self.refilled_at);
         self.level = (self.level + added).min(capacity(self.rate));
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
@@ -84,82 +84,84 @@
     (rate * BURST_S).max(1.0)
 }
 
-/// Rate of one team, over all entries.
+/// Rate limit of one team across all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Tokens a second, of prompts and answers.
+    /// Tokens per second, in prompts and responses.
     pub tokens: f64,
 }
 
-struct Account {
+struct TeamBuckets {
     requests: TokenBucket,
     tokens: TokenBucket,
 }
 
-/// Buckets of all teams at one entry, each filled at the entry's present share of the team's rate.
+/// Rate limiter of one entry: buckets of all teams, each refilled at the entry's current share of
+/// the team's rate.
 ///
-/// A request is charged its prompt when it is admitted and its answer when it is done, so a team
-/// may overdraw its tokens by what runs and then waits.
+/// A request is charged for its prompt on admission and for its response on completion, so the
+/// requests in flight can overdraw a team's tokens; the team then waits until they are refilled.
 #[derive(Default)]
 pub struct TeamLimiter {
-    /// Only teams of the bundle in force.
-    accounts: HashMap<String, Account>,
+    /// Holds only teams of the current bundle.
+    teams: HashMap<String, TeamBuckets>,
 }
 
 impl TeamLimiter {
-    /// Forgets the teams that are not among these.
+    /// Removes the teams that `kept` rejects.
     pub fn retain(&mut self, kept: impl Fn(&str) -> bool) {
-        self.accounts.retain(|team, _| kept(team));
+        self.teams.retain(|team, _| kept(team));
     }
 
-    /// Sets the rate that this entry may grant a team. A new team begins with a full bucket.
+    /// Sets the rate that this entry may grant a team. A new team starts with full buckets.
     pub fn set_rate(&mut self, team: &str, rate: Rate, now: Time) {
-        match self.accounts.get_mut(team) {
-            Some(account) => {
-                account.requests.set_rate(rate.requests, now);
-                account.tokens.set_rate(rate.tokens, now);
+        match self.teams.get_mut(team) {
+            Some(buckets) => {
+                buckets.requests.set_rate(rate.requests, now);
+                buckets.tokens.set_rate(rate.tokens, now);
             }
             None => {
                 let requests = TokenBucket::new(rate.requests, now);
                 let tokens = TokenBucket::new(rate.tokens, now);
-                self.accounts
-                    .insert(team.to_owned(), Account { requests, tokens });
+                self.teams
+                    .insert(team.to_owned(), TeamBuckets { requests, tokens });
             }
         }
     }
 
-    /// Requests and tokens that a team has left.
+    /// Returns the requests and tokens that a team has left.
     pub fn remaining(&mut self, team: &str, now: Time) -> [f64; 2] {
-        let account = self.accounts.get_mut(team);
-        account.map_or([0.0; 2], |it| {
+        let buckets = self.teams.get_mut(team);
+        buckets.map_or([0.0; 2], |it| {
             [it.requests.level(now), it.tokens.level(now)]
         })
     }
 
-    /// Admits a request with a prompt of `tokens`, or says why not.
+    /// Admits a request with a prompt of `tokens`, or returns the reason for its refusal.
     pub fn admit(&mut self, team: &str, tokens: f64, now: Time) -> Result<(), Kind> {
-        let account = self.accounts.get_mut(team).ok_or(Kind::NotFound)?;
-        if account.tokens.is_empty(now) || !account.requests.try_take(1.0, now) {
+        let buckets = self.teams.get_mut(team).ok_or(Kind::NotFound)?;
+        if buckets.tokens.is_empty(now) || !buckets.requests.try_take(1.0, now) {
             return Err(Kind::RateLimited);
         }
-        account.tokens.charge(tokens, now);
+        buckets.tokens.charge(tokens, now);
         Ok(())
     }
 
-    /// Charges the tokens of an answer.
+    /// Charges a team for the tokens of a response.
     pub fn charge(&mut self, team: &str, tokens: f64, now: Time) {
-        if let Some(account) = self.accounts.get_mut(team) {
-            account.tokens.charge(tokens, now);
+        if let Some(buckets) = self.teams.get_mut(team) {
+            buckets.tokens.charge(tokens, now);
         }
     }
 }
 
-/// Whether a request of a class (0 is the most important) is shed while `running` of `slots` are
-/// taken: each class leaves a share of the slots to those above it, so the lowest goes first.
+/// Returns whether to shed a request of a class (0 is the highest) while `running` of `slots` are
+/// in use. Each class leaves a share of the slots to the classes above, so the lowest is shed
+/// first.
 pub fn should_shed(class: u8, running: u32, slots: u32) -> bool {
-    let usable = 1.0 - HEADROOM * f64::from(class);
-    let bound = (f64::from(slots) * usable.max(HEADROOM)).max(1.0);
+    let usable = 1.0 - CLASS_HEADROOM * f64::from(class);
+    let bound = (f64::from(slots) * usable.max(CLASS_HEADROOM)).max(1.0);
     bound <= f64::from(running)
 }
--- a/crates/gradeloft_policy/src/request/at_most_once.rs
+++ b/crates/gradeloft_policy/src/request/at_most_once.rs
@@ -1,8 +1,8 @@
 //! Calls that run at most once.
 //!
-//! An agent runs a keyed call only after its claim stands on the platform's log as the first one
-//! for the key. Every agent of the service folds the same stream, so an agent that restarts, that
-//! wakes from a pause or that was not the key's home learns of a claim that came first.
+//! An agent runs a keyed call only once its claim is the first one for the key in the platform's
+//! log. All agents of the service replay the same stream, so an agent that restarts, resumes after
+//! a pause or takes over a key learns of any earlier claim.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,65 +10,65 @@
 
 use crate::clock::Time;
 
-/// Outcomes kept for repeated calls.
+/// Most outcomes kept for repeated calls.
 const MAX_OUTCOMES: usize = 1024;
 
-/// What to do with a keyed call.
+/// Next step for a keyed call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step<O> {
-    /// Append this claim and read the stream up to it, then ask [`ClaimTable::settle`].
+    /// Append this claim and read the stream past it, then call [`ClaimTable::settle`].
     Claim(Claim),
-    /// Answer with the outcome of the first call.
+    /// Respond with the outcome of the first call.
     Replay(O),
-    /// Answer with this kind.
+    /// Respond with this error.
     Refuse(Kind),
-    /// Run it, now.
+    /// Run the call now.
     Run,
 }
 
-enum Own<O> {
-    /// The claim is on its way to the log or is being read back.
-    Claiming { attempt: u128, asked: Time },
-    /// Given up before it ran; the claim may stand on the log all the same.
+enum Call<O> {
+    /// The claim is being appended to the log or read back.
+    Claiming { attempt: u128, requested_at: Time },
+    /// Given up before the call ran; the claim may still be in the log.
     Abandoned { attempt: u128 },
-    /// It runs, or its outcome was lost.
+    /// The call is running, or its outcome is no longer known.
     Started,
-    /// It ran, with this outcome.
+    /// The call ran with this outcome.
     Done(O),
 }
 
-/// Claims of one service as one agent knows them; `O` is the outcome kept for repeated calls.
+/// Claims of one service, as known to one agent. `O` is the outcome kept for repeated calls.
 pub struct ClaimTable<O> {
-    /// First claim of each key by offset, from the log. Never replaced.
+    /// First claim of each key by log offset, as attempt and offset. Never replaced.
     claimed: HashMap<Digest, (u128, u64)>,
-    own: HashMap<Digest, Own<O>>,
-    /// Keys whose outcomes are kept, oldest first; at most [`MAX_OUTCOMES`].
+    calls: HashMap<Digest, Call<O>>,
+    /// Keys with a stored outcome, oldest first; at most [`MAX_OUTCOMES`].
     outcomes: VecDeque<Digest>,
-    /// Offset after the last record folded.
+    /// Offset after the last record applied.
     next: u64,
-    /// A claim must be settled within this after it was asked for, in milliseconds; far below the
-    /// log's retention, so that a holder that wakes from a pause can't outlive its claim.
+    /// Time limit from requesting a claim to settling it, in milliseconds. It is far below the
+    /// log's retention, so a holder that resumes after a pause can't outlive its claim.
     expiry_ms: u64,
 }
 
 impl<O: Clone> ClaimTable<O> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(expiry_ms: u64) -> ClaimTable<O> {
         ClaimTable {
             claimed: HashMap::new(),
-            own: HashMap::new(),
+            calls: HashMap::new(),
             outcomes: VecDeque::new(),
             next: 0,
             expiry_ms,
         }
     }
 
-    /// Offset to read the stream from.
+    /// Returns the offset to read the stream from.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Folds the claims at `offset`. Records at offsets already folded change nothing.
+    /// Applies the claims at `offset`. Offsets that were applied before have no effect.
     pub fn fold(&mut self, offset: u64, claims: &[Claim]) {
         if offset < self.next {
             return;
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Passes over an offset that holds nothing to fold.
+    /// Advances past an offset without claims.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// Forgets claims that the log has dropped: those below `oldest`.
+    /// Removes claims below `oldest`, which the log has dropped.
     pub fn drop_below(&mut self, oldest: u64) {
-        let ClaimTable { claimed, own, .. } = self;
+        let ClaimTable { claimed, calls, .. } = self;
         let dropped: Vec<Digest> = claimed
             .iter()
             .filter(|(_, (_, offset))| *offset < oldest)
@@ -96,22 +96,24 @@
             .collect();
         for key in dropped {
             claimed.remove(&key);
-            own.remove(&key);
+            calls.remove(&key);
         }
     }
 
-    /// A keyed call arrives.
+    /// Returns the next step for a keyed call that arrives.
     pub fn arrive(&mut self, key: Digest, attempt: u128, now: Time) -> Step<O> {
-        match self.own.get(&key) {
-            Some(Own::Done(outcome)) => return Step::Replay(outcome.clone()),
-            Some(Own::Claiming { .. } | Own::Started) => return Step::Refuse(Kind::Duplicate),
-            Some(&Own::Abandoned { attempt }) => {
-                // The earlier claim is this agent's own and never ran: take it up again.
-                self.own.insert(
+        match self.calls.get(&key) {
+            Some(Call::Done(outcome)) => return Step::Replay(outcome.clone()),
+            Some(Call::Claiming { .. } | Call::Started) => {
+                return Step::Refuse(Kind::Duplicate);
+            }
+            Some(&Call::Abandoned { attempt }) => {
+                // The earlier claim belongs to this agent and never ran, so it is reused.
+                self.calls.insert(
                     key,
-                    Own::Claiming {
+                    Call::Claiming {
                         attempt,
-                        asked: now,
+                        requested_at: now,
                     },
                 );
                 return Step::Claim(Claim { key, attempt });
@@ -121,71 +123,76 @@
         if self.claimed.contains_key(&key) {
             return Step::Refuse(Kind::Duplicate);
         }
-        self.own.insert(
+        self.calls.insert(
             key,
-            Own::Claiming {
+            Call::Claiming {
                 attempt,
-                asked: now,
+                requested_at: now,
             },
         );
         Step::Claim(Claim { key, attempt })
     }
 
-    /// The stream has been read past the claim: whether the call runs. Only the first claim by
-    /// offset runs, and only once.
+    /// Decides whether the call runs, once the stream has been read past its claim. Only the first
+    /// claim by offset runs, and only once.
     pub fn settle(&mut self, key: Digest, now: Time) -> Step<O> {
-        let Some(&Own::Claiming { attempt, asked }) = self.own.get(&key) else {
+        let Some(&Call::Claiming {
+            attempt,
+            requested_at,
+        }) = self.calls.get(&key)
+        else {
             return Step::Refuse(Kind::Duplicate);
         };
         match self.claimed.get(&key) {
             Some((first, _)) if *first == attempt => {}
             Some(_) => {
-                self.own.remove(&key);
+                self.calls.remove(&key);
                 return Step::Refuse(Kind::Duplicate);
             }
             None => {
-                self.own.insert(key, Own::Abandoned { attempt });
+                self.calls.insert(key, Call::Abandoned { attempt });
                 return Step::Refuse(Kind::LogUnavailable);
             }
         }
-        if asked.after_ms(self.expiry_ms) < now {
-            self.own.insert(key, Own::Abandoned { attempt });
+        if requested_at.after_ms(self.expiry_ms) < now {
+            self.calls.insert(key, Call::Abandoned { attempt });
             return Step::Refuse(Kind::LogUnavailable);
         }
-        self.own.insert(key, Own::Started);
+        self.calls.insert(key, Call::Started);
         Step::Run
     }
 
-    /// The claim can't be appended or read back: the call has not run.
+    /// Gives up a claim that can't be appended or read back. Its call has not run.
     pub fn abandon(&mut self, key: Digest) {
-        if let Some(&Own::Claiming { attempt, .. }) = self.own.get(&key) {
-            self.own.insert(key, Own::Abandoned { attempt });
+        if let Some(&Call::Claiming { attempt, .. }) = self.calls.get(&key) {
+            self.calls.insert(key, Call::Abandoned { attempt });
         }
     }
 
-    /// The call that [`Step::Run`] allowed did not reach the endpoint after all.
+    /// Records that the call that [`Step::Run`] allowed did not reach the endpoint.
     pub fn mark_not_run(&mut self, key: Digest) {
         let first = self.claimed.get(&key).map(|(attempt, _)| *attempt);
-        if let (Some(Own::Started), Some(attempt)) = (self.own.get(&key), first) {
-            self.own.insert(key, Own::Abandoned { attempt });
+        if let (Some(Call::Started), Some(attempt)) = (self.calls.get(&key), first) {
+            self.calls.insert(key, Call::Abandoned { attempt });
         }
     }
 
-    /// The call ran with this outcome. The oldest outcome is forgotten when too many are kept: a
-    /// repeat of that call is still refused, as one whose outcome is unknown.
+    /// Records the outcome of a call that ran. If too many outcomes are kept, the oldest is
+    /// dropped; repeats of that call are still refused, as its outcome is unknown.
     pub fn complete(&mut self, key: Digest, outcome: O) {
         if self.outcomes.len() == MAX_OUTCOMES
             && let Some(oldest) = self.outcomes.pop_front()
-            && let Some(own) = self.own.get_mut(&oldest)
+            && let Some(call) = self.calls.get_mut(&oldest)
         {
-            *own = Own::Started;
+            *call = Call::Started;
         }
         self.outcomes.push_back(key);
-        self.own.insert(key, Own::Done(outcome));
+        self.calls.insert(key, Call::Done(outcome));
     }
 }
 
-/// Key of a call in the table: the same caller's key of another team or service is another key.
+/// Returns the table key of a call. The same caller key gives different table keys for different
+/// teams and services.
 pub fn key(service: &str, team: &str, caller_key: &str) -> Digest {
     Digest::of_parts(&[service, team, caller_key].map(str::as_bytes))
 }
--- a/crates/gradeloft_policy/src/request/attempt.rs
+++ b/crates/gradeloft_policy/src/request/attempt.rs
@@ -1,41 +1,42 @@
-//! What is known of one attempt at a request after it ended, and what may follow.
+//! Outcomes of failed attempts at a request, and whether another attempt may follow.
 
 use crate::process::document::Kind;
 
-/// How an attempt ended without an answer that can be passed on.
+/// Reason why an attempt ended without a response to relay.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Failure {
-    /// Its answer broke off or was not HTTP.
+    /// The response broke off or was not valid HTTP.
     Broken,
-    /// The replica answered that it failed.
+    /// The replica responded with a failure.
     Failed,
-    /// The connection ended after the request went out, with no answer.
+    /// The connection closed after the request was sent, without a response.
     Lost,
-    /// Another replica has the address now; it ran nothing.
+    /// The address now belongs to another replica, which did not run the request.
     Misdirected,
-    /// It was taken back before it began, since the replica's weights became too old.
+    /// The entry withdrew the attempt before its response began, as the replica's weights became
+    /// too old.
     Outdated,
-    /// The replica answered that it ran nothing.
+    /// The replica responded that it did not run the request.
     Refused,
-    /// Nothing came from the replica for too long, on a connection that is open.
+    /// The replica sent nothing for too long on an open connection.
     Silent,
-    /// No connection could be made; nothing was sent.
+    /// No connection could be made, so nothing was sent.
     Unsent,
-    /// It was taken back, since another replica that had it answers.
+    /// The entry withdrew the attempt, as another replica with the same request responds.
     Withdrawn,
 }
 
 /// Whether a request has run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ran {
-    /// It has not and will not.
+    /// The request has not run and will not.
     No,
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
 impl Failure {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn ran(self) -> Ran {
         match self {
             Failure::Misdirected | Failure::Refused | Failure::Unsent => Ran::No,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Whether it speaks against the replica, so that others are better for a while.
+    /// Returns whether the failure counts against the replica, so that others are preferred for a
+    /// while.
     pub fn implicates_replica(self) -> bool {
         !matches!(
             self,
@@ -56,12 +58,12 @@
         )
     }
 
-    /// Whether it is what the end of a replica looks like to a request that it had.
+    /// Returns whether a crash of the replica would look like this to one of its requests.
     pub fn may_be_crash(self) -> bool {
         matches!(self, Failure::Broken | Failure::Lost | Failure::Silent)
     }
 
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Failure::Broken => "broken",
@@ -77,21 +79,21 @@
     }
 }
 
-/// The attempts of one request so far.
+/// Attempts made for one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Attempts {
-    /// What may be repeated.
+    /// Kind of the route, which decides whether a request that may have run can be repeated.
     pub kind: Kind,
-    /// Replicas that got it, or may have.
+    /// Attempts that reached a replica or may have.
     pub attempts: u32,
-    /// Most replicas that may get it.
+    /// Most replicas that may receive the request.
     pub max_attempts: u32,
     /// Whether any attempt may have run.
     pub ran: Ran,
 }
 
 impl Attempts {
-    /// No attempt yet.
+    /// Creates the state of a request without attempts.
     pub fn new(kind: Kind, max_attempts: u32) -> Attempts {
         Attempts {
             kind,
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Takes the end of an attempt in. Whatever reached a replica counts against the limit.
+    /// Records a failed attempt. Every attempt that may have reached a replica counts against the
+    /// limit.
     pub fn record_failure(&mut self, failure: Failure) {
         if failure != Failure::Unsent {
             self.attempts += 1;
@@ -111,9 +114,9 @@
         }
     }
 
-    /// Whether another replica may get the request.
+    /// Returns whether the request may be sent to another replica.
     pub fn may_retry(&self) -> bool {
-        let harmless = self.ran == Ran::No || self.kind.repeatable();
-        harmless && self.attempts < self.max_attempts
+        let is_safe = self.ran == Ran::No || self.kind.repeatable();
+        is_safe && self.attempts < self.max_attempts
     }
 }
--- a/crates/gradeloft_policy/src/request/caller_age.rs
+++ b/crates/gradeloft_policy/src/request/caller_age.rs
@@ -1,68 +1,72 @@
-//! How long ago a caller first asked.
+//! Estimates how long ago a caller first sent its request.
 //!
-//! Each request says how much time its caller has left. Callers that were refused and came back have less than those of the
-//! same route that ask for the first time. First tries differ too, as callers differ in patience, so a request only counts
-//! as older by what it has less than nearly all first tries.
+//! Each request carries the time its caller has left. Callers that retry after a refusal have less
+//! of it than first attempts on the same route. Timeouts also vary between callers, so only the
+//! difference from nearly all first attempts counts as age.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use crate::clock::Time;
 
-/// Length of a window of samples, in milliseconds: short enough to follow callers that change.
+/// Length of a sample window, in milliseconds; short enough to follow changing callers.
 const WINDOW_MS: u64 = 10_000;
-/// Most samples of a window.
-const SAMPLES: usize = 64;
-/// Samples below which the largest stands for first tries, as it can't be seen whether callers differ.
-const FEW: usize = 16;
-/// Callers are alike if at least this part of the samples equals the largest, give or take [`NEARLY`] of it. Even in a
-/// shortage in which each caller comes back once, half of the requests are first tries.
-const ALIKE: f64 = 1.0 / 3.0;
-const NEARLY: f64 = 0.01;
-/// Part of the requests of a window that may have less time left than first tries, where callers differ: those that
-/// come back. In a shortage it is more, and the window before decides.
-const RETURNED: f64 = 0.1;
+/// Most samples per window.
+const MAX_SAMPLES: usize = 64;
+/// Below this many samples the largest one stands for first attempts, as variation between callers
+/// isn't visible yet.
+const MIN_SAMPLES: usize = 16;
+/// Callers count as uniform if at least this share of the samples is within [`TOLERANCE`] of the
+/// largest. Half of the requests are first attempts even in a shortage in which each caller retries
+/// once.
+const UNIFORM_SHARE: f64 = 1.0 / 3.0;
+const TOLERANCE: f64 = 0.01;
+/// Share of a window's requests that may be retries with less time left than first attempts, where
+/// timeouts vary. A shortage causes more retries; then the previous window decides.
+const RETRY_SHARE: f64 = 0.1;
 
-/// Time left of requests of one route.
+/// Remaining times of the requests on one route.
 #[derive(Clone, Debug, Default)]
 struct Samples {
-    begun: Time,
-    /// Of this window, least first; at most [`SAMPLES`].
-    now: Vec<Duration>,
-    /// Least of first tries in the window before.
-    before: Option<Duration>,
+    window_start: Time,
+    /// Samples of the current window, ascending; at most [`MAX_SAMPLES`].
+    current: Vec<Duration>,
+    /// Shortest time budget of first attempts in the previous window.
+    previous: Option<Duration>,
 }
 
 impl Samples {
     fn add(&mut self, left: Duration, now: Time) {
-        if self.begun.after_ms(WINDOW_MS) <= now {
-            self.before = first_try(&self.now).or(self.before);
-            self.now.clear();
-            self.begun = now;
+        if self.window_start.after_ms(WINDOW_MS) <= now {
+            self.previous = initial_budget(&self.current).or(self.previous);
+            self.current.clear();
+            self.window_start = now;
         }
-        if self.now.len() < SAMPLES {
-            let place = self.now.partition_point(|it| *it < left);
-            self.now.insert(place, left);
+        if self.current.len() < MAX_SAMPLES {
+            let idx = self.current.partition_point(|it| *it < left);
+            self.current.insert(idx, left);
         }
     }
 
-    /// Least of first tries. Callers that come back can only lower the estimate, so the higher one of both windows
-    /// counts.
-    fn first_try(&self) -> Duration {
-        let is_known = FEW <= self.now.len() || self.before.is_none();
-        let now = first_try(&self.now).filter(|_| is_known);
-        now.max(self.before).unwrap_or_default()
+    /// Returns the shortest time budget of first attempts: the larger estimate of both windows, as
+    /// retries can only lower it.
+    fn initial_budget(&self) -> Duration {
+        let is_known = MIN_SAMPLES <= self.current.len() || self.previous.is_none();
+        let current = initial_budget(&self.current).filter(|_| is_known);
+        current.max(self.previous).unwrap_or_default()
     }
 }
 
-/// Least of the first tries among sorted samples.
-fn first_try(samples: &[Duration]) -> Option<Duration> {
-    let most = *samples.last()?;
-    let nearly = samples.partition_point(|it| *it < most.mul_f64(1.0 - NEARLY));
-    if samples.len() < FEW || samples.len() as f64 * ALIKE <= (samples.len() - nearly) as f64 {
-        return Some(most);
+/// Estimates the shortest time budget of first attempts from sorted samples.
+fn initial_budget(samples: &[Duration]) -> Option<Duration> {
+    let largest = *samples.last()?;
+    let first_near = samples.partition_point(|it| *it < largest.mul_f64(1.0 - TOLERANCE));
+    if samples.len() < MIN_SAMPLES
+        || samples.len() as f64 * UNIFORM_SHARE <= (samples.len() - first_near) as f64
+    {
+        return Some(largest);
     }
     samples
-        .get((samples.len() as f64 * RETURNED) as usize)
+        .get((samples.len() as f64 * RETRY_SHARE) as usize)
         .copied()
 }
 
@@ -73,14 +77,14 @@
 }
 
 impl TimeBudgets {
-    /// Takes in that a caller of a route has `left`; gives how long it has waited at least.
+    /// Records that a caller of a route has `left`, and returns how long it has waited at least.
     pub fn age(&mut self, route: &Rc<str>, left: Duration, now: Time) -> Duration {
         let samples = self.routes.entry(Rc::clone(route)).or_default();
         samples.add(left, now);
-        samples.first_try().saturating_sub(left)
+        samples.initial_budget().saturating_sub(left)
     }
 
-    /// Forgets routes that no longer exist.
+    /// Removes routes that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.routes.retain(|it, _| exists(it));
     }
--- a/crates/gradeloft_policy/src/request/mod.rs
+++ b/crates/gradeloft_policy/src/request/mod.rs
@@ -1,16 +1,16 @@
-//! What lives for a request.
+//! State and decisions that last for one request.
 //!
-//! - [`admission`]: rates of teams and the shedding of classes.
-//! - [`caller_age`]: how long ago a caller first asked.
-//! - [`response`]: whether the frames of an answer are whole and its own.
-//! - [`attempt`]: what may follow a failed attempt.
-//! - [`forecast`]: when a replica would begin an answer.
+//! - [`admission`]: rate limits of teams and load shedding by class.
 //! - [`at_most_once`]: calls that run at most once.
-//! - [`placement`]: which replica gets a forwarded request.
-//! - [`quarantine`]: requests that end the replicas which begin them.
-//! - [`retry`]: whether a failed attempt is tried again.
-//! - [`route`]: which replica gets it.
-//! - [`shortage`]: when callers that are refused come back.
+//! - [`attempt`]: whether another attempt may follow a failed one.
+//! - [`caller_age`]: how long ago a caller first sent its request.
+//! - [`forecast`]: time to first token at a replica.
+//! - [`placement`]: selection of a replica for a forwarded request.
+//! - [`quarantine`]: requests that crash the replicas running them.
+//! - [`response`]: validation of response frames.
+//! - [`retry`]: whether to retry a failed attempt.
+//! - [`route`]: selection of a replica by prefix affinity and load.
+//! - [`shortage`]: when refused callers retry.
 //! - [`wait`]: how long a request waits for a replica with room.
 
 pub mod admission;
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -1,4 +1,4 @@
-//! Which replica of a service gets a request.
+//! Selection of a replica of a service for a forwarded request.
 
 use std::{fmt, time::Duration};
 
@@ -16,49 +16,49 @@
     request::forecast,
 };
 
-/// What a replica in another availability zone has to be emptier by, as a part of its slots: the way
-/// there costs milliseconds and priced bytes.
-const FAR: f64 = 0.8;
-/// What each request that has not begun adds, as a part of a replica's slots. Prompts are read one
-/// after the other, so a request is late behind a few of them even where slots are free.
-const WAITS: f64 = 0.15;
-/// Noise, as a part of a replica's slots, so that entries with the same view do not all pick the
-/// same replica.
-const NOISE: f64 = 0.06;
-/// What a replica with an older version than others is behind them by, as a part of its slots, so
-/// that it runs empty before it changes over.
-const OLD: f64 = 0.6;
-/// Replicas that are compared, in the entry's availability zone and elsewhere. Entries learn of each
-/// other's requests an eighth of a second late, so if each compared all replicas, all entries of a large
-/// fleet would send what comes meanwhile to the same few.
-const COMPARED: usize = 3;
-/// Requests beyond a replica's slots that it is given. A request that waits for a slot is late, and
-/// makes those behind it late.
-const WAITING: u32 = 2;
+/// Cost of a replica in another availability zone, as a share of its slots: the distance adds
+/// milliseconds and billed traffic.
+const REMOTE_COST: f64 = 0.8;
+/// Cost of each request whose response has not begun, as a share of the replica's slots. Prompts
+/// are read one after the other, so a request behind a few of them is late even if slots are free.
+const UNSTARTED_COST: f64 = 0.15;
+/// Range of a random cost, as a share of the replica's slots, so that entries with the same view
+/// don't all choose the same replica.
+const COST_JITTER: f64 = 0.06;
+/// Cost of a replica with an older version than others, as a share of its slots, so that it drains
+/// before it changes version.
+const STALE_VERSION_COST: f64 = 0.6;
+/// Number of replicas to compare, both nearby and far. Entries learn of each other's requests 125
+/// ms late, so if each compared all replicas, all entries of a large fleet would send their
+/// requests to the same few.
+const COMPARED_CANDIDATES: usize = 3;
+/// Requests that a replica is given beyond its slots. A request that waits for a slot is late and
+/// delays those behind it.
+const MAX_QUEUED: u32 = 2;
 
-/// Requests that have not begun which a replica is given at most. Behind so many prompts the first
-/// token is late by today's objectives, and should the replica stop, all of them are held up.
-const MAX_UNBEGUN: u32 = 8;
-/// Part of the time within which an answer has to begin that a forecast may take. The rest is for the
-/// way back to the caller, and for what other entries send to the same replica meanwhile.
-const TIMELY: f64 = 0.9;
-/// Part of a replica's slots that requests which are late in any case leave free. Fresh requests come
-/// to a busy replica every tenth of a second, and need a slot at once.
-const SPARE: f64 = 0.125;
+/// Most requests without a response that a replica is given. The first token behind more prompts
+/// misses typical latency objectives, and a replica that stops delays all of them.
+const MAX_UNSTARTED: u32 = 8;
+/// Share of the remaining time to the first token that the forecast may take. The rest covers the
+/// way back to the caller and requests that other entries send to the replica meanwhile.
+const FORECAST_SHARE: f64 = 0.9;
+/// Share of a replica's slots that late requests leave free. A busy replica receives a new request
+/// every 100 ms, which needs a slot at once.
+const LATE_HEADROOM: f64 = 0.125;
 
-/// What an answer to a request can still be.
+/// Latency that is still achievable for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Urgency {
-    /// It has begun, and goes on at another replica.
+    /// The response has begun and resumes at another replica.
     Resumed,
-    /// It is late whenever it begins.
+    /// The response is late whenever it begins.
     Late,
-    /// It is in time if it begins within so many milliseconds.
+    /// The response is in time if it begins within this many milliseconds.
     OnTime(f64),
 }
 
 impl Urgency {
-    /// Of a request that has so much time left to be in time.
+    /// Returns the urgency of a request that has `left` until it is late.
     pub fn of(left: Duration) -> Urgency {
         if left.is_zero() {
             Urgency::Late
@@ -67,13 +67,13 @@
         }
     }
 
-    /// What the request can be where no replica makes it that.
+    /// Returns the urgency to fall back to if no replica can meet this one.
     pub fn fallback(self) -> Option<Urgency> {
         matches!(self, Urgency::OnTime(_)).then_some(Urgency::Late)
     }
 
-    /// Rank in a replica's queue, from 0 for the first to 9: streams that go on, then what can be in
-    /// time, then what is late; within each by the operator's `priority` of its route.
+    /// Returns the rank in a replica's queue, from 0 (first) to 9: resumed streams, then requests
+    /// that can be in time, then late ones; within each by the operator's `priority` of the route.
     pub fn rank(self, priority: u32) -> u32 {
         match self {
             Urgency::Resumed => 0,
@@ -93,170 +93,172 @@
     }
 }
 
-/// What a request asks of its replica.
+/// Requirements of a request on its replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// The entry's availability zone.
+    /// Availability zone of the entry.
     pub zone: &'a str,
-    /// Oldest version of weights allowed; `None` for any.
+    /// Oldest weights version allowed; `None` for any.
     pub oldest: Option<u64>,
-    /// Version that began the answer, where another replica is to go on with it.
+    /// Version that began the response, if another replica is to resume it.
     pub same: Option<u64>,
-    /// Replicas that this request has been sent to.
+    /// Replicas that this request was sent to before.
     pub tried: &'a [ReplicaKey],
-    /// What its answer can still be.
+    /// Latency that is still achievable.
     pub claim: Urgency,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: f64,
-    /// How fast the service's engines work; `None` for services without a model.
+    /// Published speed of the service's engines; `None` for services without a model.
     pub speed: Option<&'a Speed>,
-    /// How far what is known of replicas in this entry's region may be off.
+    /// Uncertainty about the load of replicas in the entry's region.
     pub near: Uncertainty,
-    /// The same for replicas of other regions, of which is heard later.
+    /// Uncertainty about the load of replicas in other regions, which is reported later.
     pub far: Uncertainty,
 }
 
-/// How far what an entry knows of others' requests may be off.
+/// Uncertainty about requests of other entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Uncertainty {
-    /// Part of the requests beyond the entry's own slots that may go where others' slots are free.
+    /// Probability that a request beyond the entry's own slots may use free slots of other entries.
     pub chance: f64,
-    /// Requests that may have come to each replica since others told what they have there.
+    /// Estimated requests that each replica received from other entries since their last reports.
     pub unseen: f64,
 }
 
 impl Requirements<'_> {
-    fn doubt(&self, replica: &Replica) -> Uncertainty {
+    fn uncertainty(&self, replica: &Replica) -> Uncertainty {
         if replica.near { self.near } else { self.far }
     }
 }
 
-/// What speaks against a replica before its load does. The first field that differs decides.
+/// Drawbacks of a replica that outweigh its load. The first field that differs decides.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Flaws {
-    /// It failed a moment ago.
+struct Penalties {
+    /// The replica failed recently.
     suspect: bool,
-    /// It sends nothing although it has requests.
+    /// The replica has requests but sends nothing.
     silent: bool,
-    /// Its instance's link is full.
+    /// The link of the replica's instance is saturated.
     congested: bool,
-    /// It has another version than the one that began the answer: whole answers come from one
-    /// version wherever a replica of it has room.
+    /// The replica's version differs from the one that began the response. A response comes from a
+    /// single version if any replica of that version has room.
     other_version: bool,
 }
 
-/// Slots that a request may take.
+/// Slots that a request may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Slots {
-    /// Those that other entries leave free, too.
+enum SlotScope {
+    /// Slots of this entry and free slots of others.
     Any,
-    /// Those of this entry's part.
+    /// Slots of this entry only.
     Own,
 }
 
-/// A replica that can get the request.
+/// A replica that can accept the request.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     key: ReplicaKey,
-    flaws: Flaws,
+    penalties: Penalties,
     near: bool,
     cost: f64,
-    /// Whether it has a free slot of this entry's part.
+    /// Whether one of this entry's own slots is free.
     own: bool,
-    /// Slots that are likely free, whoever's part they are.
+    /// Estimated number of free slots, including those of other entries.
     spare: f64,
 }
 
-/// Picks a replica among those with the fewest flaws; `None` if none takes the request.
+/// Selects a replica among those with the fewest drawbacks; `None` if no replica accepts the
+/// request.
 ///
-/// A request to a model goes to the entry's own slots first, near ones before far ones. Where others'
-/// slots are seen free, entries draw among them, as all see the same.
+/// A request to a model uses the entry's own slots first, then free slots of other entries; nearby
+/// replicas come before far ones. The choice among other entries' slots is random, as all entries
+/// see the same ones.
 pub fn choose<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
-    wish: Requirements<'_>,
+    requirements: Requirements<'_>,
     now: Time,
     rng: &mut impl Rng,
 ) -> Option<ReplicaKey> {
-    let candidates = candidates(replicas, wish, now, rng);
-    let fewest = candidates.iter().map(|it| it.flaws).min()?;
-    let flawless = candidates.into_iter().filter(|it| it.flaws == fewest);
-    let candidates: Vec<Candidate> = flawless.collect();
-    let is_split = wish.speed.is_some() && wish.claim != Urgency::Resumed;
+    let candidates = candidates(replicas, requirements, now, rng);
+    let fewest = candidates.iter().map(|it| it.penalties).min()?;
+    let best = candidates.into_iter().filter(|it| it.penalties == fewest);
+    let candidates: Vec<Candidate> = best.collect();
+    let is_split = requirements.speed.is_some() && requirements.claim != Urgency::Resumed;
     if !is_split {
         return least_cost(candidates, rng);
     }
     let (near, far): (Vec<Candidate>, Vec<Candidate>) =
         candidates.into_iter().partition(|it| it.near);
-    split(near, rng).or_else(|| split(far, rng))
+    choose_split(near, rng).or_else(|| choose_split(far, rng))
 }
 
-/// One with a free slot of this entry's part, else one where others' slots are free.
-fn split(candidates: Vec<Candidate>, rng: &mut impl Rng) -> Option<ReplicaKey> {
+/// Selects a replica with a free slot of this entry, else one with free slots of other entries.
+fn choose_split(candidates: Vec<Candidate>, rng: &mut impl Rng) -> Option<ReplicaKey> {
     let (own, others): (Vec<Candidate>, Vec<Candidate>) =
         candidates.into_iter().partition(|it| it.own);
-    least_cost(own, rng).or_else(|| drawn_by_spare(&others, rng))
+    least_cost(own, rng).or_else(|| sample_by_spare(&others, rng))
 }
 
 fn candidates<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
-    wish: Requirements<'_>,
+    requirements: Requirements<'_>,
     now: Time,
     rng: &mut impl Rng,
 ) -> Vec<Candidate> {
     let open: Vec<(ReplicaKey, &Replica)> = replicas
-        .filter(|(key, it)| allowed(it, wish, now) && !wish.tried.contains(key))
+        .filter(|(key, it)| allowed(it, requirements, now) && !requirements.tried.contains(key))
         .collect();
-    let mut draw = |doubt: Uncertainty| match rng.random::<f64>() < doubt.chance {
-        true => Slots::Any,
-        false => Slots::Own,
+    let mut draw = |uncertainty: Uncertainty| match rng.random::<f64>() < uncertainty.chance {
+        true => SlotScope::Any,
+        false => SlotScope::Own,
     };
-    let (near, far) = (draw(wish.near), draw(wish.far));
+    let (near, far) = (draw(requirements.near), draw(requirements.far));
     let slots = |it: &Replica| if it.near { near } else { far };
     let newest = open.iter().filter_map(|(_, it)| it.version(now)).max();
     open.into_iter()
-        .filter(|(_, it)| has_room(it, wish, slots(it), now))
+        .filter(|(_, it)| has_room(it, requirements, slots(it), now))
         .map(|(key, it)| Candidate {
             key,
-            flaws: flaws(it, wish, now),
+            penalties: penalties(it, requirements, now),
             near: it.near,
-            cost: cost(it, wish, newest, now) + NOISE * rng.random::<f64>(),
+            cost: cost(it, requirements, newest, now) + COST_JITTER * rng.random::<f64>(),
             own: it.has_own_slot(),
-            spare: it.spare(wish.doubt(it).unseen),
+            spare: it.spare(requirements.uncertainty(it).unseen),
         })
         .collect()
 }
 
-/// The one with the fewest requests for its slots, among a few drawn near and far.
+/// Selects the replica of lowest cost among a random sample of near and far ones.
 fn least_cost(candidates: Vec<Candidate>, rng: &mut impl Rng) -> Option<ReplicaKey> {
     let (near, far): (Vec<Candidate>, Vec<Candidate>) =
         candidates.into_iter().partition(|it| it.near);
     let compared = near
         .into_iter()
-        .choose_multiple(rng, COMPARED)
+        .choose_multiple(rng, COMPARED_CANDIDATES)
         .into_iter()
-        .chain(far.into_iter().choose_multiple(rng, COMPARED));
+        .chain(far.into_iter().choose_multiple(rng, COMPARED_CANDIDATES));
     let best = compared.min_by(|a, b| a.cost.total_cmp(&b.cost));
     best.map(|it| it.key)
 }
 
-/// One of them, each as likely as it has slots to spare.
-fn drawn_by_spare(candidates: &[Candidate], rng: &mut impl Rng) -> Option<ReplicaKey> {
+/// Selects a random replica, weighted by its free slots.
+fn sample_by_spare(candidates: &[Candidate], rng: &mut impl Rng) -> Option<ReplicaKey> {
     let drawn = candidates.choose_weighted(rng, |it| it.spare);
     drawn.ok().map(|it| it.key)
 }
 
-/// Why replicas can't get a request, by how many.
+/// Number of replicas that can't accept a request, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ExclusionCounts {
-    /// Leaving, about to load, or without weights.
+    /// Replicas that are leaving, about to load or without weights.
     pub closed: u32,
-    /// With as many requests as they are given, or cold.
+    /// Replicas that are full or still warming up.
     pub full: u32,
-    /// With weights that are too old.
+    /// Replicas whose weights are too old.
     pub old: u32,
-    /// Sent this request before.
+    /// Replicas that this request was sent to before.
     pub tried: u32,
-    /// In regions in which the request may not be served.
+    /// Replicas in regions where the request may not be served.
     pub away: u32,
 }
 
@@ -276,89 +278,95 @@
     }
 }
 
-/// Counts why replicas can't get a request; each counts once, by the first reason that holds. `at_home` says whether a
-/// replica is in a region in which the request may be served.
+/// Counts replicas that can't accept a request, each by the first reason that applies.
+/// `in_allowed_region` returns whether the request may be served in a replica's region.
 pub fn count_exclusions<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
-    at_home: impl Fn(&Replica) -> bool,
-    wish: Requirements<'_>,
+    in_allowed_region: impl Fn(&Replica) -> bool,
+    requirements: Requirements<'_>,
     now: Time,
 ) -> ExclusionCounts {
-    let mut census = ExclusionCounts::default();
+    let mut counts = ExclusionCounts::default();
     for (key, replica) in replicas {
-        if !at_home(replica) {
-            census.away += 1;
-        } else if wish.tried.contains(&key) {
-            census.tried += 1;
+        if !in_allowed_region(replica) {
+            counts.away += 1;
+        } else if requirements.tried.contains(&key) {
+            counts.tried += 1;
         } else if !replica.open(now) {
-            census.closed += 1;
-        } else if !allowed(replica, wish, now) {
-            census.old += 1;
-        } else if !has_room(replica, wish, Slots::Any, now) {
-            census.full += 1;
+            counts.closed += 1;
+        } else if !allowed(replica, requirements, now) {
+            counts.old += 1;
+        } else if !has_room(replica, requirements, SlotScope::Any, now) {
+            counts.full += 1;
         }
     }
-    census
+    counts
 }
 
-/// Whether a replica can take the request. Where all are short of time, those that can be answered in
-/// time come before those that can't, as both take the same work.
-fn has_room(replica: &Replica, wish: Requirements<'_>, slots: Slots, now: Time) -> bool {
+/// Returns whether a replica can accept the request. When capacity is short, requests that can be
+/// in time take precedence over late ones, as both cost the same work.
+fn has_room(
+    replica: &Replica,
+    requirements: Requirements<'_>,
+    slots: SlotScope,
+    now: Time,
+) -> bool {
     if !replica.warmup_allows(now) {
         return false;
     }
     let all = replica.listing.slots;
-    let takes_more = replica.load() < all + WAITING && replica.waiting() < MAX_UNBEGUN;
-    let Some(speed) = wish.speed else {
+    let takes_more = replica.load() < all + MAX_QUEUED && replica.waiting() < MAX_UNSTARTED;
+    let Some(speed) = requirements.speed else {
         return takes_more;
     };
-    let borrows = slots == Slots::Any;
-    let spare = replica.spare(wish.doubt(replica).unseen);
-    match wish.claim {
+    let borrows = slots == SlotScope::Any;
+    let spare = replica.spare(requirements.uncertainty(replica).unseen);
+    match requirements.claim {
         Urgency::Resumed => takes_more,
-        Urgency::Late => borrows && f64::from(all) * SPARE < spare,
+        Urgency::Late => borrows && f64::from(all) * LATE_HEADROOM < spare,
         Urgency::OnTime(within_ms) => {
             (replica.has_own_slot() || (borrows && 0.0 < spare))
-                && first_token_ms(replica, speed, wish.prompt_tokens) <= within_ms * TIMELY
+                && first_token_ms(replica, speed, requirements.prompt_tokens)
+                    <= within_ms * FORECAST_SHARE
         }
     }
 }
 
-/// Time until a replica would send the first token of an answer, in milliseconds.
+/// Returns the forecast time until a replica sends the first token of a response, in milliseconds.
 pub fn first_token_ms(replica: &Replica, speed: &Speed, prompt_tokens: f64) -> f64 {
     let published_ms = forecast::first_token_ms(speed, replica.queue(speed), prompt_tokens);
     published_ms * replica.slowness.factor()
 }
 
-fn allowed(replica: &Replica, wish: Requirements<'_>, now: Time) -> bool {
-    let new_enough = wish.oldest.is_none_or(|oldest| {
+fn allowed(replica: &Replica, requirements: Requirements<'_>, now: Time) -> bool {
+    let new_enough = requirements.oldest.is_none_or(|oldest| {
         let version = replica.version(now);
         !replica.listing.has_model || version.is_some_and(|it| oldest <= it)
     });
     replica.open(now) && new_enough
 }
 
-fn cost(replica: &Replica, wish: Requirements<'_>, newest: Option<u64>, now: Time) -> f64 {
+fn cost(replica: &Replica, requirements: Requirements<'_>, newest: Option<u64>, now: Time) -> f64 {
     let slots = f64::from(replica.listing.slots.max(1));
     let version = replica.version(now);
     let mut cost = f64::from(replica.load()) / slots;
     if replica.listing.has_model {
-        cost += WAITS * f64::from(replica.waiting());
+        cost += UNSTARTED_COST * f64::from(replica.waiting());
     }
-    if replica.listing.zone != wish.zone {
-        cost += FAR;
+    if replica.listing.zone != requirements.zone {
+        cost += REMOTE_COST;
     }
-    if wish.same.is_none() && version < newest {
-        cost += OLD;
+    if requirements.same.is_none() && version < newest {
+        cost += STALE_VERSION_COST;
     }
     cost
 }
 
-fn flaws(replica: &Replica, wish: Requirements<'_>, now: Time) -> Flaws {
-    Flaws {
+fn penalties(replica: &Replica, requirements: Requirements<'_>, now: Time) -> Penalties {
+    Penalties {
         suspect: replica.suspect(now),
         silent: replica.silent(now),
         congested: replica.congested(now),
-        other_version: wish.same.is_some() && wish.same != replica.version(now),
+        other_version: requirements.same.is_some() && requirements.same != replica.version(now),
     }
 }
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -1,93 +1,97 @@
-//! Requests that end each replica which begins them: queries of death.
+//! Quarantine of poison requests ("queries of death"): requests that crash each replica that starts
+//! them.
 //!
-//! Such a request comes again, from a caller that retries or asks the same anew, at any entry. What an entry
-//! knows of one attempt ends with its answer, and each attempt alone looks like bad luck with a replica. What
-//! lasts here is a request's [`Fingerprint`], and under it the starts of replicas that ended while they had it.
+//! Such a request returns at any entry when its caller retries or asks again. The state of an
+//! attempt ends with its response, and each attempt alone looks like an unrelated replica failure.
+//! This module therefore keeps, by the request's [`Fingerprint`], the starts of the replicas that
+//! crashed while they had it.
 //!
-//! A replica that ends takes along all that runs there, so a single crash blames a dozen requests of which one
-//! is the cause at most. A request is shut out once it has crashes enough that no other request explains as
-//! well, and any success clears it. What several entries saw is joined as sets: words may come late, more than
-//! once and in any order.
+//! A crashing replica loses all its requests, so one crash implicates a dozen requests of which at
+//! most one is the cause. A request is quarantined once it has enough crashes that no other request
+//! explains equally well, and any success clears it. Observations of several entries merge as sets,
+//! so messages may arrive late, repeatedly and in any order.
 
 use std::{collections::HashMap, time::Duration};
 
 use gradeloft_wire::{
     id::Fingerprint,
-    quarantine::{Crash, MOST_CRASHES, Suspect as Word},
+    quarantine::{Crash, MOST_CRASHES, Suspect as SuspectMessage},
 };
 
 use crate::clock::Time;
 
-/// Crashes that no other request explains as well, from which on a request is shut out. Two happen by chance:
-/// of twelve replicas with fifteen innocent requests each, about one innocent for each crash is also at the
-/// next one, and one in a hundred at a third (`tests/quarantine.rs`).
+/// Crashes, not equally explained by another request, after which a request is quarantined. Two can
+/// be coincidence: with twelve replicas of fifteen innocent requests each, about one innocent
+/// request per crash is also at the next one, and one in a hundred at a third
+/// (`tests/quarantine.rs`).
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Crashes from which on an entry has one try of a request under way at most, so that what is still to be
-/// found out costs one replica at a time.
-const ALONE_AT: usize = 2;
-/// Time from the last crash of a request that is shut out until it is tried once more; doubles with each
-/// further crash, up to the longest. Each try costs a replica and what runs there, and the request's own caller
-/// has got no answer from it yet: minutes cost nobody anything.
-const FIRST_PAUSE: Duration = Duration::from_secs(600);
-const LONGEST_PAUSE: Duration = Duration::from_secs(24 * 3_600);
-/// Time for which a request with fewer crashes is remembered: callers that ask the same anew do so within
-/// minutes, and it is to be found out all the same while entries and replicas come and go.
-const REMEMBERED: Duration = Duration::from_secs(900);
-/// When the caller of a request is to come back that is tried already: as long as callers wait for an answer.
-const BUSY_BACK: Duration = Duration::from_secs(6);
-/// Requests that are remembered, of about a hundred bytes each. A mass failure of 2,300 replicas leaves more
-/// behind; those with the fewest crashes, and of these the oldest, go first.
-const MOST: usize = 1_024;
+/// Crashes after which an entry runs only one attempt of a request at a time, so that the diagnosis
+/// costs one replica at a time.
+const EXCLUSIVE_CRASHES: usize = 2;
+/// Time from the last crash of a quarantined request to its next attempt. It doubles with each
+/// further crash, up to [`MAX_PERIOD`]. Each attempt may cost a replica and its requests, while the
+/// caller of the quarantined request never had a response, so minutes of delay do no harm.
+const FIRST_PERIOD: Duration = Duration::from_secs(600);
+const MAX_PERIOD: Duration = Duration::from_secs(24 * 3_600);
+/// Time for which a request with fewer crashes is kept. Callers ask again within minutes, and the
+/// diagnosis must survive entries and replicas that come and go.
+const RETENTION: Duration = Duration::from_secs(900);
+/// Delay before a retry if an attempt at the same request is running: as long as callers wait for a
+/// response.
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(6);
+/// Most requests kept, at about a hundred bytes each. A mass failure of 2,300 replicas involves
+/// more; those with the fewest crashes are evicted first, the oldest of them first.
+const MAX_SUSPECTS: usize = 1_024;
 
-/// Whether a request may go to a replica.
+/// Whether a request may be sent to a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// The request has too few crashes for restrictions.
     Admitted,
-    /// It may, as long as it is the only one of its kind under way at this entry.
+    /// The request may run, as the only attempt of its kind at this entry.
     Exclusive,
-    /// One like it is under way; it may in a while.
+    /// An attempt of its kind is running; retry after this delay.
     Busy(Duration),
-    /// It ends replicas; it may not before so much time has passed.
+    /// The request is quarantined; retry after this delay.
     Quarantined(Duration),
 }
 
-/// What a word of another entry brought.
+/// Result of merging another entry's observations.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Merged {
-    /// Something that was not known here.
+pub struct MergeOutcome {
+    /// The message had observations that were unknown here.
     pub changed: bool,
-    /// It lacked something that is known here.
+    /// The message lacked observations that are known here.
     pub incomplete: bool,
 }
 
-/// What is known of one request.
+/// Observations of one request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// By start, each start once.
+    /// Crashes sorted by replica start, each start once.
     crashes: Vec<Crash>,
-    /// When the last of them happened, as far as is known.
+    /// Time of the latest known crash.
     crashed_at: Time,
-    /// Tries under way at this entry, and tries of which it is not clear yet how they ended.
-    tries: u32,
+    /// Attempts at this entry that are running or whose outcome isn't clear yet.
+    attempts: u32,
 }
 
 impl Suspect {
-    fn open(&self) -> impl Iterator<Item = u32> {
-        let open = self.crashes.iter().filter(|it| !it.void);
-        open.map(|it| it.start)
+    fn counted_starts(&self) -> impl Iterator<Item = u32> {
+        let counted = self.crashes.iter().filter(|it| !it.void);
+        counted.map(|it| it.start)
     }
 
     fn count(&self) -> usize {
-        self.open().count()
+        self.counted_starts().count()
     }
 
     fn has(&self, start: u32) -> bool {
-        self.open().any(|it| it == start)
+        self.counted_starts().any(|it| it == start)
     }
 
-    /// Joins a crash with those that are known; a crash that is void stays void.
-    fn join(&mut self, crash: Crash) {
+    /// Merges a crash into the known ones. A crash that was voided stays void.
+    fn merge_crash(&mut self, crash: Crash) {
         match self
             .crashes
             .binary_search_by_key(&crash.start, |it| it.start)
@@ -98,59 +102,60 @@
         self.crashes.truncate(MOST_CRASHES);
     }
 
-    /// Whether it knows more than `crashes`.
-    fn exceeds(&self, crashes: &[Crash]) -> bool {
+    /// Returns whether a known crash is missing from `crashes`.
+    fn has_more_than(&self, crashes: &[Crash]) -> bool {
         let known = |it: &Crash| crashes.iter().any(|other| other == it);
         !self.crashes.iter().all(known)
     }
 }
 
-/// Requests during which replicas ended.
+/// Requests that were at a replica when it crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Returns whether there are no suspect requests.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests of which something is known.
+    /// Returns the suspect requests.
     pub fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> {
         self.suspects.keys().copied()
     }
 
-    /// Whether anything is known of a request.
+    /// Returns whether a request is suspect.
     pub fn contains(&self, request: Fingerprint) -> bool {
         self.suspects.contains_key(&request)
     }
 
-    /// How many are shut out.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         let all = self.fingerprints();
         all.filter(|it| self.is_quarantined(*it)).count()
     }
 
-    /// Crashes of a request that count.
+    /// Returns the number of crashes held against a request.
     pub fn crashes(&self, request: Fingerprint) -> usize {
         self.suspects.get(&request).map_or(0, Suspect::count)
     }
 
-    /// A replica ended while it had a request; gives whether that is news.
+    /// Records that a replica crashed while it had a request. Returns whether this was unknown
+    /// before.
     pub fn record_crash(&mut self, request: Fingerprint, start: u32, now: Time) -> bool {
         let crash = Crash { start, void: false };
-        let word = Word {
+        let message = SuspectMessage {
             request,
             crashes: vec![crash],
             age_ms: 0,
         };
-        self.merge(&word, now).changed
+        self.merge(&message, now).changed
     }
 
-    /// A request was answered by a replica that lives: it does not end those that begin it. Gives whether that
-    /// is news.
+    /// Clears a request that a live replica answered, as it does not crash replicas. Returns
+    /// whether crashes were held against it.
     pub fn clear(&mut self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return false;
@@ -160,78 +165,81 @@
         suspected
     }
 
-    /// Joins what another entry, or an earlier start of this one, knew of a request.
-    pub fn merge(&mut self, word: &Word, now: Time) -> Merged {
-        self.make_room(word.request);
-        let suspect = self.suspects.entry(word.request).or_default();
+    /// Merges observations of another entry, or of an earlier run of this one.
+    pub fn merge(&mut self, message: &SuspectMessage, now: Time) -> MergeOutcome {
+        self.evict_for(message.request);
+        let suspect = self.suspects.entry(message.request).or_default();
         let before = suspect.crashes.clone();
-        word.crashes.iter().for_each(|it| suspect.join(*it));
-        let crashed_at = now.before_ms(u64::from(word.age_ms));
+        message
+            .crashes
+            .iter()
+            .for_each(|it| suspect.merge_crash(*it));
+        let crashed_at = now.before_ms(u64::from(message.age_ms));
         suspect.crashed_at = suspect.crashed_at.max(crashed_at);
-        Merged {
+        MergeOutcome {
             changed: before != suspect.crashes,
-            incomplete: suspect.exceeds(&word.crashes),
+            incomplete: suspect.has_more_than(&message.crashes),
         }
     }
 
-    /// What is known of a request, as other entries are told it.
-    pub fn snapshot(&self, request: Fingerprint, now: Time) -> Option<Word> {
+    /// Returns the observations of a request, as sent to other entries.
+    pub fn snapshot(&self, request: Fingerprint, now: Time) -> Option<SuspectMessage> {
         let suspect = self.suspects.get(&request)?;
         let age_ms = now.since(suspect.crashed_at).as_millis();
-        Some(Word {
+        Some(SuspectMessage {
             request,
             crashes: suspect.crashes.clone(),
             age_ms: age_ms.min(u128::from(u32::MAX)) as u32,
         })
     }
 
-    /// Whether a request may go to a replica; `home` says whether this entry is the one in the fleet that tries
-    /// it again once its pause is over.
-    pub fn verdict(&self, request: Fingerprint, home: bool, now: Time) -> Verdict {
+    /// Returns whether a request may be sent to a replica. `is_retry_owner` tells whether this
+    /// entry is the only one in the fleet that retries the request after its quarantine period.
+    pub fn verdict(&self, request: Fingerprint, is_retry_owner: bool, now: Time) -> Verdict {
         let Some(suspect) = self.suspects.get(&request) else {
             return Verdict::Admitted;
         };
-        if suspect.count() < ALONE_AT {
+        if suspect.count() < EXCLUSIVE_CRASHES {
             return Verdict::Admitted;
         }
         if self.is_quarantined(request) {
-            let until = suspect.crashed_at.after(pause(suspect.count()));
-            if !home || now < until {
-                return Verdict::Quarantined(until.since(now).max(FIRST_PAUSE));
+            let until = suspect.crashed_at.after(quarantine_period(suspect.count()));
+            if !is_retry_owner || now < until {
+                return Verdict::Quarantined(until.since(now).max(FIRST_PERIOD));
             }
         }
-        match suspect.tries {
+        match suspect.attempts {
             0 => Verdict::Exclusive,
-            _ => Verdict::Busy(BUSY_BACK),
+            _ => Verdict::Busy(BUSY_RETRY_AFTER),
         }
     }
 
-    /// A try of a request is under way.
+    /// Records that an attempt at a request has started.
     pub fn begin_attempt(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.tries += 1;
+            suspect.attempts += 1;
         }
     }
 
-    /// A try of a request is over, and it is clear how it ended.
+    /// Records that an attempt at a request has ended with a known outcome.
     pub fn end_attempt(&mut self, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.tries = suspect.tries.saturating_sub(1);
+            suspect.attempts = suspect.attempts.saturating_sub(1);
         }
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes requests whose retention has expired.
     pub fn expire(&mut self, now: Time) {
         self.suspects.retain(|_, it| {
-            let remembered = match it.count() {
-                QUARANTINE_CRASHES.. => 2 * pause(it.count()),
-                _ => REMEMBERED,
+            let retention = match it.count() {
+                QUARANTINE_CRASHES.. => 2 * quarantine_period(it.count()),
+                _ => RETENTION,
             };
-            0 < it.tries || now < it.crashed_at.after(remembered)
+            0 < it.attempts || now < it.crashed_at.after(retention)
         });
     }
 
-    /// Whether a request has enough crashes that no other request explains as well.
+    /// Returns whether a request has enough crashes that no other request explains equally well.
     pub fn is_quarantined(&self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&request) else {
             return false;
@@ -246,26 +254,26 @@
             .map(|(_, it)| it)
             .collect();
         let own = suspect
-            .open()
+            .counted_starts()
             .filter(|it| !rivals.iter().any(|rival| rival.has(*it)));
         QUARANTINE_CRASHES <= own.count()
     }
 
-    /// Lets go of the request that matters least, if a further one needs the room.
-    fn make_room(&mut self, request: Fingerprint) {
-        if self.suspects.len() < MOST || self.suspects.contains_key(&request) {
+    /// Evicts the least significant idle request if another one needs its place.
+    fn evict_for(&mut self, request: Fingerprint) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
         }
-        let idle = self.suspects.iter().filter(|(_, it)| it.tries == 0);
-        let least = idle.min_by_key(|(_, it)| (it.count(), it.crashed_at));
-        if let Some(least) = least.map(|(key, _)| *key) {
-            self.suspects.remove(&least);
+        let idle = self.suspects.iter().filter(|(_, it)| it.attempts == 0);
+        let evicted = idle.min_by_key(|(_, it)| (it.count(), it.crashed_at));
+        if let Some(evicted) = evicted.map(|(key, _)| *key) {
+            self.suspects.remove(&evicted);
         }
     }
 }
 
-/// Time from the last of so many crashes until a request that is shut out is tried once more.
-fn pause(crashes: usize) -> Duration {
+/// Returns the time from the last of `crashes` to the next attempt at a quarantined request.
+fn quarantine_period(crashes: usize) -> Duration {
     let doublings = crashes.saturating_sub(QUARANTINE_CRASHES).min(16) as u32;
-    (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE)
+    (FIRST_PERIOD * 2_u32.pow(doublings)).min(MAX_PERIOD)
 }
--- a/crates/gradeloft_policy/src/request/response.rs
+++ b/crates/gradeloft_policy/src/request/response.rs
@@ -1,4 +1,4 @@
-//! Whether the frames of an answer are whole and belong to their request.
+//! Checks that the frames of a response are complete and belong to their request.
 
 use gradeloft_wire::{
     error::Kind,
@@ -6,23 +6,23 @@
     id::{Digest, RequestId},
 };
 
-/// Follows the frames of one attempt's answer.
+/// Validates the frames of one attempt's response.
 ///
-/// A frame of another attempt or version, out of order or repeated ends the answer: it becomes an
-/// error to its caller and never somebody else's text.
+/// A frame that belongs to another attempt or version, is out of order or is repeated ends the
+/// response with an error, so a caller never receives another caller's text.
 #[derive(Clone, Debug)]
 pub struct ResponseChecker {
     request: RequestId,
     /// Version that the request is pinned to; empty for services.
     version: String,
-    /// Pieces seen so far, all in order.
+    /// Number of pieces accepted so far, all in order.
     count: u64,
     hasher: blake3::Hasher,
     ended: bool,
 }
 
 impl ResponseChecker {
-    /// A checker for an attempt pinned to a version.
+    /// Creates a checker for an attempt that is pinned to `version`.
     pub fn new(request: RequestId, version: &str) -> ResponseChecker {
         ResponseChecker {
             request,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes the next frame; an error ends the answer.
+    /// Accepts the next frame. An error ends the response.
     pub fn accept(&mut self, reply: &Reply) -> Result<(), Kind> {
         if self.ended {
             return Err(Kind::Mismatch);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes a piece that is known to belong to the attempt.
+    /// Accepts a piece that is known to belong to the attempt.
     pub fn accept_piece(&mut self, version: &str, seq: u64, data: &[u8]) -> Result<(), Kind> {
         if version != self.version || seq != self.count {
             return Err(Kind::Mismatch);
@@ -76,17 +76,18 @@
         Ok(())
     }
 
-    /// Whether any piece was accepted.
+    /// Returns whether any piece was accepted.
     pub fn has_started(&self) -> bool {
         0 < self.count
     }
 
-    /// Whether the closing frame came and matched.
+    /// Returns whether the end frame arrived and matched.
     pub fn is_complete(&self) -> bool {
         self.ended
     }
 
-    /// Number of pieces and their digest, for the closing frame of an answer made here.
+    /// Returns the number of pieces and their digest, for the end frame of a response produced
+    /// here.
     pub fn totals(&self) -> (u64, Digest) {
         (self.count, Digest(self.hasher.finalize().into()))
     }
--- a/crates/gradeloft_policy/src/request/retry.rs
+++ b/crates/gradeloft_policy/src/request/retry.rs
@@ -1,36 +1,37 @@
-//! Whether a failed attempt is tried again.
+//! Whether to retry a failed attempt.
 
 use gradeloft_wire::error::{Kind, Retry};
 
 use crate::clock::Time;
 
-/// Retries that may be saved up while all goes well.
-const SAVED: f64 = 10.0;
-/// Attempts that one request may make, the first included.
+/// Most retries that can accumulate.
+const MAX_SAVED: f64 = 10.0;
+/// Most attempts of one request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Bounds retries to a share of fresh requests, so that a dead availability zone makes no storm.
+/// Limits retries to a share of new requests, to prevent a retry storm when an availability zone
+/// fails.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// Retries earned by each fresh request.
+    /// Retries earned by each new request.
     share: f64,
-    /// From 0 to [`SAVED`].
+    /// Available retries, from 0 to [`MAX_SAVED`].
     saved: f64,
 }
 
 impl Budget {
-    /// A full budget of `percent` retries for each hundred fresh requests.
+    /// Creates a full budget that allows `percent` retries per hundred new requests.
     pub fn new(percent: u64) -> Budget {
-        let saved = if percent == 0 { 0.0 } else { SAVED };
+        let saved = if percent == 0 { 0.0 } else { MAX_SAVED };
         Budget {
             share: percent as f64 / 100.0,
             saved,
         }
     }
 
-    /// Counts a fresh request.
+    /// Counts a new request.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED);
+        self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
     fn spend(&mut self) -> bool {
@@ -45,26 +46,26 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeat {
-    /// It may.
+    /// The request may run again.
     Allowed,
-    /// It may not.
+    /// The request must not run again.
     Never,
 }
 
-/// What is known of a failed attempt.
+/// A failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Failure {
-    /// Why it failed.
+    /// Error of the attempt.
     pub kind: Kind,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Whether the caller has been sent a part of the answer.
+    /// Whether any part of the response was sent to the caller.
     pub response_started: bool,
 }
 
-/// Whether to try again; takes one retry out of the budget if so.
+/// Returns whether to retry, and takes one retry from the budget if so.
 pub fn should_retry(failure: Failure, budget: &mut Budget, now: Time, deadline: Time) -> bool {
     if failure.response_started || MAX_ATTEMPTS <= failure.attempts || deadline <= now {
         return false;
--- a/crates/gradeloft_policy/src/request/route.rs
+++ b/crates/gradeloft_policy/src/request/route.rs
@@ -1,74 +1,74 @@
-//! Which replica gets a request.
+//! Selection of a replica by prefix affinity and load.
 //!
-//! The view of an entry is always late: loads are reported with a lag, and other entries send
-//! work too. The agent has the last word, so a stale view costs a refusal and a retry, never an
-//! overload.
+//! An entry's view of the load is always stale: reports lag, and other entries send requests as
+//! well. The agent makes the final decision, so a stale view costs a refusal and a retry but never
+//! overloads a replica.
 
 use rand::Rng;
 
 use crate::{clock::Time, rendezvous};
 
-/// Time after which a load report counts half, in milliseconds.
-const HALF_LIFE_MS: f64 = 500.0;
-/// A replica keeps its prefixes up to this many times the mean load.
-const BOUND: f64 = 1.25;
-/// Candidates tried in the order of the prefix before load alone decides.
+/// Age at which a load report counts half, in milliseconds.
+const REPORT_HALF_LIFE_MS: f64 = 500.0;
+/// A replica is used for its cached prefixes up to this multiple of the mean load.
+const LOAD_BOUND: f64 = 1.25;
+/// Number of candidates tried in the prefix's order before load alone decides.
 const AFFINITY_DEPTH: usize = 2;
 
-/// How near a replica is.
+/// Distance of a replica from the entry.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Locality {
-    /// In the entry's availability zone.
+    /// Same availability zone as the entry.
     Zone,
-    /// In another one.
+    /// Another availability zone.
     OtherZone,
 }
 
-/// A replica that serves the pinned version, takes work and is not suspect.
+/// A replica that serves the pinned version, accepts requests and is not suspect.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<K> {
-    /// The caller's key for it.
+    /// Identifier chosen by the caller of this module.
     pub key: K,
-    /// Hash of its instance's name.
+    /// Hash of the instance's name.
     pub node: u64,
-    /// Where it is.
+    /// Distance from the entry.
     pub locality: Locality,
-    /// Requests of this entry that run there.
+    /// In-flight requests from this entry.
     pub own: u32,
-    /// Requests of others that ran there when it last reported.
+    /// In-flight requests from other entries, as of the last report.
     pub others: u32,
-    /// When it last reported.
+    /// Time of the last report.
     pub reported: Time,
-    /// Requests that it can run at once.
+    /// Number of requests that can run at once.
     pub capacity: u32,
 }
 
 impl<K> Candidate<K> {
-    /// Share of its capacity that is taken: what this entry knows, and what it was told,
-    /// discounted by age.
+    /// Returns the share of the capacity in use. Requests from other entries are discounted by the
+    /// age of the report.
     pub fn load(&self, now: Time) -> f64 {
         let age_ms = now.since(self.reported).as_millis() as f64;
-        let trust = 0.5_f64.powf(age_ms / HALF_LIFE_MS);
-        let running = f64::from(self.own) + f64::from(self.others) * trust;
+        let weight = 0.5_f64.powf(age_ms / REPORT_HALF_LIFE_MS);
+        let running = f64::from(self.own) + f64::from(self.others) * weight;
         running / f64::from(self.capacity.max(1))
     }
 }
 
-/// How replicas are chosen. All but [`Scheme::Affinity`] are baselines to measure against.
+/// Algorithms for selecting a replica. All but [`Scheme::Affinity`] are baselines for benchmarks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Scheme {
-    /// By prefix with bounded load, then by two choices.
+    /// Prefix affinity with bounded load, then the power of two choices.
     #[default]
     Affinity,
-    /// The one with the fewest requests of this entry.
+    /// Fewest in-flight requests from this entry.
     LeastInFlight,
-    /// Any.
+    /// Uniformly random.
     Random,
-    /// One after the other.
+    /// Round robin.
     RoundRobin,
 }
 
-/// Chooses by a baseline; `turn` counts choices.
+/// Selects a replica by a baseline algorithm. `turn` is the number of selections so far.
 pub fn baseline<K: Copy>(
     scheme: Scheme,
     candidates: &[Candidate<K>],
@@ -86,9 +86,9 @@
     chosen.map(|it| it.key)
 }
 
-/// Chooses a replica for a request whose prompt begins with what hashes to `prefix`: the replica
-/// that has its prefix cached while it is not much busier than the rest, else the less busy of two
-/// drawn at random, the nearer on a tie.
+/// Selects a replica for a request whose prompt starts with the text that hashes to `prefix`: the
+/// replica with the prefix in its cache unless that is much busier than the others, else the less
+/// loaded of two random replicas. Ties go to the nearer one.
 pub fn choose<K: Copy>(
     candidates: &[Candidate<K>],
     prefix: Option<u64>,
@@ -98,12 +98,13 @@
     if candidates.is_empty() {
         return None;
     }
-    let kept = prefix.and_then(|it| cached(candidates, it, now));
-    kept.or_else(|| two_choices(candidates, now, rng))
+    let preferred = prefix.and_then(|it| by_prefix(candidates, it, now));
+    preferred
+        .or_else(|| two_choices(candidates, now, rng))
         .map(|it| it.key)
 }
 
-fn cached<K>(candidates: &[Candidate<K>], prefix: u64, now: Time) -> Option<&Candidate<K>> {
+fn by_prefix<K>(candidates: &[Candidate<K>], prefix: u64, now: Time) -> Option<&Candidate<K>> {
     let total: f64 = candidates.iter().map(|it| it.load(now)).sum();
     let mean = total / candidates.len() as f64;
     let nodes: Vec<u64> = candidates.iter().map(|it| it.node).collect();
@@ -113,7 +114,7 @@
     ranked.map(|idx| &candidates[idx]).find(|it| {
         let one = 1.0 / f64::from(it.capacity.max(1));
         let load = it.load(now) + one;
-        load <= (mean + one) * BOUND && load <= 1.0
+        load <= (mean + one) * LOAD_BOUND && load <= 1.0
     })
 }
 
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -1,4 +1,4 @@
-//! When callers that are refused for want of room are to come back.
+//! When callers retry that were refused for lack of capacity.
 
 use std::time::Duration;
 
@@ -6,50 +6,53 @@
 
 use crate::clock::Time;
 
-/// Time without a refusal after which a shortage is over, in milliseconds: several times the pause
-/// between two requests at one entry.
-const OVER_MS: u64 = 300;
-/// Time without a refusal after which want of room counts as a moment's again, in milliseconds: several times an objective
-/// of today, for which requests wait before the first of them is refused.
-const CALM_MS: u64 = 2_000;
-/// Shortest time to come back, in milliseconds: about the time in which a slot frees at a busy replica.
-const SHORTEST_MS: f64 = 60.0;
-/// Part of the time that a caller still has after which it comes back at the latest: callers wait no
-/// longer.
-const LONGEST: f64 = 1.0 / 3.0;
-/// Part by which times to come back differ, so that those refused together do not come back together.
-const SPREAD: f64 = 0.25;
+/// Time without a refusal after which a shortage has ended, in milliseconds: several times the
+/// interval between requests at one entry.
+const EPISODE_GAP_MS: u64 = 300;
+/// Time without a refusal after which a new shortage counts as momentary, in milliseconds: several
+/// times a typical latency objective, for which requests wait before the first refusal.
+const ACTIVE_MS: u64 = 2_000;
+/// Shortest delay before a retry, in milliseconds: about the time until a busy replica frees a
+/// slot.
+const MIN_RETRY_AFTER_MS: f64 = 60.0;
+/// Longest delay before a retry, as a share of the caller's remaining time. Callers ignore longer
+/// delays.
+const MAX_RETRY_SHARE: f64 = 1.0 / 3.0;
+/// Largest random reduction of the delay, as a share, so that callers refused together don't retry
+/// together.
+const JITTER: f64 = 0.25;
 
-/// The present want of room at a service, as one entry sees it.
+/// Current lack of capacity of a service, as seen by one entry.
 ///
-/// A shortage that has lasted long will likely last as long again, so callers come back after the time
-/// that it has lasted: those of a moment's shortage soon enough to be in time, those of a long one when
-/// it may be over.
+/// A shortage is likely to last as long again as it has lasted so far, so refused callers retry
+/// after that time: soon enough to be in time during a short one, and when it may be over during a
+/// long one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Shortage {
-    /// First and last refusal.
+    /// Times of the first and last refusal.
     span: Option<(Time, Time)>,
 }
 
 impl Shortage {
-    /// Whether callers have been refused lately. A request waits in a moment's want of room only: in a lasting one it
-    /// would take the place of one that came later and can still be in time.
+    /// Returns whether callers were refused recently. Requests wait for room only in a momentary
+    /// shortage; in a lasting one they would displace later requests that can still be in time.
     pub fn is_active(self, now: Time) -> bool {
         self.span
-            .is_some_and(|(_, last)| now < last.after_ms(CALM_MS))
+            .is_some_and(|(_, last)| now < last.after_ms(ACTIVE_MS))
     }
 
-    /// A caller that still has `left` is refused; gives when it is to come back.
+    /// Records the refusal of a caller that has `left`, and returns the delay after which it may
+    /// retry.
     pub fn record_refusal(&mut self, left: Duration, now: Time, rng: &mut impl Rng) -> Duration {
         let since = match self.span {
-            Some((since, last)) if now < last.after_ms(OVER_MS) => since,
+            Some((since, last)) if now < last.after_ms(EPISODE_GAP_MS) => since,
             _ => now,
         };
         self.span = Some((since, now));
         let lasted_ms = now.since(since).as_secs_f64() * 1000.0;
-        let longest_ms = left.as_secs_f64() * 1000.0 * LONGEST;
-        let spread = 1.0 - SPREAD * rng.random::<f64>();
-        let back_ms = lasted_ms.max(SHORTEST_MS).min(longest_ms) * spread;
-        Duration::from_millis(back_ms as u64)
+        let longest_ms = left.as_secs_f64() * 1000.0 * MAX_RETRY_SHARE;
+        let jitter = 1.0 - JITTER * rng.random::<f64>();
+        let retry_after_ms = lasted_ms.max(MIN_RETRY_AFTER_MS).min(longest_ms) * jitter;
+        Duration::from_millis(retry_after_ms as u64)
     }
 }
