--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -14,15 +14,15 @@
     pub fn running(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> Running {
         let now = self.node.clock.now();
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
-            if replica.own == 0 {
+            if replica.own_requests == 0 {
                 replica.silent_since = now;
             }
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.note_sent(self.node.clock.now());
             replica.own_waiting_tokens += prompt_tokens;
         }
-        let mut starts = self.starts.borrow_mut();
+        let mut starts = self.restart_tokens.borrow_mut();
         Running {
             waiting: Cell::new(true),
             entry: Rc::clone(self),
@@ -34,7 +34,7 @@
 
     /// The start of a replica that `ended` names is over: what was under way there gets no answer any more.
     pub(super) fn replica_restarted(&self, ended: ReplicaKey) {
-        let token = self.starts.borrow_mut().remove(&ended);
+        let token = self.restart_tokens.borrow_mut().remove(&ended);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
         }
@@ -47,7 +47,7 @@
     /// Forgets the starts of replicas that are gone, which finish what runs there.
     pub(super) fn forget_starts(&self) {
         let replicas = self.replicas.borrow();
-        let mut starts = self.starts.borrow_mut();
+        let mut starts = self.restart_tokens.borrow_mut();
         starts.retain(|key, _| replicas.get(*key).is_some());
     }
 }
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.begun();
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
         self.entry.room_freed.notify_waiters();
     }
--- a/crates/gradeloft_policy/src/request/attempt.rs
+++ b/crates/gradeloft_policy/src/request/attempt.rs
@@ -1,6 +1,6 @@
 //! Outcomes of failed attempts at a request, and whether another attempt may follow.
 
-use crate::process::document::Kind;
+use crate::process::document::RouteKind;
 
 /// Reason why an attempt ended without a response to relay.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Attempts {
     /// Kind of the route, which decides whether a request that may have run can be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Attempts that reached a replica or may have.
     pub attempts: u32,
     /// Most replicas that may receive the request.
@@ -94,7 +94,7 @@
 
 impl Attempts {
     /// Creates the state of a request without attempts.
-    pub fn new(kind: Kind, max_attempts: u32) -> Attempts {
+    pub fn new(kind: RouteKind, max_attempts: u32) -> Attempts {
         Attempts {
             kind,
             attempts: 0,
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -222,7 +222,7 @@
             penalties: penalties(it, requirements, now),
             near: it.near,
             cost: cost(it, requirements, newest, now) + COST_JITTER * rng.random::<f64>(),
-            own: it.has_own_slot(),
+            own: it.has_free_own_slot(),
             spare: it.spare(requirements.uncertainty(it).unseen),
         })
         .collect()
@@ -325,7 +325,7 @@
         Urgency::Resumed => takes_more,
         Urgency::Late => borrows && f64::from(all) * LATE_HEADROOM < spare,
         Urgency::OnTime(within_ms) => {
-            (replica.has_own_slot() || (borrows && 0.0 < spare))
+            (replica.has_free_own_slot() || (borrows && 0.0 < spare))
                 && first_token_ms(replica, speed, requirements.prompt_tokens)
                     <= within_ms * FORECAST_SHARE
         }
