--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -112,16 +112,16 @@
     ) -> Decision {
         self.demand.count(now);
         let age = self.patience.age(&asked.route, asked.left, now);
-        let claim = Urgency::of(asked.goal.saturating_sub(age));
+        let urgency = Urgency::of(asked.goal.saturating_sub(age));
         let chosen = match load.scheme {
-            Scheme::Gradeloft => self.place(load, asked, claim, now, rng),
-            baseline => self.baseline(baseline, rng).map(|it| (it, claim)),
+            Scheme::Gradeloft => self.place(load, asked, urgency, now, rng),
+            baseline => self.baseline(baseline, rng).map(|it| (it, urgency)),
         };
         let within = chosen.is_some_and(|(it, _)| self.is_within(it));
         if !within {
             self.beyond.count(now);
         }
-        let Some((replica, claim)) = chosen else {
+        let Some((replica, urgency)) = chosen else {
             return Decision::Refused(match load.scheme {
                 Scheme::Gradeloft => self.shortage.record_refusal(asked.left, now, rng),
                 _ => Duration::from_millis(BASELINE_BACK_MS),
@@ -135,7 +135,7 @@
         Decision::Sent {
             replica,
             rank: match load.scheme {
-                Scheme::Gradeloft => claim.rank(1),
+                Scheme::Gradeloft => urgency.rank(1),
                 _ => 5,
             },
             expected_ms,
@@ -146,7 +146,7 @@
         &self,
         load: &Load,
         asked: &Asked,
-        claim: Urgency,
+        urgency: Urgency,
         now: Time,
         rng: &mut ChaCha8Rng,
     ) -> Option<(usize, Urgency)> {
@@ -154,27 +154,32 @@
         let age = now.since(self.told);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
-        let unseen = slot_split::unseen_requests(rate, age);
-        let spare = open().map(|(_, it)| it.spare(unseen)).sum();
+        let unseen_requests = slot_split::unseen_requests(rate, age);
+        let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
         let wish = Requirements {
             zone: ZONE,
-            oldest: None,
-            same: None,
+            min_version: None,
+            resumed_version: None,
             tried: &[],
-            claim,
+            urgency,
             prompt_tokens: asked.prompt,
             speed: Some(&load.speed),
             near: Uncertainty {
-                chance: slot_split::overflow_probability(spare, others, self.beyond.rate(now), age),
-                unseen,
+                overflow_probability: slot_split::overflow_probability(
+                    spare,
+                    others,
+                    self.beyond.rate(now),
+                    age,
+                ),
+                unseen_requests,
             },
             far: Uncertainty::default(),
         };
-        let claims = [Some(claim), claim.fallback()];
-        claims.into_iter().flatten().find_map(|claim| {
-            let wish = Requirements { claim, ..wish };
+        let urgencies = [Some(urgency), urgency.fallback()];
+        urgencies.into_iter().flatten().find_map(|urgency| {
+            let wish = Requirements { urgency, ..wish };
             let key = placement::choose(self.replicas.of(SERVICE), wish, now, rng)?;
-            Some((self.keys.iter().position(|it| *it == key)?, claim))
+            Some((self.keys.iter().position(|it| *it == key)?, urgency))
         })
     }
 
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -95,7 +95,7 @@
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
     let wish = Requirements {
-        oldest: entry.oldest_versions(&job.service).allowed,
+        min_version: entry.oldest_versions(&job.service).allowed,
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
@@ -103,11 +103,16 @@
     placement::count_exclusions(replicas.of(&job.service), here, wish, now)
 }
 
-fn choose_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
+fn choose_from(
+    entry: &Entry,
+    job: &Job,
+    min_version: Option<u64>,
+    now: Time,
+) -> Option<ReplicaKey> {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
     let wish = Requirements {
-        oldest,
+        min_version,
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
@@ -135,10 +140,10 @@
     let view = entry.staleness(&job.service, now);
     Requirements {
         zone,
-        oldest: None,
-        same: job.version,
+        min_version: None,
+        resumed_version: job.version,
         tried: &job.tried,
-        claim: job.claim,
+        urgency: job.claim,
         prompt_tokens: job.prompt_tokens,
         speed,
         near: view.near,
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/staleness.rs
@@ -70,16 +70,16 @@
                     .filter(|(_, it)| it.near == is_near && it.open(now))
             };
             let rate = others.demand / open().count().max(1) as f64;
-            let unseen = slot_split::unseen_requests(rate, others.age);
-            let spare = open().map(|(_, it)| it.spare(unseen)).sum();
+            let unseen_requests = slot_split::unseen_requests(rate, others.age);
+            let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
             Uncertainty {
-                chance: slot_split::overflow_probability(
+                overflow_probability: slot_split::overflow_probability(
                     spare,
                     others.entries,
                     overflow,
                     others.age,
                 ),
-                unseen,
+                unseen_requests,
             }
         };
         Staleness {
--- a/crates/gradeloft_policy/src/request/at_most_once.rs
+++ b/crates/gradeloft_policy/src/request/at_most_once.rs
@@ -104,9 +104,7 @@
     pub fn arrive(&mut self, key: Digest, attempt: u128, now: Time) -> Step<O> {
         match self.calls.get(&key) {
             Some(Call::Done(outcome)) => return Step::Replay(outcome.clone()),
-            Some(Call::Claiming { .. } | Call::Started) => {
-                return Step::Refuse(Kind::Duplicate);
-            }
+            Some(Call::Claiming { .. } | Call::Started) => return Step::Refuse(Kind::Duplicate),
             Some(&Call::Abandoned { attempt }) => {
                 // The earlier claim belongs to this agent and never ran, so it is reused.
                 self.calls.insert(
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -99,13 +99,13 @@
     /// Availability zone of the entry.
     pub zone: &'a str,
     /// Oldest weights version allowed; `None` for any.
-    pub oldest: Option<u64>,
+    pub min_version: Option<u64>,
     /// Version that began the response, if another replica is to resume it.
-    pub same: Option<u64>,
+    pub resumed_version: Option<u64>,
     /// Replicas that this request was sent to before.
     pub tried: &'a [ReplicaKey],
     /// Latency that is still achievable.
-    pub claim: Urgency,
+    pub urgency: Urgency,
     /// Number of tokens in the prompt.
     pub prompt_tokens: f64,
     /// Published speed of the service's engines; `None` for services without a model.
@@ -120,9 +120,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Uncertainty {
     /// Probability that a request beyond the entry's own slots may use free slots of other entries.
-    pub chance: f64,
+    pub overflow_probability: f64,
     /// Estimated requests that each replica received from other entries since their last reports.
-    pub unseen: f64,
+    pub unseen_requests: f64,
 }
 
 impl Requirements<'_> {
@@ -183,7 +183,7 @@
     let fewest = candidates.iter().map(|it| it.penalties).min()?;
     let best = candidates.into_iter().filter(|it| it.penalties == fewest);
     let candidates: Vec<Candidate> = best.collect();
-    let is_split = requirements.speed.is_some() && requirements.claim != Urgency::Resumed;
+    let is_split = requirements.speed.is_some() && requirements.urgency != Urgency::Resumed;
     if !is_split {
         return least_cost(candidates, rng);
     }
@@ -208,10 +208,11 @@
     let open: Vec<(ReplicaKey, &Replica)> = replicas
         .filter(|(key, it)| allowed(it, requirements, now) && !requirements.tried.contains(key))
         .collect();
-    let mut draw = |uncertainty: Uncertainty| match rng.random::<f64>() < uncertainty.chance {
-        true => SlotScope::Any,
-        false => SlotScope::Own,
-    };
+    let mut draw =
+        |uncertainty: Uncertainty| match rng.random::<f64>() < uncertainty.overflow_probability {
+            true => SlotScope::Any,
+            false => SlotScope::Own,
+        };
     let (near, far) = (draw(requirements.near), draw(requirements.far));
     let slots = |it: &Replica| if it.near { near } else { far };
     let newest = open.iter().filter_map(|(_, it)| it.version(now)).max();
@@ -223,7 +224,7 @@
             near: it.near,
             cost: cost(it, requirements, newest, now) + COST_JITTER * rng.random::<f64>(),
             own: it.has_free_own_slot(),
-            spare: it.spare(requirements.uncertainty(it).unseen),
+            spare: it.spare(requirements.uncertainty(it).unseen_requests),
         })
         .collect()
 }
@@ -320,8 +321,8 @@
         return takes_more;
     };
     let borrows = slots == SlotScope::Any;
-    let spare = replica.spare(requirements.uncertainty(replica).unseen);
-    match requirements.claim {
+    let spare = replica.spare(requirements.uncertainty(replica).unseen_requests);
+    match requirements.urgency {
         Urgency::Resumed => takes_more,
         Urgency::Late => borrows && f64::from(all) * LATE_HEADROOM < spare,
         Urgency::OnTime(within_ms) => {
@@ -339,7 +340,7 @@
 }
 
 fn allowed(replica: &Replica, requirements: Requirements<'_>, now: Time) -> bool {
-    let new_enough = requirements.oldest.is_none_or(|oldest| {
+    let new_enough = requirements.min_version.is_none_or(|oldest| {
         let version = replica.version(now);
         !replica.listing.has_model || version.is_some_and(|it| oldest <= it)
     });
@@ -356,7 +357,7 @@
     if replica.listing.zone != requirements.zone {
         cost += REMOTE_COST;
     }
-    if requirements.same.is_none() && version < newest {
+    if requirements.resumed_version.is_none() && version < newest {
         cost += STALE_VERSION_COST;
     }
     cost
@@ -367,6 +368,7 @@
         suspect: replica.suspect(now),
         silent: replica.silent(now),
         congested: replica.congested(now),
-        other_version: requirements.same.is_some() && requirements.same != replica.version(now),
+        other_version: requirements.resumed_version.is_some()
+            && requirements.resumed_version != replica.version(now),
     }
 }
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -35,16 +35,16 @@
 };
 
 const SURE: Uncertainty = Uncertainty {
-    chance: 1.0,
-    unseen: 0.0,
+    overflow_probability: 1.0,
+    unseen_requests: 0.0,
 };
 
 const WISH: Requirements<'static> = Requirements {
     zone: "z",
-    oldest: None,
-    same: None,
+    min_version: None,
+    resumed_version: None,
     tried: &[],
-    claim: Urgency::OnTime(400.0),
+    urgency: Urgency::OnTime(400.0),
     prompt_tokens: 900.0,
     speed: Some(&SPEED),
     near: SURE,
@@ -126,13 +126,13 @@
 #[case(17, Urgency::Resumed, true)]
 fn late_requests_fill_what_is_left_free(
     #[case] load: u32,
-    #[case] claim: Urgency,
+    #[case] urgency: Urgency,
     #[case] sent: bool,
 ) {
     let mut replicas = Replicas::default();
     let key = listed(&mut replicas, "a");
     replicas.get_mut(key).unwrap().own_requests = load;
-    let wish = Requirements { claim, ..WISH };
+    let wish = Requirements { urgency, ..WISH };
     assert_eq!(choose(&replicas, wish), sent.then_some(key));
 }
 
@@ -149,7 +149,7 @@
     ) = (4, 3, 16);
     let never = Requirements {
         near: Uncertainty {
-            chance: 0.0,
+            overflow_probability: 0.0,
             ..SURE
         },
         ..WISH
@@ -160,7 +160,7 @@
     assert_eq!(choose(&replicas, WISH), Some(other));
     let stale = Requirements {
         near: Uncertainty {
-            unseen: 16.0,
+            unseen_requests: 16.0,
             ..SURE
         },
         ..WISH
@@ -300,7 +300,7 @@
 #[case(Urgency::OnTime(500.0), 0, 500, 6_000, None)]
 #[case(Urgency::Resumed, 0, 500, 6_000, None)]
 fn a_request_waits_for_room_while_that_is_of_use(
-    #[case] claim: Urgency,
+    #[case] urgency: Urgency,
     #[case] full: u32,
     #[case] objective_ms: u64,
     #[case] time_ms: u64,
@@ -313,7 +313,7 @@
     let received = Time::ZERO.after_ms(1_000);
     let until = |refused| {
         let until = wait::wait_deadline(
-            claim,
+            urgency,
             census,
             received,
             Duration::from_millis(objective_ms),
@@ -325,7 +325,7 @@
     };
     assert_eq!(until(false), until_ms);
     // While others are refused, only streams that go on wait.
-    let waits = claim == Urgency::Resumed;
+    let waits = urgency == Urgency::Resumed;
     assert_eq!(until(true), until_ms.filter(|_| waits));
 }
 
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -12,16 +12,16 @@
 use support::listing;
 
 const SURE: Uncertainty = Uncertainty {
-    chance: 1.0,
-    unseen: 0.0,
+    overflow_probability: 1.0,
+    unseen_requests: 0.0,
 };
 
 const WISH: Requirements<'static> = Requirements {
     zone: "z",
-    oldest: None,
-    same: None,
+    min_version: None,
+    resumed_version: None,
     tried: &[],
-    claim: Urgency::OnTime(400.0),
+    urgency: Urgency::OnTime(400.0),
     prompt_tokens: 0.0,
     speed: None,
     near: SURE,
@@ -44,7 +44,7 @@
     let now = Time::ZERO;
     assert_eq!(choose(&replicas, WISH, now), Some(old));
     let strict = Requirements {
-        oldest: Some(2),
+        min_version: Some(2),
         ..WISH
     };
     assert_eq!(choose(&replicas, strict, now), None);
@@ -110,7 +110,7 @@
     replicas.list(listing("bb", Some(2)));
     replicas.get_mut(same).unwrap().own_requests = 12;
     let wish = Requirements {
-        same: Some(1),
+        resumed_version: Some(1),
         ..WISH
     };
     assert_eq!(choose(&replicas, wish, Time::ZERO), Some(same));
@@ -135,7 +135,7 @@
     replicas.list(listing("dddd", None));
     let tried = replicas.list(listing("eeeee", Some(2)));
     let wish = Requirements {
-        oldest: Some(2),
+        min_version: Some(2),
         tried: &[tried],
         ..WISH
     };
