--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests to a service that is short: who is sent where, and who comes back when.
+//! Tests of requests to a service short of capacity: placement, waiting and retry delays.
 
 mod support;
 
@@ -34,12 +34,12 @@
     usual_answer: 120.0,
 };
 
-const SURE: Uncertainty = Uncertainty {
+const CERTAIN: Uncertainty = Uncertainty {
     overflow_probability: 1.0,
     unseen_requests: 0.0,
 };
 
-const WISH: Requirements<'static> = Requirements {
+const REQUIREMENTS: Requirements<'static> = Requirements {
     zone: "z",
     min_version: None,
     resumed_version: None,
@@ -47,29 +47,29 @@
     urgency: Urgency::OnTime(400.0),
     prompt_tokens: 900.0,
     speed: Some(&SPEED),
-    near: SURE,
-    far: SURE,
+    near: CERTAIN,
+    far: CERTAIN,
 };
 
-fn listed(replicas: &mut Replicas, id: &str) -> ReplicaKey {
+fn add_replica(replicas: &mut Replicas, id: &str) -> ReplicaKey {
     replicas.list(listing(id, Some(1)))
 }
 
-fn choose(replicas: &Replicas, wish: Requirements<'_>) -> Option<ReplicaKey> {
+fn choose(replicas: &Replicas, requirements: Requirements<'_>) -> Option<ReplicaKey> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    placement::choose(replicas.of("m"), wish, Time::ZERO, &mut rng)
+    placement::choose(replicas.of("m"), requirements, Time::ZERO, &mut rng)
 }
 
 #[rstest]
-// Its prompt and a pass.
+// Its own prompt and one pass.
 #[case(0, 0, 72.0)]
-// Half of a pass that goes on as well.
+// Also half of the current pass.
 #[case(4, 0, 93.0)]
-// Two prompts before its own.
+// Also two prompts ahead of its own.
 #[case(4, 2, 153.0)]
-// A slot of sixteen that is free after a sixteenth of an answer.
+// Also the wait for one of sixteen slots: a sixteenth of a response.
 #[case(16, 0, 145.5)]
-fn the_first_token_comes_after_a_slot_the_prompts_before_and_a_pass(
+fn time_to_first_token_adds_slot_prompts_and_passes(
     #[case] begun: u32,
     #[case] waiting: u32,
     #[case] expected_ms: f64,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn answers_correct_the_forecast_within_bounds() {
+fn observed_latency_corrects_the_forecast_within_bounds() {
     let mut slowness = Slowness::default();
     (0..100).for_each(|_| slowness.observe(100.0, 250.0));
     assert!((2.4..2.6).contains(&slowness.factor()));
@@ -96,80 +96,83 @@
 }
 
 #[test]
-fn a_request_goes_where_it_can_be_in_time_and_is_refused_where_it_cannot() {
+fn a_request_is_placed_only_where_it_can_be_in_time() {
     let mut replicas = Replicas::default();
-    let key = listed(&mut replicas, "a");
+    let key = add_replica(&mut replicas, "a");
     let replica = replicas.get_mut(key).unwrap();
     (
         replica.own_requests,
         replica.own_waiting,
         replica.own_waiting_tokens,
     ) = (4, 4, 9_000.0);
-    assert_eq!(choose(&replicas, WISH), None, "behind 300 ms of prompts");
+    assert_eq!(
+        choose(&replicas, REQUIREMENTS),
+        None,
+        "behind 300 ms of prompts"
+    );
     replicas.get_mut(key).unwrap().own_waiting_tokens = 1_800.0;
-    assert_eq!(choose(&replicas, WISH), Some(key));
+    assert_eq!(choose(&replicas, REQUIREMENTS), Some(key));
     replicas.get_mut(key).unwrap().slowness.observe(1.0, 100.0);
     (0..30).for_each(|_| {
         let slow = &mut replicas.get_mut(key).unwrap().slowness;
         slow.observe(100.0, 300.0);
     });
-    assert_eq!(choose(&replicas, WISH), None, "a slow replica");
+    assert_eq!(choose(&replicas, REQUIREMENTS), None, "a slow replica");
 }
 
 #[rstest]
-// An eighth of the slots stays free for those that can be in time.
+// An eighth of the slots stays free for requests that can be in time.
 #[case(13, Urgency::Late, true)]
 #[case(14, Urgency::Late, false)]
 #[case(14, Urgency::OnTime(400.0), true)]
-// A stream that goes on is not held up by a full replica's slots.
+// A resumed stream may exceed a full replica's slots.
 #[case(17, Urgency::OnTime(400.0), false)]
 #[case(17, Urgency::Resumed, true)]
-fn late_requests_fill_what_is_left_free(
-    #[case] load: u32,
-    #[case] urgency: Urgency,
-    #[case] sent: bool,
-) {
+fn late_requests_leave_slots_free(#[case] load: u32, #[case] urgency: Urgency, #[case] sent: bool) {
     let mut replicas = Replicas::default();
-    let key = listed(&mut replicas, "a");
+    let key = add_replica(&mut replicas, "a");
     replicas.get_mut(key).unwrap().own_requests = load;
-    let wish = Requirements { urgency, ..WISH };
-    assert_eq!(choose(&replicas, wish), sent.then_some(key));
+    let requirements = Requirements {
+        urgency,
+        ..REQUIREMENTS
+    };
+    assert_eq!(choose(&replicas, requirements), sent.then_some(key));
 }
 
 #[test]
-fn own_slots_are_filled_whatever_others_told_and_theirs_only_by_chance() {
+fn own_slots_come_first_and_other_entries_slots_by_probability() {
     let mut replicas = Replicas::default();
-    let own = listed(&mut replicas, "a");
-    let other = listed(&mut replicas, "bb");
+    let own = add_replica(&mut replicas, "a");
+    let other = add_replica(&mut replicas, "bb");
     let replica = replicas.get_mut(own).unwrap();
     (
         replica.own_slots,
         replica.own_requests,
         replica.other_requests,
     ) = (4, 3, 16);
-    let never = Requirements {
+    let no_overflow = Requirements {
         near: Uncertainty {
             overflow_probability: 0.0,
-            ..SURE
+            ..CERTAIN
         },
-        ..WISH
+        ..REQUIREMENTS
     };
-    assert_eq!(choose(&replicas, never), Some(own));
+    assert_eq!(choose(&replicas, no_overflow), Some(own));
     replicas.get_mut(own).unwrap().own_requests = 4;
-    assert_eq!(choose(&replicas, never), None);
-    assert_eq!(choose(&replicas, WISH), Some(other));
+    assert_eq!(choose(&replicas, no_overflow), None);
+    assert_eq!(choose(&replicas, REQUIREMENTS), Some(other));
     let stale = Requirements {
         near: Uncertainty {
             unseen_requests: 16.0,
-            ..SURE
+            ..CERTAIN
         },
-        ..WISH
+        ..REQUIREMENTS
     };
     assert_eq!(choose(&replicas, stale), None);
 }
 
 #[test]
-fn ranks_put_streams_first_and_late_requests_last() {
+fn resumed_streams_rank_first_and_late_requests_last() {
     let ranks = [
         Urgency::Resumed.rank(9),
         Urgency::OnTime(1.0).rank(0),
@@ -181,48 +184,53 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_is_as_old_as_the_time_that_it_lacks() {
+fn a_retry_is_as_old_as_its_missing_time() {
     let route: Rc<str> = "r".into();
-    let mut patience = TimeBudgets::default();
+    let mut time_budgets = TimeBudgets::default();
     let mut age = |left_ms, now_ms| {
         let left = Duration::from_millis(left_ms);
-        let age = patience.age(&route, left, Time::ZERO.after_ms(now_ms));
+        let age = time_budgets.age(&route, left, Time::ZERO.after_ms(now_ms));
         age.as_millis()
     };
     assert_eq!(age(6_000, 0), 0);
     assert_eq!(age(4_500, 100), 1_500);
-    // Callers that all wait for less time are no older for it, some time after others did.
+    // Once all callers use a shorter timeout, they no longer count as older.
     assert_eq!(age(1_000, 10_000), 5_000);
     assert_eq!(age(1_000, 20_000), 0);
 }
 
-/// Callers that wait for 5.1 to 6 seconds, and some that were refused and came back after two. By the most that any
-/// of them told, three in five first tries were up to 0.9 s old and late before they began.
+/// Guards against fresh requests that count as late: callers have timeouts from 5.1 to 6 s, and
+/// some retry 2 s after a refusal. If age were measured from the longest timeout, three in five
+/// first attempts would appear up to 0.9 s old.
 #[test]
-fn first_tries_of_callers_that_differ_in_patience_are_fresh() {
+fn first_attempts_with_varying_timeouts_are_fresh() {
     let route: Rc<str> = "r".into();
-    let mut patience = TimeBudgets::default();
+    let mut time_budgets = TimeBudgets::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut late, mut missed) = (0, 0);
     for number in 0..400_u64 {
-        let comes_back = number % 12 == 11;
-        let whole = rng.random_range(5_100..6_000);
-        let left = if comes_back { whole - 2_000 } else { whole };
+        let is_retry = number % 12 == 11;
+        let timeout_ms = rng.random_range(5_100..6_000);
+        let left = if is_retry {
+            timeout_ms - 2_000
+        } else {
+            timeout_ms
+        };
         let now = Time::ZERO.after_ms(number * 250);
-        let age = patience.age(&route, Duration::from_millis(left), now);
+        let age = time_budgets.age(&route, Duration::from_millis(left), now);
         let fresh = age <= Duration::from_millis(200);
-        late += u32::from(!comes_back && !fresh && 20 < number);
-        missed += u32::from(comes_back && fresh && 20 < number);
+        late += u32::from(!is_retry && !fresh && 20 < number);
+        missed += u32::from(is_retry && fresh && 20 < number);
     }
     assert_eq!((late, missed), (0, 0));
 }
 
-/// In a shortage that outlasts what is remembered, every second request comes back after a second or two. Where callers
-/// all wait as long, each is told from a first try all the same.
+/// Guards against losing track of first attempts when every second request is a retry after one or
+/// two seconds, for longer than samples are kept. All callers use the same timeout.
 #[test]
-fn in_a_long_shortage_callers_that_are_alike_are_as_old_as_the_time_that_they_lack() {
+fn retries_of_uniform_callers_keep_their_age_in_a_long_shortage() {
     let route: Rc<str> = "r".into();
-    let mut patience = TimeBudgets::default();
+    let mut time_budgets = TimeBudgets::default();
     for number in 0..400_u64 {
         let waited = if number % 2 == 1 {
             1_000 + number * 2
@@ -230,46 +238,46 @@
             0
         };
         let left = Duration::from_millis(6_000 - waited);
-        let age = patience.age(&route, left, Time::ZERO.after_ms(number * 250));
+        let age = time_budgets.age(&route, left, Time::ZERO.after_ms(number * 250));
         assert_eq!(age, Duration::from_millis(waited), "request {number}");
     }
 }
 
 #[test]
-fn what_callers_of_a_route_that_is_gone_told_is_forgotten() {
+fn time_budgets_of_removed_routes_are_dropped() {
     let route: Rc<str> = "r".into();
-    let mut patience = TimeBudgets::default();
-    patience.age(&route, Duration::from_millis(6_000), Time::ZERO);
-    patience.retain(|it| it != "r");
+    let mut time_budgets = TimeBudgets::default();
+    time_budgets.age(&route, Duration::from_millis(6_000), Time::ZERO);
+    time_budgets.retain(|it| it != "r");
     let left = Duration::from_millis(1_000);
-    assert_eq!(patience.age(&route, left, Time::ZERO), Duration::ZERO);
+    assert_eq!(time_budgets.age(&route, left, Time::ZERO), Duration::ZERO);
 }
 
 #[test]
-fn callers_come_back_soon_from_a_moments_shortage_and_late_from_a_long_one() {
+fn retry_delays_grow_with_the_duration_of_a_shortage() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut shortage = Shortage::default();
     let left = Duration::from_millis(6_000);
-    let mut back_ms = |at_ms| {
-        let back = shortage.record_refusal(left, Time::ZERO.after_ms(at_ms), &mut rng);
-        back.as_millis()
+    let mut delay_ms = |at_ms| {
+        let delay = shortage.record_refusal(left, Time::ZERO.after_ms(at_ms), &mut rng);
+        delay.as_millis()
     };
-    assert!((45..=60).contains(&back_ms(1_000)));
+    assert!((45..=60).contains(&delay_ms(1_000)));
     let (mut second, mut fourth) = (0, 0);
     for at in (1_000..=5_000).step_by(100) {
-        let back = back_ms(at);
-        second = if at == 2_000 { back } else { second };
-        fourth = if at == 5_000 { back } else { fourth };
+        let delay = delay_ms(at);
+        second = if at == 2_000 { delay } else { second };
+        fourth = if at == 5_000 { delay } else { fourth };
     }
     assert!((750..=1_000).contains(&second), "{second}");
-    // No longer than callers heed it.
+    // Capped at the delay that callers accept.
     assert!((1_500..=2_000).contains(&fourth), "{fourth}");
-    assert!(back_ms(9_000) <= 60, "another shortage");
+    assert!(delay_ms(9_000) <= 60, "a new shortage");
 }
 
 proptest! {
     #[test]
-    fn every_slot_is_the_part_of_one_entry_and_entries_have_much_the_same(
+    fn every_slot_belongs_to_one_entry_and_entries_have_similar_totals(
         entries in 1usize..420,
         replicas in 1usize..120,
         slots in 1u32..20,
@@ -282,31 +290,31 @@
         }
         let totals = of.iter().map(|it| it.iter().sum::<u32>());
         let (least, most) = (totals.clone().min().unwrap(), totals.max().unwrap());
-        // A holder more or less, and what is left over at each of its replicas.
+        // The difference is at most one per holder, plus the remainder at each replica.
         prop_assert!(most - least <= 2 + slots + replicas as u32, "{least}..{most}");
     }
 }
 
 #[rstest]
-// For as long as it can be in time.
+// Until the response would be late.
 #[case(Urgency::OnTime(500.0), 5, 500, 6_000, Some(1_500))]
 #[case(Urgency::Late, 5, 500, 6_000, Some(1_500))]
-// A quarter of the caller's time at most.
+// At most a quarter of the caller's time.
 #[case(Urgency::OnTime(500.0), 5, 500, 1_000, Some(1_250))]
-// A stream that goes on, from when it broke.
+// A resumed stream waits from when it broke off.
 #[case(Urgency::Resumed, 5, 500, 6_000, Some(3_200))]
 #[case(Urgency::Resumed, 5, 500, 1_500, Some(2_500))]
-// No replica takes requests at all: the caller is told at once.
+// No replica accepts such requests, so the caller is refused at once.
 #[case(Urgency::OnTime(500.0), 0, 500, 6_000, None)]
 #[case(Urgency::Resumed, 0, 500, 6_000, None)]
-fn a_request_waits_for_room_while_that_is_of_use(
+fn a_request_waits_for_room_while_it_can_be_in_time(
     #[case] urgency: Urgency,
     #[case] full: u32,
     #[case] objective_ms: u64,
     #[case] time_ms: u64,
     #[case] until_ms: Option<u64>,
 ) {
-    let census = ExclusionCounts {
+    let exclusions = ExclusionCounts {
         full,
         ..ExclusionCounts::default()
     };
@@ -314,7 +322,7 @@
     let until = |refused| {
         let until = wait::wait_deadline(
             urgency,
-            census,
+            exclusions,
             received,
             Duration::from_millis(objective_ms),
             received.after_ms(time_ms),
@@ -324,13 +332,13 @@
         until.map(|it| it.since(Time::ZERO).as_millis() as u64)
     };
     assert_eq!(until(false), until_ms);
-    // While others are refused, only streams that go on wait.
+    // While others are refused, only resumed streams wait.
     let waits = urgency == Urgency::Resumed;
     assert_eq!(until(true), until_ms.filter(|_| waits));
 }
 
 #[test]
-fn want_of_room_is_a_moments_again_after_two_seconds_without_a_refusal() {
+fn a_shortage_is_inactive_two_seconds_after_the_last_refusal() {
     let mut shortage = Shortage::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     assert!(!shortage.is_active(Time::ZERO));
--- a/crates/gradeloft_policy/tests/at_most_once.rs
+++ b/crates/gradeloft_policy/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that run at most once.
+//! Tests of calls that run at most once.
 
 use gradeloft_policy::{
     clock::Time,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_agent_that_restarted_does_not_run_what_it_claimed_before() {
+fn a_restarted_agent_does_not_run_its_earlier_claims() {
     let mut before = table();
     let claim = claimed(before.arrive(key(), 1, Time::ZERO));
     let mut restarted = table();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_claim_given_up_unrun_is_taken_up_by_its_own_agent_only() {
+fn an_abandoned_claim_is_reused_by_its_own_agent() {
     let mut table = table();
     let claim = claimed(table.arrive(key(), 1, Time::ZERO));
     table.abandon(key());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_holder_paused_past_its_claim_does_not_run() {
+fn a_call_paused_past_its_claim_expiry_does_not_run() {
     let mut table = table();
     let claim = claimed(table.arrive(key(), 1, Time::ZERO));
     table.fold(0, &[claim]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_claim_that_the_log_has_not_got_does_not_run() {
+fn a_claim_missing_from_the_log_does_not_run() {
     let mut table = table();
     claimed(table.arrive(key(), 1, Time::ZERO));
     assert_eq!(
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_record_handed_out_twice_or_an_old_offset_changes_nothing() {
+fn repeated_records_and_old_offsets_have_no_effect() {
     let mut table = table();
     let claim = claimed(table.arrive(key(), 1, Time::ZERO));
     table.fold(3, &[claim]);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn keys_of_other_teams_and_services_are_other_keys() {
+fn keys_differ_between_teams_and_services() {
     let keys = [
         at_most_once::key("booking", "duty", "k1"),
         at_most_once::key("booking", "guides", "k1"),
@@ -158,7 +158,7 @@
     ])
 }
 
-/// An agent in the property test: its table, its claim not yet appended, and its running call.
+/// An agent: its table, its claim that is not yet appended, and whether its call runs.
 struct Agent {
     table: ClaimTable<&'static str>,
     claim: Option<Claim>,
@@ -178,12 +178,12 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Three agents get calls with one key in any order, lose replies, pause, restart, give up and
-    /// read the log late. The call reaches the service at most once, and a call that was told
-    /// "not run" never did by that attempt.
+    /// Three agents receive calls with one key in any order, lose replies, pause, restart, give up,
+    /// and read the log late. The call reaches the service at most once, and an attempt that was
+    /// reported as not run never ran.
     ///
-    /// It can fail: letting `settle` run a claim that stands on the log without being the first
-    /// makes it fail, and so does letting `abandon` give up a call that has started.
+    /// The test fails if `settle` runs a claim in the log that is not the first, or if `abandon`
+    /// gives up a call that has started.
     #[test]
     fn a_keyed_call_runs_at_most_once(
         events in prop::collection::vec((0usize..3, event()), 0..120),
@@ -223,7 +223,7 @@
                     }
                 }
                 Event::Unrun => {
-                    // The endpoint could not be reached: that run did not take place.
+                    // The endpoint could not be reached, so the call did not run.
                     if agent.started {
                         agent.table.mark_not_run(key());
                         agent.started = false;
--- a/crates/gradeloft_policy/tests/capacity.rs
+++ b/crates/gradeloft_policy/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The table of `docs/CAPACITY.md` that says how many processes do something at once, by the size of a region.
+//! Checks the table in `docs/CAPACITY.md` of how many processes act at once, by region size.
 
 use std::{fs, net::Ipv4Addr, path::Path, time::Duration};
 
@@ -12,7 +12,7 @@
 };
 use gradeloft_wire::frame::Role;
 
-/// Entries of a region, by column.
+/// Entries per region, by column.
 const SIZES: [u16; 5] = [6, 11, 33, 110, 220];
 
 fn names(size: u16) -> Vec<u64> {
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// Of the entries of a region, those that do something which depends on the own name and the others'.
+/// Counts the entries of a region that act, depending on their own name and the others'.
 fn count(size: u16, does: impl Fn(u64, &[u64]) -> bool) -> usize {
     let names = names(size);
     let others = |own: u64| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_page_says_what_the_code_does() {
+fn the_capacity_page_matches_the_code() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/CAPACITY.md");
     let page = fs::read_to_string(path).unwrap();
     let row = |name: &str, figure: &dyn Fn(u16) -> usize| {
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Decisions about forwarded requests: routes, copies of tables, repeats, entries.
+//! Tests of forwarding: routes, table copies, retries and the roster of entries.
 
 use std::{collections::HashMap, net::Ipv4Addr, rc::Rc};
 
@@ -60,7 +60,7 @@
 #[case("A.Example:80", "/x/z", Ok("short"))]
 #[case("a.example", "/xx/", Err(Denied::NoRoute))]
 #[case("b.example", "/x/", Err(Denied::NoRoute))]
-fn the_longest_prefix_of_the_host_is_the_route(
+fn the_longest_matching_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Result<&str, Denied>,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_key_proves_its_team_and_public_routes_need_none() {
+fn a_key_identifies_its_team_and_public_routes_need_none() {
     let config = config(vec![route("r", "/r/", false), route("p", "/p/", true)]);
     let (closed, open) = (&config.document.routes[0], &config.document.routes[1]);
     assert_eq!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn splits_follow_the_weights() {
+fn traffic_splits_follow_the_weights() {
     let mut split = route("r", "/r/", false);
     split.targets = [("a", 90.0), ("b", 10.0)]
         .map(|(service, weight)| Target {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_old_record_read_late_changes_nothing() {
+fn an_old_record_read_late_has_no_effect() {
     let mut mirror = Mirror::default();
     mirror.apply(follow(vec![
         record("a", Some("1"), 0),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn many_versions_of_a_large_record_are_passed_on_as_the_newest() {
+fn only_the_newest_version_of_a_large_record_is_sent() {
     let mut mirror = Mirror::default();
     let large = "x".repeat(1_000);
     let versions = (0..5).map(|it| record("config", Some(&format!("{it}{large}")), it));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_snapshot_removes_what_it_does_not_name_and_an_old_one_removes_nothing() {
+fn a_snapshot_removes_missing_keys_and_an_old_one_removes_none() {
     let mut mirror = Mirror::default();
     mirror.apply(follow(vec![
         record("a", Some("1"), 0),
@@ -172,13 +172,14 @@
     assert_eq!((mirror.value("a"), mirror.end()), (None, 9));
 }
 
-/// Offset of the newest record that a copy has.
+/// Returns the offset of the newest record of a copy.
 fn newest(copy: &Mirror) -> Option<u64> {
     copy.records().map(|it| it.offset).max()
 }
 
 proptest! {
-    /// Whatever a copy saw before, what a peer gives it brings it to the peer's state.
+    /// Guards against copies that differ: whatever a copy held before, an update from a peer brings
+    /// it to the peer's state.
     #[test]
     fn copies_agree_after_one_exchange(
         writes in prop::collection::vec((0..5u8, prop::option::of(0..9u8)), 1..700),
@@ -202,12 +203,12 @@
         }
     }
 
-    /// Whatever order a process reads the store, an old page of it and its peers in, and whenever
-    /// processes start again and the store drops what is older than the newest records, the value
-    /// that a process has of a key never goes back, and after one more read it is the store's. Fails
-    /// if an old snapshot is taken in and the offsets of its records are not compared.
+    /// Guards against values that revert, in whatever order a process reads the store, an old page
+    /// of it and its peers, and whenever processes restart and the store drops old records. After
+    /// one more read the value is the store's. The test fails if an old snapshot is applied without
+    /// comparing the offsets of its records.
     #[test]
-    fn a_value_never_goes_back(
+    fn a_value_never_reverts(
         steps in prop::collection::vec((0..6u8, 0..3usize, 0..60usize), 1..200),
     ) {
         let mut log: Vec<Record> = vec![record("config", Some("0"), 0)];
@@ -220,25 +221,25 @@
         for (step, copy, back) in steps {
             let before = newest(&copies[copy]);
             match step {
-                // The operator writes.
+                // Write by the operator.
                 0 => log.push(record("config", Some(&log.len().to_string()), log.len() as u64)),
-                // The records since the copy's end, or since some time before.
+                // Records since the copy's end, or from some time before it.
                 1 => {
                     let from = (copies[copy].end() as usize).saturating_sub(back);
                     let update = follow(log[from.min(log.len())..].to_vec());
                     copies[copy].apply(update);
                 }
-                // The newest records, as they are or as they were.
+                // A current or an old snapshot.
                 2 => {
                     let upto = log.len().saturating_sub(back).max(1);
                     copies[copy].apply(snapshot(&log[..upto]));
                 }
-                // A peer.
+                // Update from a peer.
                 3 | 4 => {
                     let update = copies[(copy + 1) % 3].since(copies[copy].end());
                     copies[copy].apply(update);
                 }
-                // It starts again.
+                // Restart.
                 _ => copies[copy] = Mirror::default(),
             }
             prop_assert!(step == 5 || before <= newest(&copies[copy]));
@@ -249,11 +250,12 @@
         }
     }
 
-    /// A request that may run once goes to another replica only while it certainly has not run, no
-    /// request goes to more replicas than allowed, and "not run" is known only if no attempt may have
-    /// run. Fails if any failure counts for less than it is.
+    /// Guards against repeating a request that must run once: it may go to another replica only if
+    /// it certainly has not run. No request goes to more replicas than allowed, and "not run" is
+    /// reported only if no attempt may have run. The test fails if any kind of failure is
+    /// underrated.
     #[test]
-    fn attempts_in_any_order_keep_the_promises(
+    fn failed_attempts_in_any_order_respect_the_limits(
         kind in prop::sample::select(vec![RouteKind::Idempotent, RouteKind::Once, RouteKind::ResumableStream, RouteKind::Stream]),
         failures in prop::collection::vec(prop::sample::select(vec![
             Failure::Broken, Failure::Failed, Failure::Lost, Failure::Misdirected,
@@ -279,10 +281,10 @@
         }
     }
 
-    /// In every span of the window's length all entries together repeat at most the ratio of the
-    /// requests in the wider span that is counted with it, and the slack.
+    /// Guards against retry storms: in every time span of the window's length, the retries of all
+    /// entries stay within the ratio of the requests counted for it, plus the slack.
     #[test]
-    fn repeats_of_all_entries_keep_to_the_budget(
+    fn retries_of_all_entries_stay_within_the_budget(
         events in prop::collection::vec((0..7usize, 0..40u64, any::<bool>()), 1..1500),
     ) {
         let bounds = Bounds { ratio: 0.2, slack: 100.0, window_ms: 10_000 };
@@ -311,16 +313,15 @@
     }
 }
 
-/// Replicas turned away nearly half of what reached them for ten seconds, six of seven entries were killed in the middle of it
-/// and were back half a second later, and together they sent more repeats than there may be. In order: each used up what
-/// the requests of the ten seconds before allowed; it started again, knew nothing of that, and spent what the requests
-/// since allowed. Cause: what a process has spent is forgotten with it, though the window goes on. Evidence: 673, 677 and
-/// 684 repeats of 650 allowed, all ten seconds of the trouble in one window.
+/// Guards against entries that exceed the retry budget after a restart. Replicas refuse nearly half
+/// of their requests for ten seconds, and six of seven entries are killed meanwhile and are back
+/// half a second later. A budget that lost the spent retries with its process would spend them
+/// again within the same window: 673 to 684 retries where 650 are allowed.
 #[rstest]
 #[case(7)]
 #[case(6)]
 #[case(1)]
-fn entries_that_start_again_keep_to_what_may_be_left_of_the_budget(#[case] killed: usize) {
+fn restarted_entries_stay_within_the_retry_budget(#[case] killed: usize) {
     let bounds = Bounds {
         ratio: 0.2,
         slack: 102.0,
@@ -329,7 +330,7 @@
     let (trouble_ms, kill_ms, back_ms, end_ms) = (20_000, 24_600, 25_100, 30_000);
     let mut budgets = vec![Budget::default(); 7];
     let (mut requests, mut repeats) = (0, 0);
-    // Each entry gets a request in 25 ms, and would repeat each second one.
+    // Each entry receives a request every 25 ms and would retry every second one.
     for now_ms in (0..end_ms).step_by(25) {
         for (entry, budget) in budgets.iter_mut().enumerate() {
             let reborn = entry < killed && kill_ms <= now_ms;
@@ -337,7 +338,7 @@
                 *budget = Budget::default();
                 continue;
             }
-            // A process's clock begins with it.
+            // A process's clock starts with the process.
             let now = Time::ZERO.after_ms(if reborn { now_ms - back_ms } else { now_ms });
             budget.request(bounds, now);
             let troubled = trouble_ms <= now_ms;
@@ -351,12 +352,12 @@
     assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
 }
 
-/// Six of seven entries were killed at once while replicas turned half of the requests away, and together they sent
-/// more repeats than there may be. In order: each had used up its part; it started again and took callers after a
-/// quarter of a second; it had met nobody yet, and took the part of a fleet of one. Cause: the part followed from the
-/// entries that it had heard of. Evidence: 601 repeats in ten seconds, where 585 were allowed, on one day in forty.
+/// Guards against entries that exceed the retry budget by restarting together: six of seven are
+/// killed while replicas refuse half of their requests, and accept callers again after 250 ms. If
+/// an entry that has no contact yet took the whole budget of a fleet of one, there would be 601
+/// retries in ten seconds where 585 are allowed.
 #[test]
-fn entries_that_start_together_take_no_more_than_their_parts() {
+fn entries_restarting_together_stay_within_the_retry_budget() {
     let bounds = Bounds {
         ratio: 0.2,
         slack: 100.0,
@@ -369,7 +370,7 @@
         while before.repeat(bounds, Some(7), Time::ZERO) {
             repeats += 1;
         }
-        // Killed: it begins anew, with the addresses of two others in its settings.
+        // The killed entry restarts with the addresses of two others in its settings.
         let mut roster = Roster::default();
         let mut budget = Budget::default();
         (1..=3)
@@ -391,7 +392,7 @@
         spend(&roster, Discovery::Listed);
     }
     assert!(f64::from(repeats) <= bounds.slack, "{repeats}");
-    // Nothing is taken for good from who has met the others.
+    // An entry with complete discovery that is alone may use the whole budget.
     assert_eq!(
         Roster::default().budget_sharers(Discovery::Complete),
         Some(1)
@@ -399,7 +400,7 @@
 }
 
 #[rstest]
-// A call that may not be repeated goes elsewhere only if it certainly has not run.
+// A request that must not be repeated goes to another replica only if it certainly has not run.
 #[case(RouteKind::Once, Failure::Unsent, true, Ran::No)]
 #[case(RouteKind::Once, Failure::Refused, true, Ran::No)]
 #[case(RouteKind::Once, Failure::Misdirected, true, Ran::No)]
@@ -410,7 +411,7 @@
 #[case(RouteKind::Stream, Failure::Broken, false, Ran::Unknown)]
 #[case(RouteKind::ResumableStream, Failure::Broken, true, Ran::Unknown)]
 #[case(RouteKind::Idempotent, Failure::Lost, true, Ran::Unknown)]
-fn what_may_follow_a_failed_attempt(
+fn a_failed_attempt_is_repeated_only_if_safe(
     #[case] kind: RouteKind,
     #[case] failure: Failure,
     #[case] repeat: bool,
@@ -423,7 +424,7 @@
     assert!(failure == Failure::Unsent || !progress.may_retry());
 }
 
-fn word(incarnation: u64, zone: &str, state: State) -> Status<'_> {
+fn status(incarnation: u64, zone: &str, state: State) -> Status<'_> {
     Status {
         incarnation,
         zone,
@@ -434,27 +435,27 @@
 }
 
 #[test]
-fn leaving_and_silent_entries_are_not_given_to_callers() {
+fn leaving_and_silent_entries_are_not_listed_to_callers() {
     let [near, far, gone] = [1, 2, 3].map(|it| Ipv4Addr::new(10, 0, 0, it));
     let mut roster = Roster::default();
     let now = Time::ZERO;
-    roster.receive(far, word(1, "y", State::Ready), now);
-    roster.receive(near, word(1, "z", State::Ready), now);
-    roster.receive(gone, word(1, "z", State::Leaving), now);
+    roster.receive(far, status(1, "y", State::Ready), now);
+    roster.receive(near, status(1, "z", State::Ready), now);
+    roster.receive(gone, status(1, "z", State::Leaving), now);
     let own = Ipv4Addr::new(10, 0, 0, 9);
     assert_eq!(roster.ready(own, "z", |_| true, now), vec![near, far]);
     let later = now.after_ms(2_000);
-    roster.receive(far, word(1, "y", State::Ready), later);
+    roster.receive(far, status(1, "y", State::Ready), later);
     assert_eq!(roster.ready(own, "z", |_| true, later), vec![far]);
-    // A word from before a restart does not count while the new start speaks.
-    roster.receive(gone, word(5, "z", State::Ready), later);
-    roster.receive(gone, word(1, "z", State::Leaving), later);
+    // Messages from before a restart are ignored once the new process sends its own.
+    roster.receive(gone, status(5, "z", State::Ready), later);
+    roster.receive(gone, status(1, "z", State::Leaving), later);
     assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
     assert_eq!(roster.peak_size(), 4);
 }
 
 #[test]
-fn a_few_entries_of_a_region_read_the_store_and_others_take_over_from_those_it_does_not_serve() {
+fn a_few_entries_per_region_read_the_store_and_others_replace_unserved_ones() {
     let now = Time::ZERO;
     let region: Vec<Ipv4Addr> = (1..=9).map(|it| Ipv4Addr::new(10, 0, 0, it)).collect();
     let own = |it: &Ipv4Addr| u64::from(it.to_bits());
@@ -463,11 +464,11 @@
             let mut roster = Roster::default();
             for other in region.iter().filter(|it| *it != entry) {
                 let served = !unserved.contains(other);
-                let word = Status {
+                let status = Status {
                     served,
-                    ..word(1, "z", State::Ready)
+                    ..status(1, "z", State::Ready)
                 };
-                roster.receive(*other, word, now);
+                roster.receive(*other, status, now);
             }
             let others = roster.served(|zone| zone == "z", now);
             readers::reads(0, own(entry), others.map(|it| own(&it)), 3)
@@ -478,7 +479,7 @@
     let readers = readers_of(&[]);
     assert_eq!(readers.len(), 2);
     let after = readers_of(&readers);
-    // Those that are not served go on trying, and two others read meanwhile.
+    // Entries that the store doesn't serve keep trying, while two others read.
     assert_eq!(after.len(), 4);
     assert!(readers.iter().all(|it| after.contains(it)));
 }
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which replica of a service gets a request, and which replicas there are.
+//! Tests of replica selection and of the set of replicas.
 
 mod support;
 
@@ -11,12 +11,12 @@
 use rand_chacha::ChaCha8Rng;
 use support::listing;
 
-const SURE: Uncertainty = Uncertainty {
+const CERTAIN: Uncertainty = Uncertainty {
     overflow_probability: 1.0,
     unseen_requests: 0.0,
 };
 
-const WISH: Requirements<'static> = Requirements {
+const REQUIREMENTS: Requirements<'static> = Requirements {
     zone: "z",
     min_version: None,
     resumed_version: None,
@@ -24,17 +24,17 @@
     urgency: Urgency::OnTime(400.0),
     prompt_tokens: 0.0,
     speed: None,
-    near: SURE,
-    far: SURE,
+    near: CERTAIN,
+    far: CERTAIN,
 };
 
-fn choose(replicas: &Replicas, wish: Requirements<'_>, now: Time) -> Option<ReplicaKey> {
+fn choose(replicas: &Replicas, requirements: Requirements<'_>, now: Time) -> Option<ReplicaKey> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    placement::choose(replicas.of("m"), wish, now, &mut rng)
+    placement::choose(replicas.of("m"), requirements, now, &mut rng)
 }
 
 #[test]
-fn only_replicas_with_weights_that_are_new_enough_and_not_leaving_get_requests() {
+fn only_replicas_with_new_enough_weights_that_are_not_leaving_get_requests() {
     let mut replicas = Replicas::default();
     replicas.list(listing("a", None));
     let old = replicas.list(listing("bb", Some(1)));
@@ -42,16 +42,16 @@
     leaving.draining = true;
     replicas.list(leaving);
     let now = Time::ZERO;
-    assert_eq!(choose(&replicas, WISH, now), Some(old));
+    assert_eq!(choose(&replicas, REQUIREMENTS, now), Some(old));
     let strict = Requirements {
         min_version: Some(2),
-        ..WISH
+        ..REQUIREMENTS
     };
     assert_eq!(choose(&replicas, strict, now), None);
 }
 
 #[test]
-fn a_replica_that_is_about_to_load_gets_no_requests_until_its_agent_falls_silent() {
+fn a_replica_about_to_load_gets_no_requests_while_its_agent_reports() {
     let mut replicas = Replicas::default();
     let key = replicas.list(listing("a", Some(1)));
     let report = Report {
@@ -63,15 +63,15 @@
     };
     let address = replicas.get(key).unwrap().listing.address;
     replicas.report_at(address, report);
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), None);
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), None);
     assert_eq!(
-        choose(&replicas, WISH, Time::ZERO.after_ms(4_000)),
+        choose(&replicas, REQUIREMENTS, Time::ZERO.after_ms(4_000)),
         Some(key)
     );
 }
 
 #[test]
-fn a_replica_behind_a_full_link_gets_requests_only_when_nothing_else_has_room() {
+fn a_replica_behind_a_congested_link_is_chosen_last() {
     let mut replicas = Replicas::default();
     let behind = replicas.list(listing("a", Some(1)));
     let report = Report {
@@ -87,45 +87,45 @@
         ..listing("b", Some(1))
     });
     replicas.get_mut(busy).unwrap().own_requests = 4;
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(busy));
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), Some(busy));
     replicas.get_mut(busy).unwrap().own_requests = 100;
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(behind));
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), Some(behind));
 }
 
 #[test]
-fn requests_that_have_not_begun_weigh_more_than_free_slots() {
+fn waiting_prompts_outweigh_free_slots() {
     let mut replicas = Replicas::default();
     let busy = replicas.list(listing("a", Some(1)));
     let fresh = replicas.list(listing("bb", Some(1)));
     replicas.get_mut(busy).unwrap().own_requests = 6;
     let empty = replicas.get_mut(fresh).unwrap();
     (empty.own_requests, empty.own_waiting) = (4, 4);
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(busy));
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), Some(busy));
 }
 
 #[test]
-fn a_stream_goes_on_at_the_version_that_began_it() {
+fn a_stream_resumes_at_the_version_that_began_it() {
     let mut replicas = Replicas::default();
     let same = replicas.list(listing("a", Some(1)));
     replicas.list(listing("bb", Some(2)));
     replicas.get_mut(same).unwrap().own_requests = 12;
-    let wish = Requirements {
+    let requirements = Requirements {
         resumed_version: Some(1),
-        ..WISH
+        ..REQUIREMENTS
     };
-    assert_eq!(choose(&replicas, wish, Time::ZERO), Some(same));
+    assert_eq!(choose(&replicas, requirements, Time::ZERO), Some(same));
 }
 
 #[test]
-fn full_replicas_are_refused_rather_than_queued_at() {
+fn a_full_replica_is_not_chosen() {
     let mut replicas = Replicas::default();
     let key = replicas.list(listing("a", Some(1)));
     replicas.get_mut(key).unwrap().own_requests = 18;
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), None);
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), None);
 }
 
 #[test]
-fn a_census_says_why_no_replica_gets_a_request() {
+fn exclusion_counts_tell_why_no_replica_is_chosen() {
     let mut replicas = Replicas::default();
     let full = replicas.list(listing("a", Some(2)));
     replicas.get_mut(full).unwrap().own_requests = 18;
@@ -134,30 +134,30 @@
     replicas.list(listing("ccc", Some(1)));
     replicas.list(listing("dddd", None));
     let tried = replicas.list(listing("eeeee", Some(2)));
-    let wish = Requirements {
+    let requirements = Requirements {
         min_version: Some(2),
         tried: &[tried],
-        ..WISH
+        ..REQUIREMENTS
     };
-    assert_eq!(choose(&replicas, wish, Time::ZERO), None);
-    let census = placement::count_exclusions(replicas.of("m"), |_| true, wish, Time::ZERO);
-    assert_eq!(census.to_string(), "closed:1,full:2,old:1,tried:1,away:0");
+    assert_eq!(choose(&replicas, requirements, Time::ZERO), None);
+    let counts = placement::count_exclusions(replicas.of("m"), |_| true, requirements, Time::ZERO);
+    assert_eq!(counts.to_string(), "closed:1,full:2,old:1,tried:1,away:0");
 }
 
 #[test]
-fn suspicion_passes_and_never_empties_a_service() {
+fn suspicion_expires_and_never_excludes_all_replicas() {
     let mut replicas = Replicas::default();
     let one = replicas.list(listing("a", Some(1)));
     let two = replicas.list(listing("bb", Some(1)));
     replicas.failed(one, Time::ZERO);
-    assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(two));
+    assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), Some(two));
     replicas.failed(two, Time::ZERO);
-    assert!(choose(&replicas, WISH, Time::ZERO).is_some());
+    assert!(choose(&replicas, REQUIREMENTS, Time::ZERO).is_some());
     assert!(!replicas.get(one).unwrap().suspect(Time::ZERO.after_ms(300)));
 }
 
 #[test]
-fn a_removal_after_an_outage_waits_and_is_undone_by_a_new_entry() {
+fn a_removal_after_an_outage_is_delayed_and_cancelled_by_a_new_listing() {
     let mut replicas = Replicas::default();
     replicas.list(listing("a", Some(1)));
     let doubtful = StoreTrust::Doubtful(Time::ZERO.after_ms(2_000));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_removal_that_is_read_late_is_doubted_no_longer_than_one_that_is_read_at_once() {
+fn a_removal_read_late_is_delayed_no_longer_than_one_read_at_once() {
     let written = Time::ZERO.after_ms(1_000);
     let read = Time::ZERO.after_ms(2_000);
     let trust = StoreTrust::Doubtful(read.after_ms(2_300));
@@ -182,8 +182,8 @@
         trust.of_written(written, 2_300),
         StoreTrust::Doubtful(until)
     );
-    let sooner = StoreTrust::Doubtful(written);
-    assert_eq!(sooner.of_written(written, 2_300), sooner);
+    let earlier = StoreTrust::Doubtful(written);
+    assert_eq!(earlier.of_written(written, 2_300), earlier);
     assert_eq!(
         StoreTrust::Sound.of_written(written, 2_300),
         StoreTrust::Sound
--- a/crates/gradeloft_policy/tests/request.rs
+++ b/crates/gradeloft_policy/tests/request.rs
@@ -1,4 +1,4 @@
-//! Decisions about one request: admission, answer, retry, route.
+//! Tests of admission, response validation, retries and routing of a request.
 
 use gradeloft_policy::{
     clock::Time,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_whole_answer_passes() {
+fn a_complete_response_is_accepted() {
     let mut checker = ResponseChecker::new(REQUEST, "v1");
     assert_eq!(checker.accept(&piece(7, "v1", 0, "a")), Ok(()));
     assert_eq!(checker.accept(&piece(7, "v1", 1, "b")), Ok(()));
@@ -58,7 +58,7 @@
 #[case::wrong_digest(end("v1", 1, "b"))]
 #[case::end_of_another_version(end("v2", 1, "a"))]
 #[case::no_answer_at_all(Reply::Have(Vec::new()))]
-fn a_frame_that_does_not_belong_ends_the_answer(#[case] frame: Reply) {
+fn an_invalid_frame_ends_the_response(#[case] frame: Reply) {
     let mut checker = ResponseChecker::new(REQUEST, "v1");
     checker.accept(&piece(7, "v1", 0, "a")).unwrap();
     assert_eq!(checker.accept(&frame), Err(Kind::Mismatch));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_frame_after_the_end_is_refused() {
+fn a_frame_after_the_end_is_rejected() {
     let mut checker = ResponseChecker::new(REQUEST, "v1");
     checker.accept(&end("v1", 0, "")).unwrap();
     assert_eq!(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_if_it_may_be() {
+fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     for kind in Kind::ALL.iter().copied() {
         let tried = |repeat| {
             let mut budget = Budget::new(10);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn nothing_is_retried_after_a_part_was_sent_the_deadline_or_the_last_attempt() {
+fn no_retry_after_partial_response_deadline_or_last_attempt() {
     let again = |failure: Failure, now: Time| {
         let mut budget = Budget::new(10);
         retry::should_retry(failure, &mut budget, now, Time::ZERO.after_ms(10))
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_fresh_requests_when_a_zone_dies() {
+fn retries_are_a_share_of_new_requests_when_a_zone_fails() {
     let mut budget = Budget::new(10);
     let deadline = Time::ZERO.after_ms(1);
     let mut retries = 0;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_team_that_floods_is_limited_and_the_others_are_not() {
+fn a_team_over_its_rate_is_limited_and_others_are_not() {
     let mut ledger = ledger();
     let admitted = (0..100)
         .filter(|_| ledger.admit("loud", 1.0, Time::ZERO).is_ok())
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_answer_is_charged_and_its_team_then_waits() {
+fn a_team_that_overdraws_its_tokens_is_limited_until_refill() {
     let mut ledger = ledger();
     assert_eq!(ledger.admit("loud", 0.0, Time::ZERO), Ok(()));
     ledger.charge("loud", 300.0, Time::ZERO);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_new_bundle_keeps_what_is_spent_and_drops_teams_that_are_gone() {
+fn a_new_bundle_keeps_bucket_levels_and_drops_removed_teams() {
     let mut ledger = ledger();
     while ledger.admit("loud", 0.0, Time::ZERO).is_ok() {}
     ledger.retain(|it| it == "loud");
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_prefix_keeps_its_replica_until_that_is_much_busier_than_the_rest() {
+fn a_prefix_keeps_its_replica_until_that_is_much_busier_than_others() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let idle: Vec<_> = (0..8)
         .map(|it| candidate(it, 0, 0, Locality::Zone))
@@ -261,14 +261,14 @@
 }
 
 #[test]
-fn an_old_report_counts_less_than_a_fresh_one() {
+fn a_stale_load_report_counts_less() {
     let told = candidate(0, 1, 8, Locality::Zone);
     assert!(0.85 < told.load(Time::ZERO));
     assert!(told.load(Time::ZERO.after_ms(5_000)) < 0.11);
 }
 
 #[test]
-fn the_nearer_of_two_equals_is_chosen() {
+fn the_nearer_of_two_equal_replicas_is_chosen() {
     let pair = [
         candidate(0, 1, 0, Locality::OtherZone),
         candidate(1, 1, 0, Locality::Zone),
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn no_candidates_no_choice() {
+fn without_candidates_none_is_chosen() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     assert_eq!(
         route::choose::<u32>(&[], Some(1), Time::ZERO, &mut rng),
