--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -14,7 +14,7 @@
     abort::Ending,
     forward::Job,
     in_flight::Running,
-    quarantine::Start,
+    quarantine::ReplicaStart,
     relay::{self, Passage, Source, Stored},
 };
 use crate::{
@@ -63,7 +63,7 @@
     /// The replica.
     pub replica: ReplicaKey,
     /// The start of the replica that has the request.
-    pub(super) start: Option<Start>,
+    pub(super) start: Option<ReplicaStart>,
     /// Whether its silence was counted as a failure.
     pub counted: bool,
     pub(super) link: Link,
@@ -111,7 +111,7 @@
         if caller.has_gone() {
             return Err(Ended::Gone(Ending::CallerLeft));
         }
-        let start = entry.start_of(replica);
+        let start = entry.replica_start(replica);
         let expected = expect(entry, job, replica);
         let running = entry.running(replica, job.prompt_tokens);
         let link = connected(entry, caller, job, replica, address).await?;
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -24,7 +24,7 @@
     attempt::Attempt,
     connection::{After, Received, refuse},
     hedge,
-    quarantine::Try,
+    quarantine::TryGuard,
     refusal::Refusal,
     relay::Stored,
     selection::{self, Room},
@@ -87,7 +87,7 @@
     pub(super) waits_since: Option<Time>,
     fingerprint: OnceCell<Fingerprint>,
     /// Held while no request like it may be under way at this entry.
-    pub(super) only: Option<Try>,
+    pub(super) try_guard: Option<TryGuard>,
 }
 
 impl Job {
@@ -219,7 +219,7 @@
         census: None,
         waits_since: None,
         fingerprint: OnceCell::new(),
-        only: None,
+        try_guard: None,
     }
 }
 
@@ -269,7 +269,7 @@
         };
         match ended {
             hedge::End::Answered(status) => {
-                entry.clear(&job);
+                entry.clear_suspicion(&job);
                 break Outcome::Answered(status);
             }
             hedge::End::Gone(ending) => break Outcome::Gone(ending),
--- a/crates/gradeloft_gateway/src/entry/hedge.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -81,7 +81,7 @@
             Takeover::Over(next) => {
                 let silent = std::mem::replace(&mut attempt, *next);
                 if let Some(start) = silent.start {
-                    entry.suspect(job, start);
+                    entry.record_lost_request(job, start);
                 }
                 silent.abandon();
             }
@@ -120,7 +120,7 @@
         forward::failed(entry, job, attempt.replica, failure);
     }
     if let Some(start) = attempt.start.filter(|_| failure.may_be_crash()) {
-        entry.suspect(job, start);
+        entry.record_lost_request(job, start);
     }
     attempt.close(entry, job);
 }
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -41,7 +41,7 @@
         if let Some(token) = token {
             token.cancel();
         }
-        self.ended(ended, Evidence::StartedAgain);
+        self.replica_ended(ended, Evidence::StartedAgain);
     }
 
     /// Forgets the starts of replicas that are gone, which finish what runs there.
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -1,4 +1,4 @@
-//! How an entry finds out that a replica ended while it had a request.
+//! Detection of replica crashes during requests.
 
 use std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,7 +7,7 @@
 use slog::warn;
 use tokio::{net::TcpStream, time::timeout};
 
-use super::Try;
+use super::TryGuard;
 use crate::{
     entry::{Entry, forward::Job},
     logs::Topic,
@@ -15,26 +15,26 @@
     node::tables::Source,
 };
 
-/// When a replica that lost a request is asked for a connection, counted from the loss. A process that ends lets
-/// go of its connections one after the other, and of its port among them.
-const LOOKS: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(300)];
-/// Time after the loss of a request for which what other requests of the same replica read may have come before its
-/// end, in milliseconds.
-const STILL_READ_MS: u64 = 15;
-/// Longest time to connect: as for requests.
-const CONNECT: Duration = Duration::from_millis(350);
-/// Time after the loss of a request within which the end of its replica counts as the reason, in milliseconds:
-/// the platform takes a replica off its list 3.6 s after its last word, and entries hear of that a second later.
-const LOST_MS: u64 = 6_000;
+/// Delays from the loss of a request to each probe of the replica's port. A process that ends closes its sockets one
+/// after the other, the listening one among them, so a single early probe can still find the port open.
+const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(300)];
+/// Time after the loss of a request, in milliseconds, during which other requests may still read data that the
+/// replica sent before it crashed.
+const READ_GRACE_MS: u64 = 15;
+/// Connect timeout of a probe, the same as for requests.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time after the loss of a request, in milliseconds, within which the end of its replica counts as a crash under the
+/// request: the platform delists a replica 3.6 s after its last heartbeat, and entries learn of that a second later.
+const LOSS_WINDOW_MS: u64 = 6_000;
 
-/// What showed that a start of a replica is over.
+/// Evidence that a start of a replica has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(in crate::entry) enum Evidence {
-    /// The platform no longer lists it.
+    /// The platform no longer lists the replica.
     Gone,
-    /// Nobody listens at its address.
+    /// The replica's address refuses connections.
     Refused,
-    /// It has started again.
+    /// The replica has restarted.
     StartedAgain,
 }
 
@@ -48,31 +48,31 @@
     }
 }
 
-/// A start of a replica, as a request found it.
+/// One start of a replica, as of the time when a request is sent to it.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::entry) struct Start {
+pub(in crate::entry) struct ReplicaStart {
     key: ReplicaKey,
     hash: u32,
     address: SocketAddr,
-    /// Whether it ends by plan, which is no request's fault.
+    /// Whether the replica is draining; its planned stop is not blamed on a request.
     draining: bool,
 }
 
-/// Requests that were lost at a start of a replica.
-pub(super) struct Lost {
+/// Requests that were lost at one start of a replica.
+pub(super) struct LostRequests {
     hash: u32,
     since: Time,
-    pub(super) requests: Vec<(Fingerprint, Option<Try>)>,
-    /// Whether its address is being asked for a connection.
-    looking: bool,
+    pub(super) requests: Vec<(Fingerprint, Option<TryGuard>)>,
+    /// Whether a probe of the replica's address is in progress.
+    probing: bool,
 }
 
 impl Entry {
-    /// The start of a replica that a request is about to be sent to.
-    pub(in crate::entry) fn start_of(&self, key: ReplicaKey) -> Option<Start> {
+    /// Returns the current start of a replica, before a request is sent to it.
+    pub(in crate::entry) fn replica_start(&self, key: ReplicaKey) -> Option<ReplicaStart> {
         let replicas = self.replicas.borrow();
         let replica = replicas.get(key)?;
-        Some(Start {
+        Some(ReplicaStart {
             key,
             hash: replica.hash(),
             address: replica.listing.address,
@@ -80,84 +80,89 @@
         })
     }
 
-    /// A request was lost with its connection to a replica: whether that start of the replica is over will show.
-    pub(in crate::entry) fn suspect(self: &Rc<Entry>, job: &mut Job, start: Start) {
+    /// Records a request that was lost with its connection, and probes whether that start of the replica has ended.
+    pub(in crate::entry) fn record_lost_request(
+        self: &Rc<Entry>,
+        job: &mut Job,
+        start: ReplicaStart,
+    ) {
         if start.draining {
             return;
         }
         let now = self.node.clock.now();
         let mut all = self.quarantine.lost.borrow_mut();
-        let lost = all.entry(start.key).or_insert_with(|| Lost {
+        let lost = all.entry(start.key).or_insert_with(|| LostRequests {
             hash: start.hash,
             since: now,
             requests: Vec::new(),
-            looking: false,
+            probing: false,
         });
         lost.since = now;
-        lost.requests.push((job.fingerprint(), job.only.take()));
-        let looks = !std::mem::replace(&mut lost.looking, true);
+        lost.requests
+            .push((job.fingerprint(), job.try_guard.take()));
+        let probe = !std::mem::replace(&mut lost.probing, true);
         drop(all);
         if self.replicas.borrow().get(start.key).is_none() {
-            self.ended(start.key, Evidence::Gone);
-        } else if looks {
-            let looking = Rc::clone(self).look_for(start, now);
-            self.node.scope.spawn(looking);
+            self.replica_ended(start.key, Evidence::Gone);
+        } else if probe {
+            let probing = Rc::clone(self).probe_replica(start, now);
+            self.node.scope.spawn(probing);
         }
     }
 
-    /// Looks whether anybody listens where a replica lost a request, unless it turns out to live.
-    async fn look_for(self: Rc<Entry>, start: Start, lost_at: Time) {
-        for after in LOOKS {
+    /// Probes whether a replica that lost a request still accepts connections, unless it proves to be alive first.
+    async fn probe_replica(self: Rc<Entry>, start: ReplicaStart, lost_at: Time) {
+        for after in PROBE_DELAYS {
             self.node.timers.sleep_until(lost_at.after(after)).await;
-            if self.lives(start.key) {
-                // It was the connection.
+            if self.is_alive(start.key) {
+                // Only the connection failed.
                 let lost = self.quarantine.lost.borrow_mut().remove(&start.key);
                 drop(lost);
                 return;
             }
-            let connected = timeout(CONNECT, TcpStream::connect(start.address)).await;
+            let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(start.address)).await;
             let refused = |it: &std::io::Error| it.kind() == ErrorKind::ConnectionRefused;
             if matches!(&connected, Ok(Err(error)) if refused(error)) {
-                self.ended(start.key, Evidence::Refused);
+                self.replica_ended(start.key, Evidence::Refused);
                 return;
             }
         }
         if let Some(lost) = self.quarantine.lost.borrow_mut().get_mut(&start.key) {
-            lost.looking = false;
+            lost.probing = false;
         }
     }
 
-    /// Whether a replica has sent something since requests were lost there.
-    fn lives(&self, key: ReplicaKey) -> bool {
+    /// Returns whether a replica has sent data since it lost requests.
+    fn is_alive(&self, key: ReplicaKey) -> bool {
         let lost = self.quarantine.lost.borrow();
         let replicas = self.replicas.borrow();
-        let spoke = replicas.get(key).map(|it| it.spoke);
+        let last_data_at = replicas.get(key).map(|it| it.spoke);
         let lost_at = lost.get(&key).map(|it| it.since);
         lost_at
-            .zip(spoke)
-            .is_some_and(|(lost, spoke)| lost.after_ms(STILL_READ_MS) < spoke)
+            .zip(last_data_at)
+            .is_some_and(|(lost, last_data_at)| lost.after_ms(READ_GRACE_MS) < last_data_at)
     }
 
-    /// Settles what was lost at replicas that are gone by now, and lets go of what can no longer be settled.
-    pub(super) fn settle_lost(&self, now: Time) {
+    /// Blames requests lost at replicas that are gone by now, and drops those whose loss is too long ago.
+    pub(super) fn settle_lost_requests(&self, now: Time) {
         let replicas = self.replicas.borrow();
         let lost = self.quarantine.lost.borrow();
         let gone = lost.keys().filter(|it| replicas.get(**it).is_none());
         let gone: Vec<ReplicaKey> = gone.copied().collect();
         drop((lost, replicas));
         for key in gone {
-            self.ended(key, Evidence::Gone);
+            self.replica_ended(key, Evidence::Gone);
         }
         let mut all = self.quarantine.lost.borrow_mut();
-        let over = all.extract_if(|_, it| it.since.after_ms(LOST_MS) <= now);
-        let over: Vec<(ReplicaKey, Lost)> = over.collect();
+        let over = all.extract_if(|_, it| it.since.after_ms(LOSS_WINDOW_MS) <= now);
+        let over: Vec<(ReplicaKey, LostRequests)> = over.collect();
         drop(all);
-        // Their tries end here, which looks at what is known.
+        // Dropping the guards borrows `known`, so it happens after the other borrows have ended.
         drop(over);
     }
 
-    /// A start of a replica is over: it may be the fault of each request that was lost there.
-    pub(in crate::entry) fn ended(&self, key: ReplicaKey, evidence: Evidence) {
+    /// Handles the end of a replica's start: each request that was lost there becomes a suspect.
+    pub(in crate::entry) fn replica_ended(&self, key: ReplicaKey, evidence: Evidence) {
         let lost = self.quarantine.lost.borrow_mut().remove(&key);
         let Some(lost) = lost else {
             return;
@@ -175,13 +180,13 @@
                 "lost_ms" => now.since(lost.since).as_millis() as u64);
         }
         for (request, _) in &lost.requests {
-            let news = self
+            let changed = self
                 .quarantine
                 .known
                 .borrow_mut()
                 .blame(*request, lost.hash, now);
-            if news {
-                self.learned(*request, Source::Own, now);
+            if changed {
+                self.suspect_changed(*request, Source::Own, now);
             }
         }
         drop(lost);
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -1,11 +1,11 @@
-//! Requests under which replicas ended: how an entry finds out, whom it tells, and what it keeps in the store.
+//! Quarantine of requests that crash replicas: detection, gossip between entries, and storage.
 //!
-//! A connection that breaks says nothing of the replica behind it, so a request that was lost with one waits here
-//! until it is clear that this start of the replica is over. Words to other entries go out at once, and each entry
-//! joins them with what it saw itself ([`Quarantine`]). What has to outlive all entries stands in the table that
-//! they write themselves.
+//! A broken connection does not prove that the replica behind it crashed, so a request that was lost with its
+//! connection is held here until it is certain that this start of the replica has ended. Suspects are sent to other
+//! entries at once, and each entry merges them with its own observations ([`Quarantine`]). What must survive the
+//! loss of all entries is stored in the table that the entries write.
 //!
-//! - `crash`: how it is found out that a replica ended.
+//! - `crash`: detection of replica crashes.
 //! - `store`: records of suspects in the platform's store.
 
 mod crash;
@@ -42,32 +42,34 @@
     traffic::{Purpose, Reach},
 };
 
-pub(super) use self::crash::{Evidence, Start};
+pub(super) use self::crash::{Evidence, ReplicaStart};
 use self::{
-    crash::Lost,
-    store::{KEEP_HEARD_MS, KEPT_AT},
+    crash::LostRequests,
+    store::{HEARD_WRITE_DELAY_MS, STORE_AT_CRASHES},
 };
 
-/// Datagrams with requests that are sent at one turn, an eighth of a second. After a mass failure more are to be
-/// told; those with the most crashes go first.
-const WORDS: usize = 4;
-/// Words on requests, beyond the first of a turn: bytes a second that an entry spends on them.
-const TELLING: Budget = Budget {
+/// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a mass failure
+/// there are more suspects than that; those with the most crashes go first.
+const MAX_DATAGRAMS_PER_TURN: usize = 4;
+/// Bandwidth that an entry spends on gossip about suspects, beyond the first message of a turn.
+const GOSSIP_BUDGET: Budget = Budget {
     bytes_per_s: 20_000,
     shortest: Duration::ZERO,
     longest: Duration::from_millis(1_000),
 };
-/// Longest wait with an answer to a word that lacks something, in milliseconds: so many entries know more that
-/// one is enough.
-const ANSWER_MS: u64 = 500;
+/// Upper bound of the random delay before a reply to a peer with incomplete knowledge of a suspect, in
+/// milliseconds. Many entries could reply and one reply is enough.
+const MAX_REPLY_DELAY_MS: u64 = 500;
 
-/// A try of a request, beside which there is no other at this entry until it is clear how it ended.
-pub(super) struct Try {
+/// Guard of an exclusive try: while it exists, this entry sends no other copy of the suspect request.
+///
+/// It is held until the outcome of the try is certain.
+pub(super) struct TryGuard {
     entry: Weak<Entry>,
     request: Fingerprint,
 }
 
-impl Drop for Try {
+impl Drop for TryGuard {
     fn drop(&mut self) {
         if let Some(entry) = self.entry.upgrade() {
             entry.quarantine.known.borrow_mut().end_try(self.request);
@@ -75,54 +77,54 @@
     }
 }
 
-/// What an entry knows of requests under which replicas ended.
+/// Suspect requests known to an entry.
 #[derive(Default)]
 pub(super) struct QuarantineState {
     known: RefCell<Quarantine>,
-    /// Requests of which it is not clear whether their replica ended.
-    lost: RefCell<HashMap<ReplicaKey, Lost>>,
-    news: RefCell<Announcements>,
-    /// Words before this time are beyond the budget.
-    quiet_until: Cell<Time>,
-    /// Rounds of words to other regions.
-    rounds: Cell<usize>,
-    /// What the store keeps, by this entry's copy of its table.
-    kept: RefCell<HashMap<Fingerprint, Vec<Crash>>>,
-    /// When to write what the store lacks.
-    unkept: RefCell<HashMap<Fingerprint, Time>>,
-    writing: Cell<bool>,
+    /// Lost requests for which it is still uncertain whether their replica crashed.
+    lost: RefCell<HashMap<ReplicaKey, LostRequests>>,
+    announcements: RefCell<Announcements>,
+    /// Earliest time of the next gossip within the bandwidth budget.
+    next_gossip_at: Cell<Time>,
+    /// Number of gossip rounds so far, which rotates the relays in other regions.
+    gossip_rounds: Cell<usize>,
+    /// Crashes recorded in the store, according to this entry's copy of the table.
+    stored: RefCell<HashMap<Fingerprint, Vec<Crash>>>,
+    /// Times at which crashes that are missing in the store are due to be written.
+    pending_writes: RefCell<HashMap<Fingerprint, Time>>,
+    write_in_progress: Cell<bool>,
 }
 
 impl Entry {
-    /// Requests of which something is known, with their crashes that count, for tests and operators.
+    /// Returns all suspect requests with their number of crashes that count, for tests and operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
         let known = self.quarantine.known.borrow();
         let all = known.fingerprints();
         all.map(|it| (it, known.crashes(it))).collect()
     }
 
-    /// Requests that were lost with a replica of which it is not clear yet whether it ended.
+    /// Returns the number of lost requests for which it is still uncertain whether their replica crashed.
     pub fn unsettled(&self) -> usize {
         let lost = self.quarantine.lost.borrow();
         lost.values().map(|it| it.requests.len()).sum()
     }
 
-    /// Whether a request may go to a replica; gives what to tell its caller if not.
+    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
-        job.only = None;
+        job.try_guard = None;
         let known = self.quarantine.known.borrow();
         if known.is_empty() || !known.knows(job.fingerprint()) {
             return None;
         }
         let request = job.fingerprint();
         let now = self.node.clock.now();
-        let verdict = known.verdict(request, self.is_home(request), now);
+        let verdict = known.verdict(request, self.is_retry_owner(request), now);
         drop(known);
         match verdict {
             Verdict::Admitted => None,
             Verdict::Alone => {
                 self.quarantine.known.borrow_mut().begin_try(request);
-                job.only = Some(Try {
+                job.try_guard = Some(TryGuard {
                     entry: Rc::downgrade(self),
                     request,
                 });
@@ -132,9 +134,9 @@
         }
     }
 
-    /// Whether this entry is the one that tries a request again which is shut out: one in the fleet, as long as
-    /// all see the same entries.
-    fn is_home(&self, request: Fingerprint) -> bool {
+    /// Returns whether this entry is the one that retries a quarantined request: a single one in the fleet, as long
+    /// as all entries have the same view of the membership.
+    fn is_retry_owner(&self, request: Fingerprint) -> bool {
         let own = roster::hash(&self.node.settings().address);
         let now = self.node.clock.now();
         let roster = self.roster.borrow();
@@ -142,56 +144,58 @@
         rendezvous::rank(request.short(), own, others) == 0
     }
 
-    /// Whether replicas ended under a request.
+    /// Returns whether a request is suspected of crashing replicas.
     pub(super) fn suspects_request(&self, job: &Job) -> bool {
         let known = self.quarantine.known.borrow();
         !known.is_empty() && known.knows(job.fingerprint())
     }
 
-    /// A request was answered: it does not end replicas.
-    pub(super) fn clear(&self, job: &Job) {
+    /// Clears the suspicion of a request that was answered, as it does not crash replicas.
+    pub(super) fn clear_suspicion(&self, job: &Job) {
         let quarantine = &self.quarantine;
         if quarantine.known.borrow().is_empty() {
             return;
         }
         let request = job.fingerprint();
-        let news = quarantine.known.borrow_mut().clear(request);
-        if news {
-            self.learned(request, Source::Own, self.node.clock.now());
+        let changed = quarantine.known.borrow_mut().clear(request);
+        if changed {
+            self.suspect_changed(request, Source::Own, self.node.clock.now());
             self.send_suspects();
         }
     }
 
-    /// Another entry told of requests, or the store brought them.
+    /// Merges suspects that another entry or the store reported.
     pub(super) fn receive_suspects(&self, suspects: &[Suspect], source: Source, now: Time) {
         for suspect in suspects {
             let merged = self.quarantine.known.borrow_mut().merge(suspect, now);
             if merged.news {
-                self.learned(suspect.request, source, now);
+                self.suspect_changed(suspect.request, source, now);
             }
             if source == Source::Store {
                 continue;
             }
-            let mut news = self.quarantine.news.borrow_mut();
+            let mut announcements = self.quarantine.announcements.borrow_mut();
             if merged.lacking {
-                let wait = self.node.with_rng(|it| it.random_range(0..ANSWER_MS));
-                news.answer(suspect.request, now.after_ms(wait));
+                let wait = self
+                    .node
+                    .with_rng(|it| it.random_range(0..MAX_REPLY_DELAY_MS));
+                announcements.answer(suspect.request, now.after_ms(wait));
             } else if !merged.news {
-                news.heard(suspect.request);
+                announcements.heard(suspect.request);
             }
         }
     }
 
-    /// Something is known now of a request that was not before.
-    fn learned(&self, request: Fingerprint, source: Source, now: Time) {
+    /// Logs a change of what is known of a suspect, and schedules its gossip and its write to the store.
+    fn suspect_changed(&self, request: Fingerprint, source: Source, now: Time) {
         let known = self.quarantine.known.borrow();
         let crashes = known.crashes(request);
         self.node.metrics.quarantined.set(known.shut_out() as i64);
         if (SHUT_OUT_AT <= crashes || source == Source::Own)
             && let Some(log) = self.node.logs.line(Topic::State)
         {
-            let word = known.word(request, now);
-            let starts = word.iter().flat_map(|it| &it.crashes);
+            let suspect = known.word(request, now);
+            let starts = suspect.iter().flat_map(|it| &it.crashes);
             let starts = starts.map(|it| match it.void {
                 true => format!("({:08x})", it.start),
                 false => format!("{:08x}", it.start),
@@ -199,41 +203,41 @@
             let starts: Vec<String> = starts.collect();
             info!(log, "suspect"; "fingerprint" => %request, "crashes" => crashes,
                 "shut_out" => known.is_shut_out(request), "starts" => starts.join(","),
-                "source" => %source, "age_ms" => word.map_or(0, |it| it.age_ms));
+                "source" => %source, "age_ms" => suspect.map_or(0, |it| it.age_ms));
         }
         drop(known);
         if source == Source::Own {
-            self.quarantine.news.borrow_mut().add(request, now);
+            self.quarantine.announcements.borrow_mut().add(request, now);
         }
         let wait = match source {
             Source::Own => 0,
             Source::Peer(_) | Source::Store => {
-                let (from, to) = KEEP_HEARD_MS;
+                let (from, to) = HEARD_WRITE_DELAY_MS;
                 self.node.with_rng(|it| it.random_range(from..to))
             }
         };
-        let mut unkept = self.quarantine.unkept.borrow_mut();
-        unkept.insert(request, now.after_ms(wait));
+        let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
+        pending_writes.insert(request, now.after_ms(wait));
     }
 
-    /// Settles what can be settled, forgets what is too old, and writes what the store lacks.
+    /// Settles lost requests, expires old suspects, and writes missing records to the store.
     pub(super) fn maintain_quarantine(self: &Rc<Entry>, now: Time) {
-        self.settle_lost(now);
-        self.forget_suspects(now);
-        self.keep_suspects(now);
+        self.settle_lost_requests(now);
+        self.expire_suspects(now);
+        self.write_due_suspects(now);
     }
 
-    /// Tells others what is due.
+    /// Sends the suspects that are due to other entries.
     pub(super) fn send_suspects(&self) {
         let now = self.node.clock.now();
-        if now < self.quarantine.quiet_until.get() {
+        if now < self.quarantine.next_gossip_at.get() {
             return;
         }
         let known = self.quarantine.known.borrow();
         let weight = |it| known.crashes(it);
-        let mut news = self.quarantine.news.borrow_mut();
-        let due = news.take_due(now, IN_DATAGRAM * WORDS, weight);
-        drop(news);
+        let mut announcements = self.quarantine.announcements.borrow_mut();
+        let due = announcements.take_due(now, IN_DATAGRAM * MAX_DATAGRAMS_PER_TURN, weight);
+        drop(announcements);
         let suspects: Vec<Suspect> = due
             .into_iter()
             .filter_map(|it| known.word(it, now))
@@ -242,8 +246,8 @@
         if suspects.is_empty() {
             return;
         }
-        let round = self.quarantine.rounds.get();
-        self.quarantine.rounds.set(round + 1);
+        let round = self.quarantine.gossip_rounds.get();
+        self.quarantine.gossip_rounds.set(round + 1);
         let near = |it: &str| self.node.near(it);
         let near: Vec<Ipv4Addr> = self.roster.borrow().addresses_in(near).collect();
         let far: Vec<Ipv4Addr> = self
@@ -263,28 +267,28 @@
                 .send_state(purpose, Reach::Far, sender, far.iter().copied());
         }
         let bytes = codec::body(&suspects).len();
-        let pause = TELLING.pause(near.len() + far.len(), bytes);
-        self.quarantine.quiet_until.set(now.after(pause));
+        let pause = GOSSIP_BUDGET.pause(near.len() + far.len(), bytes);
+        self.quarantine.next_gossip_at.set(now.after(pause));
     }
 
-    /// Tells an entry that has just started of the requests that have the most crashes: the store, which keeps
-    /// them, may be away.
+    /// Sends the suspects with the most crashes to an entry that has just started: the store, which holds them,
+    /// may be unavailable.
     pub(super) fn send_suspects_to(&self, newcomer: Ipv4Addr) {
         let now = self.node.clock.now();
         let known = self.quarantine.known.borrow();
         let all = known
             .fingerprints()
-            .filter(|it| KEPT_AT <= known.crashes(*it));
+            .filter(|it| STORE_AT_CRASHES <= known.crashes(*it));
         let mut worst: Vec<Fingerprint> = all.collect();
         worst.sort_unstable_by_key(|it| (Reverse(known.crashes(*it)), *it));
-        let words = worst.into_iter().take(IN_DATAGRAM);
-        let suspects: Vec<Suspect> = words.filter_map(|it| known.word(it, now)).collect();
+        let worst_first = worst.into_iter().take(IN_DATAGRAM);
+        let suspects: Vec<Suspect> = worst_first.filter_map(|it| known.word(it, now)).collect();
         drop(known);
         if suspects.is_empty() {
             return;
         }
         let sender = Sender::Suspects {
-            // It is for this entry only.
+            // Keeps the receiver from relaying it to other entries.
             relayed: true,
             suspects,
         };
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -1,4 +1,4 @@
-//! What is kept in the platform's store of requests under which replicas ended.
+//! Records of suspect requests in the platform's store.
 
 use std::{rc::Rc, time::SystemTime};
 
@@ -16,37 +16,39 @@
 
 use crate::{entry::Entry, logs::Topic, node::tables::Source};
 
-/// Crashes from which on a request is kept in the store: what a single end blames are mostly innocents, and each
-/// write is paid for.
-pub(super) const KEPT_AT: usize = 2;
-/// Time after which an entry writes what it heard of and the store still lacks, in milliseconds, drawn between
-/// the two: who saw it itself writes at once.
-pub(super) const KEEP_HEARD_MS: (u64, u64) = (2_000, 4_000);
-/// Pause after a write that failed, in milliseconds.
-const KEEP_AGAIN_MS: u64 = 700;
-/// Time within which one of the entries deletes a record that is too old to matter, in milliseconds: long, so
-/// that most of them find it gone.
-const DELETE_MS: (u64, u64) = (1_000, 120_000);
-/// Records in one write.
-const KEPT_AT_ONCE: usize = 32;
+/// Number of crashes from which a request is stored. The requests blamed for a single crash are mostly innocent, and
+/// each write to the store is billed.
+pub(super) const STORE_AT_CRASHES: usize = 2;
+/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned from others and
+/// that is still missing in the store. The entry that observed the crash writes at once.
+pub(super) const HEARD_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
+/// Delay before a failed write is retried, in milliseconds.
+const WRITE_RETRY_MS: u64 = 700;
+/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so that most
+/// entries find it deleted already.
+const DELETE_DELAY_MS: (u64, u64) = (1_000, 120_000);
+/// Maximum number of records per write.
+const MAX_RECORDS_PER_WRITE: usize = 32;
+
 impl Entry {
-    pub(super) fn forget_suspects(&self, now: Time) {
+    /// Expires old suspects, and schedules the deletion of their records.
+    pub(super) fn expire_suspects(&self, now: Time) {
         let mut known = self.quarantine.known.borrow_mut();
         if known.is_empty() {
             return;
         }
         known.expire(now);
         self.node.metrics.quarantined.set(known.shut_out() as i64);
-        let kept = self.quarantine.kept.borrow();
-        let mut unkept = self.quarantine.unkept.borrow_mut();
-        for request in kept.keys().filter(|it| !known.knows(**it)) {
-            let (from, to) = DELETE_MS;
+        let stored = self.quarantine.stored.borrow();
+        let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
+        for request in stored.keys().filter(|it| !known.knows(**it)) {
+            let (from, to) = DELETE_DELAY_MS;
             let wait = || now.after_ms(self.node.with_rng(|it| it.random_range(from..to)));
-            unkept.entry(*request).or_insert_with(wait);
+            pending_writes.entry(*request).or_insert_with(wait);
         }
     }
 
-    /// The store's records of requests changed.
+    /// Applies changed records of the store.
     pub(in crate::entry) fn apply_suspect_records<'a>(
         &self,
         records: impl Iterator<Item = &'a Record>,
@@ -57,69 +59,69 @@
                 continue;
             };
             let value = record.value.as_deref();
-            let Some(kept) = value.and_then(|it| codec::parse::<Kept>(it).ok()) else {
-                self.quarantine.kept.borrow_mut().remove(&request);
+            let Some(stored) = value.and_then(|it| codec::parse::<Kept>(it).ok()) else {
+                self.quarantine.stored.borrow_mut().remove(&request);
                 continue;
             };
-            let age_ms = unix_ms().saturating_sub(kept.crashed_ms);
+            let age_ms = unix_ms().saturating_sub(stored.crashed_ms);
             let suspect = Suspect {
                 request,
-                crashes: kept.crashes.clone(),
+                crashes: stored.crashes.clone(),
                 age_ms: age_ms.min(u64::from(u32::MAX)) as u32,
             };
             self.quarantine
-                .kept
+                .stored
                 .borrow_mut()
-                .insert(request, kept.crashes);
+                .insert(request, stored.crashes);
             self.receive_suspects(&[suspect], Source::Store, now);
         }
     }
 
-    /// Writes what is due and the store lacks.
-    pub(super) fn keep_suspects(self: &Rc<Entry>, now: Time) {
+    /// Writes records that are due and missing in the store.
+    pub(super) fn write_due_suspects(self: &Rc<Entry>, now: Time) {
         let quarantine = &self.quarantine;
-        if quarantine.writing.get() || quarantine.unkept.borrow().is_empty() {
+        if quarantine.write_in_progress.get() || quarantine.pending_writes.borrow().is_empty() {
             return;
         }
-        let unkept = quarantine.unkept.borrow();
-        let due = unkept.iter().filter(|(_, at)| **at <= now);
-        let due: Vec<Fingerprint> = due.map(|it| *it.0).take(KEPT_AT_ONCE).collect();
-        drop(unkept);
-        let rows = due.iter().filter_map(|it| self.row(*it, now));
-        let rows: Vec<Put> = rows.collect();
+        let pending_writes = quarantine.pending_writes.borrow();
+        let due = pending_writes.iter().filter(|(_, at)| **at <= now);
+        let due: Vec<Fingerprint> = due.map(|it| *it.0).take(MAX_RECORDS_PER_WRITE).collect();
+        drop(pending_writes);
+        let records = due.iter().filter_map(|it| self.missing_record(*it, now));
+        let records: Vec<Put> = records.collect();
         quarantine
-            .unkept
+            .pending_writes
             .borrow_mut()
             .retain(|it, _| !due.contains(it));
-        if rows.is_empty() {
+        if records.is_empty() {
             return;
         }
-        quarantine.writing.set(true);
-        let writing = Rc::clone(self).write_suspects(due, rows);
+        quarantine.write_in_progress.set(true);
+        let writing = Rc::clone(self).write_suspects(due, records);
         self.node.scope.spawn(writing);
     }
 
-    /// The record that the store lacks of a request, if it lacks one.
-    fn row(&self, request: Fingerprint, now: Time) -> Option<Put> {
+    /// Returns the write that brings the store's record of a request up to date, if one is needed.
+    fn missing_record(&self, request: Fingerprint, now: Time) -> Option<Put> {
         let known = self.quarantine.known.borrow();
-        let kept = self.quarantine.kept.borrow();
-        let kept = kept.get(&request);
+        let stored = self.quarantine.stored.borrow();
+        let stored = stored.get(&request);
         let key = quarantine::key(request);
-        let Some(word) = known.word(request, now) else {
-            // What is kept and known to nobody any more is too old to matter.
-            return kept.map(|_| Put { key, value: None });
+        let Some(suspect) = known.word(request, now) else {
+            // A stored suspect that has expired here is deleted.
+            return stored.map(|_| Put { key, value: None });
         };
-        let worth = KEPT_AT <= known.crashes(request) || kept.is_some();
-        let lacking = word
+        let worth_storing = STORE_AT_CRASHES <= known.crashes(request) || stored.is_some();
+        let missing = suspect
             .crashes
             .iter()
-            .any(|it| !kept.is_some_and(|kept| kept.contains(it)));
-        if !worth || !lacking {
+            .any(|it| !stored.is_some_and(|stored| stored.contains(it)));
+        if !worth_storing || !missing {
             return None;
         }
         let value = codec::body(&Kept {
-            crashed_ms: unix_ms().saturating_sub(u64::from(word.age_ms)),
-            crashes: word.crashes,
+            crashed_ms: unix_ms().saturating_sub(u64::from(suspect.age_ms)),
+            crashes: suspect.crashes,
         });
         Some(Put {
             key,
@@ -127,10 +129,10 @@
         })
     }
 
-    async fn write_suspects(self: Rc<Entry>, requests: Vec<Fingerprint>, rows: Vec<Put>) {
+    async fn write_suspects(self: Rc<Entry>, requests: Vec<Fingerprint>, records: Vec<Put>) {
         self.node.count_call(Table::Entries);
-        let written = self.node.platform.store.write(rows).await;
-        self.quarantine.writing.set(false);
+        let written = self.node.platform.store.write(records).await;
+        self.quarantine.write_in_progress.set(false);
         let Err(fault) = written else {
             return;
         };
@@ -138,15 +140,15 @@
         if let Some(log) = self.node.logs.line(Topic::Dependency) {
             warn!(log, "suspects not kept"; "count" => requests.len(), "fault" => %fault);
         }
-        let again = self.node.clock.now().after_ms(KEEP_AGAIN_MS);
-        let mut unkept = self.quarantine.unkept.borrow_mut();
+        let again = self.node.clock.now().after_ms(WRITE_RETRY_MS);
+        let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
         for request in requests {
-            unkept.entry(request).or_insert(again);
+            pending_writes.entry(request).or_insert(again);
         }
     }
 }
 
-/// The time of day, in Unix milliseconds: how old a crash is has to be told to entries that start later.
+/// Returns the wall-clock time in Unix milliseconds, by which entries that start later compute the age of a crash.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -30,7 +30,7 @@
 /// Waits until a replica may have room for a request that found none.
 pub(super) async fn room(entry: &Entry, caller: &mut Wire, job: &mut Job, now: Time) -> Room {
     // Others like it may go first.
-    job.only = None;
+    job.try_guard = None;
     let census = census(entry, job, now);
     job.census = Some(census);
     let since = *job.waits_since.get_or_insert(now);
