--- a/crates/gradeloft_gateway/src/entry/abort.rs
+++ b/crates/gradeloft_gateway/src/entry/abort.rs
@@ -1,4 +1,4 @@
-//! What ended a request that got no whole answer, as logs and metrics tell it.
+//! Reasons why a request ends without a complete response, for logs and metrics.
 
 use std::rc::Rc;
 
@@ -8,82 +8,82 @@
 use super::Entry;
 use crate::{logs::Topic, metrics::Reason};
 
-/// What ended a request before its answer was whole. A closed list.
+/// Reason why a request ended before its response was complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
-    /// The caller closed its connection.
+pub enum AbortReason {
+    /// The caller closed the connection.
     CallerLeft,
-    /// The caller's connection failed, or took too little, while an answer went out to it.
+    /// The caller's connection failed or accepted too little data while a response was sent.
     CallerStalled,
-    /// The replica, and no other could go on.
+    /// The replica failed, and no other could continue the response.
     Replica(Failure),
-    /// This process ended.
+    /// This process shut down.
     Shutdown,
-    /// The time that the request had.
+    /// The deadline of the request passed.
     Time,
 }
 
-impl Ending {
-    /// Name in logs and metrics.
+impl AbortReason {
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Ending::CallerLeft => "caller_left",
-            Ending::CallerStalled => "caller_stalled",
-            Ending::Replica(failure) => failure.name(),
-            Ending::Shutdown => "shutdown",
-            Ending::Time => "time",
+            AbortReason::CallerLeft => "caller_left",
+            AbortReason::CallerStalled => "caller_stalled",
+            AbortReason::Replica(failure) => failure.name(),
+            AbortReason::Shutdown => "shutdown",
+            AbortReason::Time => "time",
         }
     }
 }
 
-/// Tells of a request whose process ends before it does.
-pub(super) struct Watched {
+/// Guard that logs and counts a request as cut off if the process ends before the request does.
+pub(super) struct ShutdownGuard {
     entry: Rc<Entry>,
     request: String,
     received: Time,
 }
 
-impl Watched {
-    /// Watches a request until [`Watched::concluded`].
-    pub(super) fn begin(entry: &Rc<Entry>, request: &str, received: Time) -> Watched {
-        Watched {
+impl ShutdownGuard {
+    /// Guards a request until [`ShutdownGuard::disarm`].
+    pub(super) fn begin(entry: &Rc<Entry>, request: &str, received: Time) -> ShutdownGuard {
+        ShutdownGuard {
             entry: Rc::clone(entry),
             request: request.to_owned(),
             received,
         }
     }
 
-    /// The request has ended, and its line is written.
-    pub(super) fn concluded(mut self) {
+    /// Disarms the guard after the request has ended and its log line is written.
+    pub(super) fn disarm(mut self) {
         self.request.clear();
     }
 }
 
-impl Drop for Watched {
+impl Drop for ShutdownGuard {
     fn drop(&mut self) {
         if self.request.is_empty() {
             return;
         }
-        self.entry.count_cut(Ending::Shutdown);
+        self.entry.count_cut_off(AbortReason::Shutdown);
         if let Some(log) = self.entry.node.logs.line(Topic::Failed) {
             let age = self.entry.node.clock.now().since(self.received);
             info!(log, "request"; "request" => &self.request, "outcome" => "cut",
-                "ended_by" => Ending::Shutdown.name(), "ms" => age.as_millis() as u64,
+                "ended_by" => AbortReason::Shutdown.name(), "ms" => age.as_millis() as u64,
                 "leaving_ms" => self.entry.leaving_ms());
         }
     }
 }
 
 impl Entry {
-    /// Counts a request that ended without a whole answer.
-    pub(super) fn count_cut(&self, ending: Ending) {
+    /// Counts a request that ended without a complete response.
+    pub(super) fn count_cut_off(&self, abort_reason: AbortReason) {
         let label = Reason {
-            reason: ending.name(),
+            reason: abort_reason.name(),
         };
         self.node.metrics.cut.get_or_create(&label).inc();
     }
 
-    /// For how long this process has been leaving, in milliseconds; -1 if it is not.
+    /// Returns for how long this process has been shutting down, in milliseconds; -1 if it is not.
     pub(super) fn leaving_ms(&self) -> i64 {
         let since = |it: Drain| self.node.clock.now().since(it.since).as_millis() as i64;
         self.leave.get().map_or(-1, since)
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request at one replica, from its connection to the last byte of its answer.
+//! One attempt: a request sent to one replica, from the connection to the last byte of the response.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -11,11 +11,11 @@
 
 use super::{
     Entry,
-    abort::Ending,
+    abort::AbortReason,
     forward::Job,
-    in_flight::Running,
+    in_flight::InFlightGuard,
     quarantine::ReplicaStart,
-    relay::{self, Passage, Source, Stored},
+    relay::{self, BufferedResponse, Relay, Upstream},
 };
 use crate::{
     h1::{
@@ -27,312 +27,332 @@
     traffic::Purpose,
 };
 
-/// Time without the head of an answer after which another replica is looked for. Five times the longest objective of
-/// today, and short of the time after which callers give up.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Answers to earlier requests that are passed over on one connection.
-const MAX_CROSSED: u32 = 2;
-/// Largest answer to an earlier request that is read to pass over it, in bytes.
-const MAX_SKIPPED: usize = 256 << 10;
+/// Time without a response head after which the request is hedged: five times the longest latency objective, and
+/// shorter than the time after which callers give up.
+const HEAD_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of responses to earlier requests that are skipped on one connection.
+const MAX_STALE_RESPONSES: u32 = 2;
+/// Size of the largest response to an earlier request that is read and skipped, in bytes.
+const MAX_STALE_BYTES: usize = 256 << 10;
 
-/// How an attempt ended, or paused.
-pub enum Ended {
-    /// The whole answer went out to the caller.
+/// Outcome of an attempt. Only [`AttemptOutcome::Silent`] allows it to go on.
+pub enum AttemptOutcome {
+    /// The complete response was sent to the caller. Carries the HTTP status.
     Answered(u16),
-    /// No answer that can be passed on as it is; a replica's own failure is kept.
-    Failed(Failure, Option<Stored>),
-    /// Nobody takes an answer any more, or nobody can go on with the one that went out in part.
-    Gone(Ending),
-    /// Nothing came from the replica for some time. The attempt can go on.
+    /// The attempt failed. Carries the replica's own error response, if there is one.
+    Failed(Failure, Option<BufferedResponse>),
+    /// The caller no longer receives the response, or a partly sent response can't be continued.
+    Aborted(AbortReason),
+    /// The replica sent nothing for the silence timeout. The attempt can go on.
     Silent,
-    /// The request's time is over.
+    /// The deadline of the request passed.
     TimedOut,
 }
 
-/// When a replica is to begin an answer.
+/// Forecast of the time at which a replica begins its response.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstTokenForecast {
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent: Time,
-    /// Time until the first token by the published speed, in milliseconds.
+    /// Forecast time until the first token by the engine's published speed, in milliseconds.
     pub after_ms: f64,
 }
 
-/// A request at a replica.
+/// A request sent to one replica.
 pub struct Attempt {
-    /// The replica.
+    /// Replica that gets the request.
     pub replica: ReplicaKey,
-    /// The start of the replica that has the request.
+    /// Start of the replica that gets the request.
     pub(super) start: Option<ReplicaStart>,
-    /// Whether its silence was counted as a failure.
-    pub counted: bool,
+    /// Whether the replica's silence was counted as a failure.
+    pub silence_counted: bool,
     pub(super) link: Link,
-    pub(super) running: Running,
-    /// When it is to begin its answer, until it does.
-    pub(super) expected: Option<FirstTokenForecast>,
+    pub(super) in_flight: InFlightGuard,
+    /// Forecast of the begin of the response; taken once the response begins.
+    pub(super) forecast: Option<FirstTokenForecast>,
     stage: Stage,
 }
 
 enum Stage {
-    /// The head of the answer is not here.
-    Asking(Asking),
-    Answering(Passage),
-    /// The replica said that it ran nothing.
-    Unrun {
+    /// The response head has not arrived.
+    AwaitingHead(AwaitingHead),
+    Relaying(Relay),
+    /// The replica reported that it did not execute the request.
+    NotExecuted {
         head: Response,
-        /// Whether all of the request went out.
-        whole: bool,
+        /// Whether the request was sent completely.
+        fully_sent: bool,
     },
 }
 
-struct Asking {
-    /// Id under which the replica was listed.
+struct AwaitingHead {
+    /// Id under which the replica is listed.
     id: Rc<str>,
     request: Bytes,
-    /// Bytes of the request that went out.
+    /// Number of request bytes sent.
     sent: usize,
-    /// Answers to earlier requests that were passed over.
-    crossed: u32,
-    begun: Time,
+    /// Number of responses to earlier requests that were skipped.
+    stale_responses: u32,
+    started_at: Time,
 }
 
 impl Attempt {
-    /// Connects to a replica, and makes the request ready for it.
+    /// Connects to a replica, and encodes the request for it.
     pub async fn begin(
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
         replica: ReplicaKey,
-    ) -> Result<Attempt, Ended> {
+    ) -> Result<Attempt, AttemptOutcome> {
         let Some((address, id)) = entry.replica_address(replica) else {
-            return Err(Ended::Failed(Failure::Unsent, None));
+            return Err(AttemptOutcome::Failed(Failure::Unsent, None));
         };
-        // A caller may have left while its request waited to be read, or during an earlier attempt.
+        // The caller may have disconnected before its request was read, or during an earlier attempt.
         if caller.has_gone() {
-            return Err(Ended::Gone(Ending::CallerLeft));
+            return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft));
         }
         let start = entry.replica_start(replica);
-        let expected = expect(entry, job, replica);
-        let running = entry.running(replica, job.prompt_tokens);
-        let link = connected(entry, caller, job, replica, address).await?;
+        let forecast = forecast_first_token(entry, job, replica);
+        let in_flight = entry.track_in_flight(replica, job.prompt_tokens);
+        let link = connect(entry, caller, job, replica, address).await?;
         let now = entry.node.clock.now();
-        // The processor may have been away since the connection was there.
+        // This process may have been paused since the connection was established.
         if job.deadline <= now {
-            return Err(Ended::Failed(Failure::Unsent, None));
+            return Err(AttemptOutcome::Failed(Failure::Unsent, None));
         }
         if caller.has_gone() {
-            return Err(Ended::Gone(Ending::CallerLeft));
+            return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft));
         }
-        let request = encode(entry, job, &id);
+        let request = encode_request(entry, job, &id);
         entry.count_to_replica(Purpose::Requests, replica, request.len());
         Ok(Attempt {
             replica,
             start,
-            counted: false,
+            silence_counted: false,
             link,
-            running,
-            expected,
-            stage: Stage::Asking(Asking {
+            in_flight,
+            forecast,
+            stage: Stage::AwaitingHead(AwaitingHead {
                 id,
                 request,
                 sent: 0,
-                crossed: 0,
-                begun: now,
+                stale_responses: 0,
+                started_at: now,
             }),
         })
     }
 
-    /// Goes on until the answer is whole, or something else ends or delays it.
-    pub async fn drive(&mut self, entry: &Rc<Entry>, caller: &mut Wire, job: &mut Job) -> Ended {
-        if let Err(ended) = self.ask(entry, caller, job).await {
+    /// Runs the attempt until the response is complete, the attempt ends, or the replica is silent.
+    pub async fn drive(
+        &mut self,
+        entry: &Rc<Entry>,
+        caller: &mut Wire,
+        job: &mut Job,
+    ) -> AttemptOutcome {
+        if let Err(ended) = self.await_response_head(entry, caller, job).await {
             return ended;
         }
-        let quiet = self.silence(job);
+        let silence_timeout = self.silence_timeout(job);
         match &mut self.stage {
-            Stage::Asking(_) | Stage::Unrun { .. } => Ended::Failed(Failure::Broken, None),
-            Stage::Answering(passage) => {
-                let source = Source {
+            Stage::AwaitingHead(_) | Stage::NotExecuted { .. } => {
+                AttemptOutcome::Failed(Failure::Broken, None)
+            }
+            Stage::Relaying(relay) => {
+                let upstream = Upstream {
                     link: &mut self.link,
-                    running: &self.running,
-                    expected: &mut self.expected,
+                    in_flight: &self.in_flight,
+                    forecast: &mut self.forecast,
                 };
-                passage.pass(entry, caller, job, source, quiet).await
+                relay
+                    .run(entry, caller, job, upstream, silence_timeout)
+                    .await
             }
         }
     }
 
-    /// Sends the request and waits for the head of an answer that can be passed on; after a silence it goes on when it is
-    /// called again.
-    pub async fn ask(
+    /// Sends the request and waits for the head of a response that can be relayed. Can be called again after
+    /// [`AttemptOutcome::Silent`].
+    pub async fn await_response_head(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &Job,
-    ) -> Result<(), Ended> {
-        if matches!(self.stage, Stage::Answering(_)) {
+    ) -> Result<(), AttemptOutcome> {
+        if matches!(self.stage, Stage::Relaying(_)) {
             return Ok(());
         }
-        let head = self.head(entry, caller, job).await?;
-        let Stage::Asking(asking) = &self.stage else {
+        let head = self.read_head(entry, caller, job).await?;
+        let Stage::AwaitingHead(awaiting) = &self.stage else {
             return Ok(());
         };
-        let whole = asking.sent == asking.request.len();
-        if let Some(failure) = not_run(entry, &head, &asking.id) {
-            self.stage = Stage::Unrun { head, whole };
-            return Err(Ended::Failed(failure, None));
+        let fully_sent = awaiting.sent == awaiting.request.len();
+        if let Some(failure) = not_executed_failure(entry, &head, &awaiting.id) {
+            self.stage = Stage::NotExecuted { head, fully_sent };
+            return Err(AttemptOutcome::Failed(failure, None));
         }
         let seal = entry.node.platform.headers.seal;
         if (200..300).contains(&head.status) && head.fields.get(seal).is_none() {
-            return Err(Ended::Failed(Failure::Broken, None));
+            return Err(AttemptOutcome::Failed(Failure::Broken, None));
         }
-        let passage = Passage::of(job, head, whole)?;
-        self.stage = Stage::Answering(passage);
+        let relay = Relay::of(job, head, fully_sent)?;
+        self.stage = Stage::Relaying(relay);
         Ok(())
     }
 
-    /// Waits until the replica sends something; gives whether it did before its connection ended.
-    pub async fn speaks(&mut self) -> bool {
+    /// Waits for data from the replica; returns false if the connection ends first.
+    pub async fn wait_for_data(&mut self) -> bool {
         tokio::select! {
             read = self.link.wire.fill() => matches!(read, Ok(1..)),
-            () = self.running.ended() => false,
+            () = self.in_flight.wait_for_restart() => false,
         }
     }
 
-    /// The answer is whole: keeps the connection unless there are bytes that belong to nothing.
+    /// Finishes a successful attempt: returns the connection to the pool unless it has unexpected bytes left.
     pub fn finish(self, entry: &Entry) {
         let now = entry.node.clock.now();
         entry.replicas.borrow_mut().succeeded(self.replica, now);
-        if let Stage::Answering(passage) = &self.stage
-            && passage.keeps()
+        if let Stage::Relaying(relay) = &self.stage
+            && relay.connection_reusable()
             && self.link.wire.buffer.is_empty()
         {
-            entry.pool.keep(self.link, passage.keep_alive_ms());
+            entry.pool.keep(self.link, relay.keep_alive_ms());
         }
     }
 
-    /// Ends the attempt: the replica is to stop at once.
+    /// Aborts the connection, so that the replica stops at once.
     pub fn abandon(self) {
         self.link.wire.abandon();
     }
 
-    /// Ends the attempt after a failure, or with its caller: what was asked for and has not begun is taken back.
+    /// Ends the attempt after a failure or an abort; a request without a response head is cancelled at the replica.
     pub fn close(self, entry: &Entry, job: &Job) {
         match &self.stage {
-            Stage::Asking(_) => self.abandon(),
-            Stage::Answering(_) => {}
-            Stage::Unrun { head, whole } => {
+            Stage::AwaitingHead(_) => self.abandon(),
+            Stage::Relaying(_) => {}
+            Stage::NotExecuted { head, fully_sent } => {
                 let method = &job.received.head.method;
-                relay::discard(entry, self.link, head, method, *whole);
+                relay::discard(entry, self.link, head, method, *fully_sent);
             }
         }
     }
 
-    /// Time without a byte after which another replica is looked for; `None` where nobody else could go on, so that
-    /// the end of a silence is no reason to end the answer.
-    fn silence(&self, job: &Job) -> Option<Duration> {
-        let used = job.progress.attempts + u32::from(!self.counted);
-        let spare = job.route.kind.repeatable() && used < job.progress.max_attempts;
+    /// Returns the time without data after which the request is hedged; `None` if no other replica could take over, so
+    /// that silence must not end the response.
+    fn silence_timeout(&self, job: &Job) -> Option<Duration> {
+        let used = job.progress.attempts + u32::from(!self.silence_counted);
+        let may_repeat = job.route.kind.repeatable() && used < job.progress.max_attempts;
         let first = match &self.stage {
-            Stage::Asking(_) | Stage::Unrun { .. } => PATIENCE,
-            Stage::Answering(passage) => passage.silence()?,
+            Stage::AwaitingHead(_) | Stage::NotExecuted { .. } => HEAD_SILENCE_TIMEOUT,
+            Stage::Relaying(relay) => relay.silence_timeout()?,
         };
-        let silence = match self.counted {
+        let timeout = match self.silence_counted {
             true => Duration::from_millis(wait::LOOK_MS),
             false => first,
         };
-        spare.then_some(silence)
+        may_repeat.then_some(timeout)
     }
 
-    async fn head(
+    async fn read_head(
         &mut self,
         entry: &Entry,
         caller: &mut Wire,
         job: &Job,
-    ) -> Result<Response, Ended> {
-        let silence = self.silence(job);
-        let Stage::Asking(asking) = &mut self.stage else {
-            return Err(Ended::Failed(Failure::Broken, None));
+    ) -> Result<Response, AttemptOutcome> {
+        let timeout = self.silence_timeout(job);
+        let Stage::AwaitingHead(awaiting) = &mut self.stage else {
+            return Err(AttemptOutcome::Failed(Failure::Broken, None));
         };
         let link = &mut self.link;
         let now = entry.node.clock.now();
-        // One that was silent already is listened to for a moment more.
-        let since = if self.counted { now } else { asking.begun };
-        let patience = silence.map_or(job.deadline, |it| job.deadline.min(since.after(it)));
+        // After a first silence, each further call waits only for a short time.
+        let since = if self.silence_counted {
+            now
+        } else {
+            awaiting.started_at
+        };
+        let silent_at = timeout.map_or(job.deadline, |it| job.deadline.min(since.after(it)));
         let expiry = begin_by(entry, job, self.replica);
         let timers = &entry.node.timers;
-        let patient = timers.sleep_until(expiry.map_or(patience, |it| it.min(patience)));
-        tokio::pin!(patient);
+        let timer = timers.sleep_until(expiry.map_or(silent_at, |it| it.min(silent_at)));
+        tokio::pin!(timer);
         loop {
             if let Some(head) = head::response(&mut link.wire.buffer)
-                .map_err(|_| Ended::Failed(Failure::Broken, None))?
+                .map_err(|_| AttemptOutcome::Failed(Failure::Broken, None))?
             {
                 if (100..200).contains(&head.status) {
                     continue;
                 }
-                if is_own(entry, job, &head) {
+                if answers_request(entry, job, &head) {
                     return Ok(head);
                 }
-                asking.crossed += 1;
-                if MAX_CROSSED < asking.crossed
-                    || !skip(entry, caller, link, &head, job.deadline).await
+                awaiting.stale_responses += 1;
+                if MAX_STALE_RESPONSES < awaiting.stale_responses
+                    || !skip_body(entry, caller, link, &head, job.deadline).await
                 {
-                    return Err(Ended::Failed(Failure::Broken, None));
+                    return Err(AttemptOutcome::Failed(Failure::Broken, None));
                 }
                 continue;
             }
             tokio::select! {
                 biased;
-                () = caller.gone() => return Err(Ended::Gone(Ending::CallerLeft)),
-                moved = link.wire.exchange(&asking.request[asking.sent..]) => match moved {
-                    Ok(Moved::Sent(count)) => asking.sent += count,
-                    Ok(Moved::Read(0)) | Err(_) => return Err(ended(link, asking.sent)),
+                () = caller.gone() => return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
+                moved = link.wire.exchange(&awaiting.request[awaiting.sent..]) => match moved {
+                    Ok(Moved::Sent(count)) => awaiting.sent += count,
+                    Ok(Moved::Read(0)) | Err(_) =>
+                        return Err(connection_failure(link, awaiting.sent)),
                     Ok(Moved::Read(_)) => {}
                 },
-                () = self.running.ended() => return Err(ended(link, asking.sent)),
-                () = &mut patient => {
+                () = self.in_flight.wait_for_restart() =>
+                    return Err(connection_failure(link, awaiting.sent)),
+                () = &mut timer => {
                     let now = entry.node.clock.now();
                     if job.deadline <= now {
-                        return Err(Ended::TimedOut);
+                        return Err(AttemptOutcome::TimedOut);
                     }
-                    // After a pause of this process the runtime may know the time before what came meanwhile.
-                    if patience <= now && !link.wire.pending() {
-                        return Err(Ended::Silent);
+                    // After a pause of this process, timers may fire before data that has arrived is read.
+                    if silent_at <= now && !link.wire.pending() {
+                        return Err(AttemptOutcome::Silent);
                     }
                     if begin_by(entry, job, self.replica).is_some_and(|it| it <= now) {
-                        return Err(Ended::Failed(Failure::Outdated, None));
+                        return Err(AttemptOutcome::Failed(Failure::Outdated, None));
                     }
-                    // The replica has newer weights by now, or its answer is about to be read.
-                    patient.set(timers.sleep_until(patience.max(now.after_ms(wait::LOOK_MS))));
+                    // The replica has newer weights by now, or its response is about to be read.
+                    timer.set(timers.sleep_until(silent_at.max(now.after_ms(wait::LOOK_MS))));
                 }
             }
         }
     }
 }
 
-/// A connection to a replica, unless the caller leaves or its time is over before there is one.
-async fn connected(
+/// Takes a pooled connection to a replica or opens a new one, unless the caller disconnects or the deadline passes first.
+async fn connect(
     entry: &Entry,
     caller: &mut Wire,
     job: &Job,
     replica: ReplicaKey,
     address: SocketAddr,
-) -> Result<Link, Ended> {
+) -> Result<Link, AttemptOutcome> {
     if let Some(link) = entry.pool.take(replica) {
         return Ok(link);
     }
     entry.node.metrics.connections.inc();
     tokio::select! {
         biased;
-        () = caller.gone() => Err(Ended::Gone(Ending::CallerLeft)),
-        () = entry.node.timers.sleep_until(job.deadline) => Err(Ended::Failed(Failure::Unsent, None)),
+        () = caller.gone() => Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
+        () = entry.node.timers.sleep_until(job.deadline) =>
+            Err(AttemptOutcome::Failed(Failure::Unsent, None)),
         link = entry.pool.connect(replica, address) => {
-            link.map_err(|_| Ended::Failed(Failure::Unsent, None))
+            link.map_err(|_| AttemptOutcome::Failed(Failure::Unsent, None))
         }
     }
 }
 
-/// When a replica is to begin the answer, for services that run a model.
-fn expect(entry: &Entry, job: &mut Job, replica: ReplicaKey) -> Option<FirstTokenForecast> {
+/// Forecasts when a replica begins its response, for services that run a model.
+fn forecast_first_token(
+    entry: &Entry,
+    job: &mut Job,
+    replica: ReplicaKey,
+) -> Option<FirstTokenForecast> {
     let replicas = entry.replicas.borrow();
     let speed = entry.speed(&job.service)?;
     let replica = replicas.get(replica)?;
@@ -344,8 +364,8 @@
     })
 }
 
-/// The failure behind an answer by which the replica says that it ran nothing.
-fn not_run(entry: &Entry, head: &Response, id: &str) -> Option<Failure> {
+/// Returns the failure for a response in which the replica reports that it did not execute the request.
+fn not_executed_failure(entry: &Entry, head: &Response, id: &str) -> Option<Failure> {
     let headers = &entry.node.platform.headers;
     if head.status == 421 {
         let other = head.fields.get(headers.replica_id);
@@ -360,8 +380,8 @@
     marked.then_some(Failure::Refused)
 }
 
-/// The connection ended before an answer.
-fn ended(link: &Link, sent: usize) -> Ended {
+/// Returns the failure for a connection that ended before the response head.
+fn connection_failure(link: &Link, sent: usize) -> AttemptOutcome {
     let failure = if !link.wire.buffer.is_empty() {
         Failure::Broken
     } else if sent == 0 {
@@ -369,23 +389,24 @@
     } else {
         Failure::Lost
     };
-    Ended::Failed(failure, None)
+    AttemptOutcome::Failed(failure, None)
 }
-/// Until when the request may wait at a replica before it is taken back, as the weights there expire.
+
+/// Returns the time until which a request may wait at a replica before it is cancelled, as the weights there expire.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
     let time = entry.begin_by(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
 }
 
-/// Whether an answer is to this request. Answers without an id are taken for it.
-fn is_own(entry: &Entry, job: &Job, head: &Response) -> bool {
+/// Returns whether a response belongs to this request. A response without a request id is assumed to.
+fn answers_request(entry: &Entry, job: &Job, head: &Response) -> bool {
     let name = entry.node.platform.headers.request;
     let echoed = head.fields.get(name);
     echoed.is_none() || echoed == job.received.head.fields.get(name)
 }
 
-/// Reads over the body of an answer to another request.
-async fn skip(
+/// Reads and discards the body of a response to another request; returns whether the connection is still usable.
+async fn skip_body(
     entry: &Entry,
     caller: &mut Wire,
     link: &mut Link,
@@ -402,7 +423,7 @@
         match decoder.take(&mut link.wire.buffer) {
             Ok(Piece::Data(data)) => {
                 skipped += data.len();
-                if MAX_SKIPPED < skipped {
+                if MAX_STALE_BYTES < skipped {
                     return false;
                 }
             }
@@ -417,8 +438,8 @@
     }
 }
 
-/// The request as the replica gets it.
-fn encode(entry: &Entry, job: &Job, id: &str) -> Bytes {
+/// Encodes the request for a replica.
+fn encode_request(entry: &Entry, job: &Job, id: &str) -> Bytes {
     let headers = &entry.node.platform.headers;
     let received = &job.received;
     let mut out = BytesMut::with_capacity(512 + received.body.len());
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -13,51 +13,55 @@
     wire::Wire,
 };
 
-/// Bounds while no configuration is known.
+/// Limits that apply until a configuration is known.
 const UNCONFIGURED: CallerLimits = CallerLimits {
     head_bytes: 16 << 10,
     body_bytes: 1 << 20,
     head_ms: 5_000,
     idle_ms: 10_000,
 };
-/// Longest time for a body to arrive: the longest that callers wait for answers today.
-const BODY: Duration = Duration::from_secs(6);
-/// Longest time for a caller to end its side of a connection that ends.
-const CLOSING: Duration = Duration::from_secs(1);
-/// Longest time for an answer of our own to go out.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Time limit for receiving a request body: the longest time that callers wait for a response.
+const BODY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time limit for a caller to close its side of a connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for sending a refusal.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a connection may carry another request.
+/// Decides whether a connection may carry another request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum After {
-    /// It ends.
+pub enum ConnectionReuse {
+    /// The connection closes.
     Close,
-    /// It is kept.
+    /// The connection stays open.
     Keep,
 }
 
-/// A request that has been read whole.
+/// A completely received request.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// Head.
     pub head: Request,
     /// Body.
     pub body: Bytes,
-    /// Whether the caller delimited a body at all.
+    /// Whether the head announced a body, possibly an empty one.
     pub has_body: bool,
-    /// When the head was whole.
+    /// Time at which the head was complete.
     pub at: Time,
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it closes.
 pub async fn serve(entry: Rc<Entry>, stream: TcpStream) {
     let mut wire = Wire::accepted(stream);
-    requests(&entry, &mut wire).await;
-    // Who is slower than that has what it needs, or has gone.
+    serve_requests(&entry, &mut wire).await;
+    // A caller that is slower than that has read the response or has disconnected.
     entry
         .closing_connections
         .set(entry.closing_connections.get() + 1);
-    let _ = entry.node.timers.timeout(CLOSING, wire.finish()).await;
+    let _ = entry
+        .node
+        .timers
+        .timeout(CLOSE_TIMEOUT, wire.finish())
+        .await;
     entry
         .closing_connections
         .set(entry.closing_connections.get() - 1);
@@ -66,48 +70,48 @@
     }
 }
 
-/// Answers the requests of a connection, one after the other.
-async fn requests(entry: &Rc<Entry>, wire: &mut Wire) {
+/// Serves the requests of a connection, one after the other.
+async fn serve_requests(entry: &Rc<Entry>, wire: &mut Wire) {
     loop {
         let head = match read_head(entry, wire).await {
             Ok(Some(head)) => head,
             Ok(None) => return,
             Err(refusal) => {
-                let refusal = refusal.by(entry.standing());
+                let refusal = refusal.adjusted_for(entry.standing());
                 refuse(entry, wire, refusal, None, true).await;
                 return;
             }
         };
         entry.node.detect_stall();
         let at = entry.node.clock.now();
-        let keeps = head.keeps();
-        let limits = limits(entry);
+        let keep_alive = head.keeps();
+        let limits = caller_limits(entry);
         let reading = read_body(wire, &head, limits.body_bytes);
-        let body = entry.node.timers.timeout(BODY, reading).await;
+        let body = entry.node.timers.timeout(BODY_TIMEOUT, reading).await;
         let (body, has_body) = match body {
             Ok(Ok(body)) => body,
             Ok(Err(Some(refusal))) => {
-                let refusal = refusal.by(entry.standing());
+                let refusal = refusal.adjusted_for(entry.standing());
                 refuse(entry, wire, refusal, Some(&head), true).await;
                 return;
             }
-            // The caller left, or stopped in the middle of its body.
+            // The caller disconnected or stalled in the middle of the body.
             Ok(Err(None)) | Err(_) => return,
         };
-        let received = Received {
+        let received = ReceivedRequest {
             head,
             body,
             has_body,
             at,
         };
-        let after = forward::forward(entry, wire, received, keeps).await;
-        if after == After::Close || !keeps {
+        let reuse = forward::forward(entry, wire, received, keep_alive).await;
+        if reuse == ConnectionReuse::Close || !keep_alive {
             return;
         }
     }
 }
 
-/// Sends an answer of our own; gives whether it went out.
+/// Sends a refusal; returns whether it was sent completely.
 pub async fn refuse(
     entry: &Entry,
     wire: &mut Wire,
@@ -118,30 +122,34 @@
     let name = entry.node.platform.headers.request;
     let id = head.and_then(|it| it.fields.get(name));
     let bytes = refusal.encode(id.map(|it| (name, it)), close);
-    let sent = entry.node.timers.timeout(ANSWER, wire.send(&bytes)).await;
+    let sent = entry
+        .node
+        .timers
+        .timeout(REFUSAL_TIMEOUT, wire.send(&bytes))
+        .await;
     matches!(sent, Ok(Ok(())))
 }
 
-fn limits(entry: &Entry) -> CallerLimits {
+fn caller_limits(entry: &Entry) -> CallerLimits {
     let config = entry.config.borrow();
     config
         .as_ref()
         .map_or(UNCONFIGURED, |it| it.document.limits)
 }
 
-/// Until when a connection may rest without a request.
-fn rests_until(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
+/// Returns the time until which a connection may stay idle.
+fn idle_deadline(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
     let until = since.after_ms(limits.idle_ms);
     let leave = entry.leave.get();
     leave.map_or(until, |it| until.min(it.rests_until(since)))
 }
 
-/// Reads the next head; `None` when the connection ends instead.
+/// Reads the next request head; returns `None` if the connection closes instead.
 async fn read_head(entry: &Entry, wire: &mut Wire) -> Result<Option<Request>, Refusal> {
     let idle_since = entry.node.clock.now();
     let mut begun = None;
     loop {
-        let limits = limits(entry);
+        let limits = caller_limits(entry);
         if !wire.buffer.is_empty() {
             let head = head::request(&mut wire.buffer).map_err(|_| Refusal::Malformed)?;
             if let Some(head) = head {
@@ -154,7 +162,7 @@
         }
         let until = match begun {
             Some(at) => at.after_ms(limits.head_ms),
-            None => rests_until(entry, idle_since, limits),
+            None => idle_deadline(entry, idle_since, limits),
         };
         if entry.node.clock.until(until).is_zero() {
             return Ok(None);
@@ -170,7 +178,7 @@
     }
 }
 
-/// Reads a body; `Err(None)` when the caller left in the middle of it.
+/// Reads a request body; returns `Err(None)` if the caller disconnects in the middle of it.
 async fn read_body(
     wire: &mut Wire,
     head: &Request,
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! One request: its route, its replicas, its answer.
+//! Forwarding of one request: its route, its attempts at replicas, and its response.
 
 use std::{cell::OnceCell, rc::Rc, time::Duration};
 
@@ -20,14 +20,14 @@
 
 use super::{
     Entry,
-    abort::{Ending, Watched},
+    abort::{AbortReason, ShutdownGuard},
     attempt::Attempt,
-    connection::{After, Received, refuse},
+    connection::{ConnectionReuse, ReceivedRequest, refuse},
     hedge,
     quarantine::TryGuard,
     refusal::Refusal,
-    relay::Stored,
-    selection::{self, Room},
+    relay::BufferedResponse,
+    selection::{self, CapacityWait},
 };
 use crate::{
     events::Cursor,
@@ -36,62 +36,62 @@
     metrics::{self, Metrics, Reason},
 };
 
-/// A request on its way, and what happened to it so far.
+/// A request that is being forwarded, and its state so far.
 pub struct Job {
-    /// As the caller sent it.
-    pub received: Received,
-    /// Its route, by the configuration in force when it came.
+    /// Request as the caller sent it.
+    pub received: ReceivedRequest,
+    /// Route by the configuration in force when the request was received.
     pub route: Route,
-    /// Service that was drawn for it.
+    /// Service that was drawn at random from those of the route.
     pub service: Rc<str>,
-    /// Team that sent it.
+    /// Team that sent the request.
     pub team: Option<Rc<str>>,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub homes: AllowedRegions,
-    /// When it gets its final answer at the latest.
+    /// Time by which the response must be complete.
     pub deadline: Time,
-    /// When its answer is to have begun to be in time.
+    /// Time by which the response must begin to meet the route's latency objective.
     pub goal: Time,
-    /// Tokens of its prompt; 0 where it has none.
+    /// Number of prompt tokens; 0 without a prompt.
     pub prompt_tokens: f64,
-    /// What its answer could still be when the present replica was chosen.
+    /// Priority claim when the current replica was selected.
     pub claim: Claim,
-    /// Time until the first token that was forecast when the present replica was chosen, in milliseconds;
-    /// 0 where none was.
+    /// Time until the first token that was forecast when the current replica was selected, in milliseconds;
+    /// 0 without a forecast.
     pub expected_ms: u64,
-    /// Attempts.
+    /// Attempts so far, and the limits on further ones.
     pub progress: Progress,
     /// Replicas tried.
     pub tried: Vec<ReplicaKey>,
-    /// Whether the head of a stream went out to the caller.
+    /// Whether the response head was sent to the caller before the response was complete.
     pub head_sent: bool,
-    /// How far a stream went out to the caller.
+    /// Position up to which a stream was sent to the caller.
     pub cursor: Cursor,
-    /// Version of the weights that began the answer.
+    /// Version of the weights that began the response.
     pub version: Option<u64>,
-    /// When the answer began.
+    /// Time at which the response began.
     pub first_byte: Option<Time>,
-    /// When the present replica sent the last of its answer so far.
-    pub heard: Option<Time>,
-    /// Whether the caller wants to keep its connection.
-    pub keeps: bool,
-    /// Whether the head of the answer says that the connection ends after it.
-    pub closes: bool,
-    /// Version of the configuration in force when it came.
-    config: u64,
-    /// Failures so far, for the log.
-    trail: Vec<Failure>,
-    /// Why no replica was found when one was looked for last.
+    /// Time at which response data was last received from the current replica.
+    pub last_data_at: Option<Time>,
+    /// Whether the caller asked to keep its connection open.
+    pub keep_alive: bool,
+    /// Whether the response head announced that the connection closes after the response.
+    pub close_after_response: bool,
+    /// Version of the configuration in force when the request was received.
+    config_version: u64,
+    /// Failures of attempts so far, for the log.
+    failures: Vec<Failure>,
+    /// Reasons why no replica was available at the last selection.
     pub(super) census: Option<Census>,
-    /// Since when none is found.
-    pub(super) waits_since: Option<Time>,
+    /// Time since which no replica has been available.
+    pub(super) waiting_since: Option<Time>,
     fingerprint: OnceCell<Fingerprint>,
-    /// Held while no request like it may be under way at this entry.
+    /// Guard held while this entry must not send another copy of this suspect request.
     pub(super) try_guard: Option<TryGuard>,
 }
 
 impl Job {
-    /// Names all requests that are like it.
+    /// Returns the fingerprint that identical requests share.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let head = &self.received.head;
@@ -103,42 +103,42 @@
     }
 }
 
-/// How a request ended.
+/// Outcome of a request.
 enum Outcome {
     Answered(u16),
-    /// A stream that broke after its head went out.
-    Cut(Ending),
-    Gone(Ending),
+    /// The response was cut off after its head was sent.
+    Cut(AbortReason),
+    Aborted(AbortReason),
     Refused(Refusal),
 }
 
-/// Answers a request, from its route to its last byte.
+/// Forwards a request to replicas and sends the response to the caller.
 pub async fn forward(
     entry: &Rc<Entry>,
     caller: &mut Wire,
-    received: Received,
-    keeps: bool,
-) -> After {
-    let keeps = keeps && received.head.modern;
-    let job = match prepare(entry, received, keeps) {
+    received: ReceivedRequest,
+    keep_alive: bool,
+) -> ConnectionReuse {
+    let keep_alive = keep_alive && received.head.modern;
+    let job = match prepare(entry, received, keep_alive) {
         Ok(job) => job,
         Err(refused) => {
             let (refusal, received) = *refused;
-            let close = !keeps || entry.node.leaving.get() || refusal.sends_away();
-            count(entry, "-", refusal.row().name);
+            let close = !keep_alive || entry.node.leaving.get() || refusal.requires_reconnect();
+            count(entry, "-", refusal.error_response().name);
             log_refusal(entry, &received, refusal);
             let sent = refuse(entry, caller, refusal, Some(&received.head), close).await;
-            return after(sent && !close);
+            return keep_or_close(sent && !close);
         }
     };
-    run(entry, caller, job).await
+    run_attempts(entry, caller, job).await
 }
 
 fn prepare(
     entry: &Rc<Entry>,
-    received: Received,
-    keeps: bool,
-) -> Result<Job, Box<(Refusal, Received)>> {
+    received: ReceivedRequest,
+    keep_alive: bool,
+) -> Result<Job, Box<(Refusal, ReceivedRequest)>> {
     let Some(config) = entry.config.borrow().clone() else {
         return Err(Box::new((Refusal::NoConfig, received)));
     };
@@ -146,26 +146,32 @@
     if standing == Freshness::Stale {
         return Err(Box::new((Refusal::Behind, received)));
     }
-    match find(entry, &config, &received) {
+    match resolve_route(entry, &config, &received) {
         Ok((route, team)) => {
             let homes = config.allowed_regions(&route, team.as_deref());
-            let job = job(entry, route, team, homes, received, keeps);
+            let job = new_job(entry, route, team, homes, received, keep_alive);
             match entry.leave.get() {
-                Some(leave) if entry.others_take() || !leave.takes(job.deadline) => {
+                Some(leave) if entry.others_accept_callers() || !leave.takes(job.deadline) => {
                     Err(Box::new((Refusal::Leaving, job.received)))
                 }
                 _ => Ok(job),
             }
         }
-        Err(Denied::NoRoute) => Err(Box::new((Refusal::NoRoute.by(standing), received))),
-        Err(Denied::UnknownKey) => Err(Box::new((Refusal::UnknownKey.by(standing), received))),
+        Err(Denied::NoRoute) => Err(Box::new((
+            Refusal::NoRoute.adjusted_for(standing),
+            received,
+        ))),
+        Err(Denied::UnknownKey) => Err(Box::new((
+            Refusal::UnknownKey.adjusted_for(standing),
+            received,
+        ))),
     }
 }
 
-fn find(
+fn resolve_route(
     entry: &Entry,
     config: &Config,
-    received: &Received,
+    received: &ReceivedRequest,
 ) -> Result<(Route, Option<Rc<str>>), Denied> {
     let fields = &received.head.fields;
     let host = fields.get("host").unwrap_or_default();
@@ -175,27 +181,27 @@
     Ok((route.clone(), team))
 }
 
-fn job(
+fn new_job(
     entry: &Entry,
     route: Route,
     team: Option<Rc<str>>,
     homes: AllowedRegions,
-    received: Received,
-    keeps: bool,
+    received: ReceivedRequest,
+    keep_alive: bool,
 ) -> Job {
     let name = entry.node.platform.headers.deadline;
-    let told = received
+    let declared = received
         .head
         .fields
         .get(name)
         .and_then(|it| it.parse().ok());
-    let patience_ms = told.map_or(route.timeout_ms, |it: u64| it.min(route.timeout_ms));
-    let left = Duration::from_millis(told.unwrap_or(route.timeout_ms));
+    let timeout_ms = declared.map_or(route.timeout_ms, |it: u64| it.min(route.timeout_ms));
+    let left = Duration::from_millis(declared.unwrap_or(route.timeout_ms));
     let age = entry.age(&route.name, left);
     let goal = Duration::from_millis(route.goal_ms).saturating_sub(age);
     let service = entry.node.with_rng(|it| route.draw(it));
     Job {
-        deadline: received.at.after_ms(patience_ms),
+        deadline: received.at.after_ms(timeout_ms),
         goal: received.at.after(goal),
         prompt_tokens: prompt_tokens(entry, &received),
         claim: Claim::Late,
@@ -211,31 +217,31 @@
         cursor: Cursor::default(),
         version: None,
         first_byte: None,
-        heard: None,
-        keeps,
-        closes: false,
-        config: entry.config_version(),
-        trail: Vec::new(),
+        last_data_at: None,
+        keep_alive,
+        close_after_response: false,
+        config_version: entry.config_version(),
+        failures: Vec::new(),
         census: None,
-        waits_since: None,
+        waiting_since: None,
         fingerprint: OnceCell::new(),
         try_guard: None,
     }
 }
 
-/// Tokens of a request's prompt, as its caller counts them.
-fn prompt_tokens(entry: &Entry, received: &Received) -> f64 {
-    let told = received.head.fields.get(entry.node.platform.headers.tokens);
-    let prompt = told.and_then(|it| it.split(',').next());
+/// Returns the number of prompt tokens that the caller declares.
+fn prompt_tokens(entry: &Entry, received: &ReceivedRequest) -> f64 {
+    let declared = received.head.fields.get(entry.node.platform.headers.tokens);
+    let prompt = declared.and_then(|it| it.split(',').next());
     prompt
         .and_then(|it| it.trim().parse().ok())
         .unwrap_or_default()
 }
 
-async fn run(entry: &Rc<Entry>, caller: &mut Wire, mut job: Job) -> After {
+async fn run_attempts(entry: &Rc<Entry>, caller: &mut Wire, mut job: Job) -> ConnectionReuse {
     entry.count_request(&job.service);
-    let watched = Watched::begin(entry, id(entry, &job.received), job.received.at);
-    let mut stored = None;
+    let guard = ShutdownGuard::begin(entry, request_id(entry, &job.received), job.received.at);
+    let mut replica_error = None;
     let outcome = loop {
         let now = entry.node.clock.now();
         if job.deadline <= now {
@@ -250,54 +256,59 @@
                 Ran::Unknown => Refusal::Lost,
             });
         }
-        let Some(replica) = selection::choose(entry, &mut job, now) else {
-            match selection::room(entry, caller, &mut job, now).await {
-                Room::MayBe => continue,
-                Room::None => break exhausted(&job),
-                Room::CallerGone => break Outcome::Gone(Ending::CallerLeft),
+        let Some(replica) = selection::select_replica(entry, &mut job, now) else {
+            match selection::wait_for_capacity(entry, caller, &mut job, now).await {
+                CapacityWait::Retry => continue,
+                CapacityWait::GiveUp => break exhausted_outcome(&job),
+                CapacityWait::CallerGone => break Outcome::Aborted(AbortReason::CallerLeft),
             }
         };
         job.census = None;
-        job.waits_since = None;
+        job.waiting_since = None;
         if 0 < job.progress.attempts && !entry.take_repeat(&job.service) {
-            break exhausted(&job);
+            break exhausted_outcome(&job);
         }
         job.tried.push(replica);
         let ended = match Attempt::begin(entry, caller, &mut job, replica).await {
-            Ok(attempt) => hedge::follow(entry, caller, &mut job, attempt).await,
-            Err(ended) => hedge::unbegun(entry, &mut job, replica, ended),
+            Ok(attempt) => hedge::run_attempt(entry, caller, &mut job, attempt).await,
+            Err(ended) => hedge::handle_start_failure(entry, &mut job, replica, ended),
         };
         match ended {
-            hedge::End::Answered(status) => {
+            hedge::RunOutcome::Answered(status) => {
                 entry.clear_suspicion(&job);
                 break Outcome::Answered(status);
             }
-            hedge::End::Gone(ending) => break Outcome::Gone(ending),
-            hedge::End::TimedOut => {
+            hedge::RunOutcome::Aborted(reason) => break Outcome::Aborted(reason),
+            hedge::RunOutcome::TimedOut => {
                 job.progress.ran = Ran::Unknown;
                 break Outcome::Refused(Refusal::TimedOut);
             }
-            hedge::End::Failed(answer) => {
-                stored = answer.or(stored);
+            hedge::RunOutcome::Failed(response) => {
+                replica_error = response.or(replica_error);
                 if !job.progress.may_repeat() {
-                    break exhausted(&job);
+                    break exhausted_outcome(&job);
                 }
             }
         }
     };
-    watched.concluded();
-    finish(entry, caller, job, stored, outcome).await
+    guard.disarm();
+    finish(entry, caller, job, replica_error, outcome).await
 }
 
-/// Notes a failure of a replica with a request.
-pub(super) fn failed(entry: &Entry, job: &mut Job, replica: ReplicaKey, failure: Failure) {
+/// Counts a failed attempt of a request, and records the failure.
+pub(super) fn count_failed_attempt(
+    entry: &Entry,
+    job: &mut Job,
+    replica: ReplicaKey,
+    failure: Failure,
+) {
     job.progress.ended(failure);
-    note(entry, job, replica, failure);
+    record_failure(entry, job, replica, failure);
 }
 
-/// Notes a failure of a replica that counts as one already.
-pub(super) fn note(entry: &Entry, job: &mut Job, replica: ReplicaKey, failure: Failure) {
-    job.trail.push(failure);
+/// Records a failure of an attempt that is counted already.
+pub(super) fn record_failure(entry: &Entry, job: &mut Job, replica: ReplicaKey, failure: Failure) {
+    job.failures.push(failure);
     let label = Reason {
         reason: failure.name(),
     };
@@ -311,14 +322,14 @@
     }
 }
 
-/// What is left when no further replica gets the request.
-fn exhausted(job: &Job) -> Outcome {
+/// Returns the outcome of a request that is sent to no further replica.
+fn exhausted_outcome(job: &Job) -> Outcome {
     if job.head_sent {
-        let ending = job
-            .trail
+        let abort_reason = job
+            .failures
             .last()
-            .map_or(Ending::Time, |it| Ending::Replica(*it));
-        return Outcome::Cut(ending);
+            .map_or(AbortReason::Time, |it| AbortReason::Replica(*it));
+        return Outcome::Cut(abort_reason);
     }
     Outcome::Refused(match job.progress.ran {
         Ran::No => Refusal::NoReplica(Duration::ZERO),
@@ -330,62 +341,73 @@
     entry: &Rc<Entry>,
     caller: &mut Wire,
     job: Job,
-    stored: Option<Stored>,
+    replica_error: Option<BufferedResponse>,
     outcome: Outcome,
-) -> After {
-    let close = entry.closes(&job);
+) -> ConnectionReuse {
+    let close = entry.closes_after(&job);
     match outcome {
         Outcome::Answered(status) => {
-            conclude(entry, &job, status, "answered", None);
-            // What was promised to be kept is kept: a request may be on its way there.
-            after(!job.closes)
+            record_outcome(entry, &job, status, "answered", None);
+            // A connection that was announced as kept stays open, as the next request may be in transit.
+            keep_or_close(!job.close_after_response)
         }
-        Outcome::Cut(ending) => {
-            conclude(entry, &job, 0, "cut", Some(ending));
-            After::Close
+        Outcome::Cut(abort_reason) => {
+            record_outcome(entry, &job, 0, "cut", Some(abort_reason));
+            ConnectionReuse::Close
         }
-        Outcome::Gone(ending) => {
-            conclude(entry, &job, 0, "caller_gone", Some(ending));
-            After::Close
+        Outcome::Aborted(reason) => {
+            record_outcome(entry, &job, 0, "caller_gone", Some(reason));
+            ConnectionReuse::Close
         }
         Outcome::Refused(_) if job.head_sent => {
-            conclude(entry, &job, 0, "cut", Some(Ending::Time));
-            After::Close
+            record_outcome(entry, &job, 0, "cut", Some(AbortReason::Time));
+            ConnectionReuse::Close
         }
         Outcome::Refused(refusal) => {
-            // A replica's own failure says more than ours would.
-            if let Some(stored) = stored.filter(|_| job.progress.ran == Ran::Unknown) {
-                conclude(entry, &job, stored.status(), "replica_failed", None);
-                let sent = stored.send(entry, caller, &job, close).await;
-                return after(sent && !close);
+            // The replica's own error response tells the caller more than a refusal would.
+            if let Some(replica_error) = replica_error.filter(|_| job.progress.ran == Ran::Unknown)
+            {
+                record_outcome(entry, &job, replica_error.status(), "replica_failed", None);
+                let sent = replica_error.send(entry, caller, &job, close).await;
+                return keep_or_close(sent && !close);
             }
-            conclude(entry, &job, refusal.row().status, refusal.row().name, None);
+            record_outcome(
+                entry,
+                &job,
+                refusal.error_response().status,
+                refusal.error_response().name,
+                None,
+            );
             let head = Some(&job.received.head);
             let refusal = match refusal {
                 Refusal::NoReplica(_) => Refusal::NoReplica(entry.retry_after(&job)),
                 refusal => refusal,
             };
             let sent = refuse(entry, caller, refusal, head, close).await;
-            after(sent && !close)
+            keep_or_close(sent && !close)
         }
     }
 }
 
 impl Entry {
-    /// Whether other entries take callers, as far as this one knows.
-    fn others_take(&self) -> bool {
+    /// Returns whether other entries accept callers, as far as this one knows.
+    fn others_accept_callers(&self) -> bool {
         let now = self.node.clock.now();
         self.roster.borrow().serving(|_| true, now).next().is_some()
     }
 
-    /// Whether a request's connection is to end after its answer.
-    pub(super) fn closes(&self, job: &Job) -> bool {
-        !job.keeps || self.node.leaving.get()
+    /// Returns whether a request's connection closes after its response.
+    pub(super) fn closes_after(&self, job: &Job) -> bool {
+        !job.keep_alive || self.node.leaving.get()
     }
 }
 
-fn after(keep: bool) -> After {
-    if keep { After::Keep } else { After::Close }
+fn keep_or_close(keep: bool) -> ConnectionReuse {
+    if keep {
+        ConnectionReuse::Keep
+    } else {
+        ConnectionReuse::Close
+    }
 }
 
 fn count(entry: &Entry, service: &str, outcome: &'static str) {
@@ -396,13 +418,19 @@
     entry.node.metrics.requests.get_or_create(&label).inc();
 }
 
-/// Counts and logs the end of a request.
-fn conclude(entry: &Entry, job: &Job, status: u16, outcome: &'static str, ending: Option<Ending>) {
+/// Counts and logs the outcome of a request.
+fn record_outcome(
+    entry: &Entry,
+    job: &Job,
+    status: u16,
+    outcome: &'static str,
+    abort_reason: Option<AbortReason>,
+) {
     let now = entry.node.clock.now();
     let metrics = &entry.node.metrics;
     count(entry, &job.service, outcome);
-    if let Some(ending) = ending {
-        entry.count_cut(ending);
+    if let Some(abort_reason) = abort_reason {
+        entry.count_cut_off(abort_reason);
     }
     let team = job.team.as_deref();
     let since = |it: Time| it.since(job.received.at);
@@ -418,52 +446,52 @@
     let Some(log) = entry.node.logs.line(topic) else {
         return;
     };
-    let trail: Vec<&str> = job.trail.iter().map(|it| it.name()).collect();
+    let failures: Vec<&str> = job.failures.iter().map(|it| it.name()).collect();
     let tried = entry.replica_ids(&job.tried);
     info!(log, "request";
-        "request" => id(entry, &job.received), "outcome" => outcome, "status" => status,
+        "request" => request_id(entry, &job.received), "outcome" => outcome, "status" => status,
         "route" => &*job.route.name, "service" => &*job.service, "team" => team.unwrap_or("-"), "homes" => %job.homes,
-        "replicas" => tried.join(","), "failures" => trail.join(","),
+        "replicas" => tried.join(","), "failures" => failures.join(","),
         "first_ms" => job.first_byte.map_or(-1, |it| since(it).as_millis() as i64),
         "ms" => since(now).as_millis() as u64, "claim" => %job.claim, "expected_ms" => job.expected_ms,
-        "ended_by" => ending.map_or("", Ending::name),
-        "quiet_ms" => job.heard.map_or(-1, |it| now.since(it).as_millis() as i64),
-        "leaving_ms" => entry.leaving_ms(), "config_before" => job.config,
+        "ended_by" => abort_reason.map_or("", AbortReason::name),
+        "quiet_ms" => job.last_data_at.map_or(-1, |it| now.since(it).as_millis() as i64),
+        "leaving_ms" => entry.leaving_ms(), "config_before" => job.config_version,
         "config" => entry.config_version(), "behind_ms" => behind_ms(entry),
-        "replicas_known" => entry.replicas.borrow().len(), "resumed" => resumed(job),
-        "fingerprint" => suspected(job, outcome).map_or_else(String::new, |it| it.to_string()),
+        "replicas_known" => entry.replicas.borrow().len(), "resumed" => is_resumed(job),
+        "fingerprint" => suspect_fingerprint(job, outcome).map_or_else(String::new, |it| it.to_string()),
         "none_free" => job.census.map_or_else(String::new, |it| it.to_string()));
 }
 
-/// Names all requests like one whose replica may have ended while it had it, or that is kept from replicas for that.
-fn suspected(job: &Job, outcome: &str) -> Option<Fingerprint> {
-    let crashed = job.trail.iter().any(|it| it.may_be_crash());
-    let kept_away = outcome == Refusal::Quarantined(Duration::ZERO).row().name;
-    (crashed || kept_away).then(|| job.fingerprint())
+/// Returns the fingerprint of a request that may have crashed a replica or is quarantined.
+fn suspect_fingerprint(job: &Job, outcome: &str) -> Option<Fingerprint> {
+    let crashed = job.failures.iter().any(|it| it.may_be_crash());
+    let quarantined = outcome == Refusal::Quarantined(Duration::ZERO).error_response().name;
+    (crashed || quarantined).then(|| job.fingerprint())
 }
 
-/// For how long the configuration has lacked what peers have, in milliseconds; -1 if it lacks nothing.
+/// Returns for how long the configuration has been behind that of peers, in milliseconds; -1 if it is not.
 fn behind_ms(entry: &Entry) -> i64 {
     let behind = entry.node.behind(Table::Operator);
     behind.map_or(-1, |it| it.as_millis() as i64)
 }
 
-fn resumed(job: &Job) -> bool {
+fn is_resumed(job: &Job) -> bool {
     job.route.kind == Kind::ResumableStream && job.head_sent && 1 < job.tried.len()
 }
 
-fn log_refusal(entry: &Entry, received: &Received, refusal: Refusal) {
+fn log_refusal(entry: &Entry, received: &ReceivedRequest, refusal: Refusal) {
     let Some(log) = entry.node.logs.line(Topic::Failed) else {
         return;
     };
-    info!(log, "request"; "request" => id(entry, received), "outcome" => refusal.row().name,
-        "status" => refusal.row().status, "config" => entry.config_version(),
+    info!(log, "request"; "request" => request_id(entry, received), "outcome" => refusal.error_response().name,
+        "status" => refusal.error_response().status, "config" => entry.config_version(),
         "behind_ms" => behind_ms(entry),
         "host" => received.head.fields.get("host").unwrap_or("-"),
         "path" => received.head.path());
 }
 
-fn id<'a>(entry: &Entry, received: &'a Received) -> &'a str {
+fn request_id<'a>(entry: &Entry, received: &'a ReceivedRequest) -> &'a str {
     let name = entry.node.platform.headers.request;
     received.head.fields.get(name).unwrap_or("-")
 }
--- a/crates/gradeloft_gateway/src/entry/hedge.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -1,7 +1,7 @@
-//! The course of one attempt, and of another beside it while its replica is silent.
+//! Runs an attempt to its end, with a hedge request to a second replica while the first one is silent.
 //!
-//! A silence alone ends nothing: the replica may only be slow, stand still, or read a long prompt, and its answer is as good
-//! as any. So its connection stays open until another replica has begun to answer.
+//! Silence alone does not fail an attempt: the replica may be slow, paused, or processing a long prompt, and its
+//! response is as good as any. Its connection stays open until another replica has begun to respond.
 
 use std::rc::Rc;
 
@@ -9,77 +9,77 @@
 
 use super::{
     Entry,
-    abort::Ending,
-    attempt::{Attempt, Ended},
+    abort::AbortReason,
+    attempt::{Attempt, AttemptOutcome},
     forward::{self, Job},
-    relay::Stored,
+    relay::BufferedResponse,
     selection,
 };
 use crate::h1::wire::Wire;
 
-/// How the course of an attempt ended; failures of replicas are noted.
-pub(super) enum End {
-    /// The whole answer went out to the caller.
+/// Outcome of an attempt and its hedges; failures of replicas have been recorded.
+pub(super) enum RunOutcome {
+    /// The complete response was sent to the caller. Carries the HTTP status.
     Answered(u16),
-    /// No answer that can be passed on as it is; a replica's own failure is kept.
-    Failed(Option<Stored>),
-    /// Nobody takes an answer any more, or nobody can go on with the one that went out in part.
-    Gone(Ending),
-    /// The request's time is over.
+    /// The attempt failed. Carries the replica's own error response, if there is one.
+    Failed(Option<BufferedResponse>),
+    /// The caller no longer receives the response, or a partly sent response can't be continued.
+    Aborted(AbortReason),
+    /// The deadline of the request passed.
     TimedOut,
 }
 
-/// What came of asking another replica while one is silent.
-enum Takeover {
-    /// The silent one goes on.
-    Back,
-    /// The caller has gone, or its time is over.
-    Ended(End),
-    /// The other answers.
-    Over(Box<Attempt>),
+/// Outcome of a hedge request.
+enum HedgeOutcome {
+    /// The original attempt goes on.
+    OriginalResumed,
+    /// The caller has disconnected, or the deadline passed.
+    Ended(RunOutcome),
+    /// The second replica has begun to respond and replaces the original attempt.
+    HedgeWon(Box<Attempt>),
 }
 
-/// Follows an attempt to its end.
-pub(super) async fn follow(
+/// Runs an attempt to its end, hedging each time its replica is silent.
+pub(super) async fn run_attempt(
     entry: &Rc<Entry>,
     caller: &mut Wire,
     job: &mut Job,
     mut attempt: Attempt,
-) -> End {
+) -> RunOutcome {
     loop {
         match attempt.drive(entry, caller, job).await {
-            Ended::Answered(status) => {
+            AttemptOutcome::Answered(status) => {
                 attempt.finish(entry);
-                return End::Answered(status);
+                return RunOutcome::Answered(status);
             }
-            Ended::Failed(failure, answer) => {
-                fail(entry, job, attempt, failure);
-                return End::Failed(answer);
+            AttemptOutcome::Failed(failure, response) => {
+                close_failed(entry, job, attempt, failure);
+                return RunOutcome::Failed(response);
             }
-            Ended::Gone(ending) => {
+            AttemptOutcome::Aborted(reason) => {
                 attempt.close(entry, job);
-                return End::Gone(ending);
+                return RunOutcome::Aborted(reason);
             }
-            Ended::TimedOut => {
+            AttemptOutcome::TimedOut => {
                 attempt.close(entry, job);
-                return End::TimedOut;
+                return RunOutcome::TimedOut;
             }
-            Ended::Silent => {}
+            AttemptOutcome::Silent => {}
         }
-        if !std::mem::replace(&mut attempt.counted, true) {
-            forward::failed(entry, job, attempt.replica, Failure::Silent);
+        if !std::mem::replace(&mut attempt.silence_counted, true) {
+            forward::count_failed_attempt(entry, job, attempt.replica, Failure::Silent);
         }
-        let Some(other) = other(entry, job) else {
+        let Some(hedge_replica) = select_hedge_replica(entry, job) else {
             continue;
         };
-        match take_over(entry, caller, job, &mut attempt, other).await {
-            Takeover::Back => {}
-            Takeover::Ended(end) => {
+        match hedge(entry, caller, job, &mut attempt, hedge_replica).await {
+            HedgeOutcome::OriginalResumed => {}
+            HedgeOutcome::Ended(end) => {
                 attempt.close(entry, job);
                 return end;
             }
-            Takeover::Over(next) => {
-                let silent = std::mem::replace(&mut attempt, *next);
+            HedgeOutcome::HedgeWon(hedge_attempt) => {
+                let silent = std::mem::replace(&mut attempt, *hedge_attempt);
                 if let Some(start) = silent.start {
                     entry.record_lost_request(job, start);
                 }
@@ -89,35 +89,40 @@
     }
 }
 
-/// Another replica that may get a request beside the one that is silent. One under which replicas ended goes to no second
-/// while the first may be at work on it.
-fn other(entry: &Rc<Entry>, job: &mut Job) -> Option<ReplicaKey> {
+/// Selects a replica for a hedge request. A request suspected of crashing replicas is never hedged, as the first replica
+/// may still be processing it.
+fn select_hedge_replica(entry: &Rc<Entry>, job: &mut Job) -> Option<ReplicaKey> {
     if entry.suspects_request(job) {
         return None;
     }
-    let other = selection::another(entry, job, entry.node.clock.now())?;
-    entry.take_repeat(&job.service).then_some(other)
+    let hedge_replica = selection::select_alternative(entry, job, entry.node.clock.now())?;
+    entry.take_repeat(&job.service).then_some(hedge_replica)
 }
 
-/// An attempt did not begin.
-pub(super) fn unbegun(entry: &Entry, job: &mut Job, replica: ReplicaKey, ended: Ended) -> End {
+/// Records the failure of an attempt that could not be started.
+pub(super) fn handle_start_failure(
+    entry: &Entry,
+    job: &mut Job,
+    replica: ReplicaKey,
+    ended: AttemptOutcome,
+) -> RunOutcome {
     match ended {
-        Ended::Answered(status) => End::Answered(status),
-        Ended::Failed(failure, answer) => {
-            forward::failed(entry, job, replica, failure);
-            End::Failed(answer)
+        AttemptOutcome::Answered(status) => RunOutcome::Answered(status),
+        AttemptOutcome::Failed(failure, response) => {
+            forward::count_failed_attempt(entry, job, replica, failure);
+            RunOutcome::Failed(response)
         }
-        Ended::Gone(ending) => End::Gone(ending),
-        Ended::Silent | Ended::TimedOut => End::TimedOut,
+        AttemptOutcome::Aborted(reason) => RunOutcome::Aborted(reason),
+        AttemptOutcome::Silent | AttemptOutcome::TimedOut => RunOutcome::TimedOut,
     }
 }
 
-/// Ends a failed attempt, and notes the failure.
-fn fail(entry: &Rc<Entry>, job: &mut Job, attempt: Attempt, failure: Failure) {
-    if attempt.counted {
-        forward::note(entry, job, attempt.replica, failure);
+/// Closes a failed attempt, and records the failure.
+fn close_failed(entry: &Rc<Entry>, job: &mut Job, attempt: Attempt, failure: Failure) {
+    if attempt.silence_counted {
+        forward::record_failure(entry, job, attempt.replica, failure);
     } else {
-        forward::failed(entry, job, attempt.replica, failure);
+        forward::count_failed_attempt(entry, job, attempt.replica, failure);
     }
     if let Some(start) = attempt.start.filter(|_| failure.may_be_crash()) {
         entry.record_lost_request(job, start);
@@ -125,60 +130,60 @@
     attempt.close(entry, job);
 }
 
-/// Asks another replica, and listens to the silent one until the other begins to answer.
-async fn take_over(
+/// Sends the request to a second replica, and keeps listening to the silent one until the second begins to respond.
+async fn hedge(
     entry: &Rc<Entry>,
     caller: &mut Wire,
     job: &mut Job,
     silent: &mut Attempt,
-    other: ReplicaKey,
-) -> Takeover {
-    job.tried.push(other);
-    let mut next = match Attempt::begin(entry, caller, job, other).await {
-        Ok(next) => next,
+    hedge_replica: ReplicaKey,
+) -> HedgeOutcome {
+    job.tried.push(hedge_replica);
+    let mut hedge_attempt = match Attempt::begin(entry, caller, job, hedge_replica).await {
+        Ok(hedge_attempt) => hedge_attempt,
         Err(ended) => {
-            return match unbegun(entry, job, other, ended) {
-                End::Failed(_) => Takeover::Back,
-                end => Takeover::Ended(end),
+            return match handle_start_failure(entry, job, hedge_replica, ended) {
+                RunOutcome::Failed(_) => HedgeOutcome::OriginalResumed,
+                end => HedgeOutcome::Ended(end),
             };
         }
     };
-    let asked = {
-        let asking = next.ask(entry, caller, job);
-        tokio::pin!(asking);
+    let response = {
+        let awaiting = hedge_attempt.await_response_head(entry, caller, job);
+        tokio::pin!(awaiting);
         tokio::select! {
             biased;
-            asked = &mut asking => Some(asked),
-            speaks = silent.speaks() => match speaks {
+            response = &mut awaiting => Some(response),
+            resumed = silent.wait_for_data() => match resumed {
                 true => None,
-                false => Some(asking.await),
+                false => Some(awaiting.await),
             },
         }
     };
-    match asked {
-        Some(Ok(())) => Takeover::Over(Box::new(next)),
-        Some(Err(Ended::Failed(failure, _))) => {
-            fail(entry, job, next, failure);
-            Takeover::Back
+    match response {
+        Some(Ok(())) => HedgeOutcome::HedgeWon(Box::new(hedge_attempt)),
+        Some(Err(AttemptOutcome::Failed(failure, _))) => {
+            close_failed(entry, job, hedge_attempt, failure);
+            HedgeOutcome::OriginalResumed
         }
-        Some(Err(Ended::Gone(ending))) => {
-            next.close(entry, job);
-            Takeover::Ended(End::Gone(ending))
+        Some(Err(AttemptOutcome::Aborted(reason))) => {
+            hedge_attempt.close(entry, job);
+            HedgeOutcome::Ended(RunOutcome::Aborted(reason))
         }
-        Some(Err(Ended::TimedOut)) => {
-            next.close(entry, job);
-            Takeover::Ended(End::TimedOut)
+        Some(Err(AttemptOutcome::TimedOut)) => {
+            hedge_attempt.close(entry, job);
+            HedgeOutcome::Ended(RunOutcome::TimedOut)
         }
-        Some(Err(Ended::Answered(_) | Ended::Silent)) => {
-            forward::failed(entry, job, other, Failure::Silent);
-            next.abandon();
-            Takeover::Back
+        Some(Err(AttemptOutcome::Answered(_) | AttemptOutcome::Silent)) => {
+            forward::count_failed_attempt(entry, job, hedge_replica, Failure::Silent);
+            hedge_attempt.abandon();
+            HedgeOutcome::OriginalResumed
         }
-        // The silent one speaks again.
+        // The original replica has sent data.
         None => {
-            forward::failed(entry, job, other, Failure::Withdrawn);
-            next.abandon();
-            Takeover::Back
+            forward::count_failed_attempt(entry, job, hedge_replica, Failure::Withdrawn);
+            hedge_attempt.abandon();
+            HedgeOutcome::OriginalResumed
         }
     }
 }
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that run at replicas, counted for as long as they do.
+//! Requests in flight at replicas.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -10,8 +10,8 @@
 use crate::logs::Topic;
 
 impl Entry {
-    /// Counts a request with a prompt as running at a replica until the guard is dropped.
-    pub fn running(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> Running {
+    /// Counts a request and its prompt tokens as in flight at a replica until the guard is dropped.
+    pub fn track_in_flight(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> InFlightGuard {
         let now = self.node.clock.now();
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
             if replica.own == 0 {
@@ -23,28 +23,28 @@
             replica.own_waiting_tokens += prompt_tokens;
         }
         let mut starts = self.starts.borrow_mut();
-        Running {
+        InFlightGuard {
             waiting: Cell::new(true),
             entry: Rc::clone(self),
             key,
             prompt_tokens,
-            ended: starts.entry(key).or_default().clone(),
+            replica_restarted: starts.entry(key).or_default().clone(),
         }
     }
 
-    /// The start of a replica that `ended` names is over: what was under way there gets no answer any more.
-    pub(super) fn replica_restarted(&self, ended: ReplicaKey) {
-        let token = self.starts.borrow_mut().remove(&ended);
+    /// Handles the restart of a replica: requests in flight at its previous start, `replaced`, get no response any more.
+    pub(super) fn replica_restarted(&self, replaced: ReplicaKey) {
+        let token = self.starts.borrow_mut().remove(&replaced);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
         }
         if let Some(token) = token {
             token.cancel();
         }
-        self.replica_ended(ended, Evidence::StartedAgain);
+        self.replica_ended(replaced, Evidence::StartedAgain);
     }
 
-    /// Forgets the starts of replicas that are gone, which finish what runs there.
+    /// Drops the restart signals of replicas that are no longer listed; these finish the requests in flight there.
     pub(super) fn forget_starts(&self) {
         let replicas = self.replicas.borrow();
         let mut starts = self.starts.borrow_mut();
@@ -52,25 +52,25 @@
     }
 }
 
-/// A request that runs at a replica.
-pub struct Running {
+/// Guard that counts a request as in flight at a replica.
+pub struct InFlightGuard {
     entry: Rc<Entry>,
     key: ReplicaKey,
     prompt_tokens: f64,
-    /// Whether its answer has not begun.
+    /// Whether the response has not begun.
     waiting: Cell<bool>,
-    /// Cancelled once the replica has started again.
-    ended: CancellationToken,
+    /// Cancelled once the replica has restarted.
+    replica_restarted: CancellationToken,
 }
 
-impl Running {
-    /// Waits until the replica has started again: it knows nothing of the request any more.
-    pub async fn ended(&self) {
-        self.ended.cancelled().await;
+impl InFlightGuard {
+    /// Waits until the replica has restarted, which loses the request.
+    pub async fn wait_for_restart(&self) {
+        self.replica_restarted.cancelled().await;
     }
 
-    /// Its answer has begun.
-    pub fn begun(&self) {
+    /// Records that the response has begun.
+    pub fn response_begun(&self) {
         let mut replicas = self.entry.replicas.borrow_mut();
         if let Some(replica) = replicas.get_mut(self.key)
             && self.waiting.replace(false)
@@ -81,9 +81,9 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.begun();
+        self.response_begun();
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
             replica.own -= 1;
         }
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -1,4 +1,4 @@
-//! What is asked of an entry beside requests to forward: addresses, readiness, metrics.
+//! HTTP listeners of an entry for address lookup, readiness and metrics.
 
 use std::{
     io,
@@ -16,9 +16,9 @@
 use super::Entry;
 use crate::{node::Node, settings::Role};
 
-/// How long callers keep addresses, in seconds: short, so that they follow a stop within its grace.
+/// Time for which callers cache addresses, in seconds: short, so that they notice a shutdown within its grace period.
 const TTL_S: u64 = 2;
-/// Connections to each of these ports.
+/// Limits of each of these listeners.
 const LIMITS: Limits = Limits {
     header_bytes: 8 << 10,
     body_bytes: 1 << 10,
@@ -26,7 +26,7 @@
     idle: std::time::Duration::from_secs(10),
 };
 
-/// Starts the listeners of an entry; they end when they are dropped.
+/// Starts the listeners of an entry, which stop when they are dropped.
 pub async fn start(entry: &Rc<Entry>) -> io::Result<Vec<Server>> {
     let settings = entry.node.settings();
     let Role::Entry {
--- a/crates/gradeloft_gateway/src/entry/refusal.rs
+++ b/crates/gradeloft_gateway/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that an entry gives by itself.
+//! Error responses that an entry sends by itself.
 
 use std::time::Duration;
 
@@ -6,103 +6,105 @@
 use gradeloft_policy::{process::freshness::Freshness, request::attempt::Ran};
 use serde_json::json;
 
-/// Why a request gets no replica's answer. A closed list; [`Refusal::row`] is its table.
+/// Reason why a request gets no response from a replica. [`Refusal::error_response`] maps each reason to its response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// Other entries know more than this one, and what it can't answer rightly they may.
+    /// This entry's configuration is behind that of other entries, which may be able to serve the request.
     Behind,
     /// The body is larger than allowed.
     BodyTooLarge,
     /// The head is larger than allowed.
     HeadTooLarge,
-    /// This process ends before an answer is sure to be whole; other entries take it.
+    /// This process is shutting down and may end before the response is complete; other entries accept the request.
     Leaving,
-    /// It was sent to a replica, and no answer came that can be passed on.
+    /// The request was sent to a replica, and no response that can be relayed arrived.
     Lost,
-    /// It is not valid HTTP.
+    /// The request is not valid HTTP.
     Malformed,
-    /// This process does not know the configuration yet.
+    /// This process has not loaded the configuration yet.
     NoConfig,
-    /// No replica takes it now; one may after this time.
+    /// No replica has capacity now; one may after this time.
     NoReplica(Duration),
-    /// No route for its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Replicas ended while they had it; it may be sent to one again after this time.
+    /// The request is suspected of crashing replicas; it may be retried after this time.
     Quarantined(Duration),
-    /// Time ran out after it was sent to a replica.
+    /// The deadline passed after the request was sent to a replica.
     TimedOut,
-    /// Time ran out before it was sent to a replica.
+    /// The deadline passed before the request was sent to a replica.
     Unsent,
-    /// The key is absent or nobody's.
+    /// The API key is missing or belongs to no team.
     UnknownKey,
 }
 
-/// What a refusal tells its caller.
+/// Contents of the error response for a refusal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Row {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
     /// Reason phrase.
     pub reason: &'static str,
-    /// Name in bodies, logs and metrics.
+    /// Error name in bodies, logs and metrics.
     pub name: &'static str,
-    /// Whether the request may have run.
+    /// Whether a replica may have executed the request.
     pub ran: Ran,
-    /// When to come back, in milliseconds.
+    /// Delay after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// When to come back after a refusal for another reason than want of a replica, in milliseconds: about
-/// the time in which an entry learns the configuration.
+/// Retry delay after refusals that are not caused by missing capacity, in milliseconds: about the time in which an
+/// entry loads the configuration.
 const RETRY_AFTER_MS: u64 = 250;
 
 impl Refusal {
-    /// What it tells the caller.
-    pub fn row(self) -> Row {
-        let row = |status, reason, name| Row {
+    /// Returns the contents of the error response.
+    pub fn error_response(self) -> ErrorResponse {
+        let response = |status, reason, name| ErrorResponse {
             status,
             reason,
             name,
             ran: Ran::No,
             retry_after_ms: None,
         };
-        let later = |name| Row {
+        let retry_later = |name| ErrorResponse {
             retry_after_ms: Some(RETRY_AFTER_MS),
-            ..row(503, "Service Unavailable", name)
+            ..response(503, "Service Unavailable", name)
         };
-        let unknown = |status, reason, name| Row {
+        let unknown = |status, reason, name| ErrorResponse {
             ran: Ran::Unknown,
-            ..row(status, reason, name)
+            ..response(status, reason, name)
         };
         match self {
-            Refusal::Behind => later("behind"),
-            Refusal::BodyTooLarge => row(413, "Content Too Large", "body_too_large"),
-            Refusal::HeadTooLarge => row(431, "Request Header Fields Too Large", "head_too_large"),
-            Refusal::Leaving => Row {
+            Refusal::Behind => retry_later("behind"),
+            Refusal::BodyTooLarge => response(413, "Content Too Large", "body_too_large"),
+            Refusal::HeadTooLarge => {
+                response(431, "Request Header Fields Too Large", "head_too_large")
+            }
+            Refusal::Leaving => ErrorResponse {
                 retry_after_ms: Some(0),
-                ..row(503, "Service Unavailable", "leaving")
+                ..response(503, "Service Unavailable", "leaving")
             },
             Refusal::Lost => unknown(502, "Bad Gateway", "lost"),
-            Refusal::Malformed => row(400, "Bad Request", "malformed"),
-            Refusal::NoConfig => later("no_config"),
-            Refusal::NoReplica(back) => Row {
+            Refusal::Malformed => response(400, "Bad Request", "malformed"),
+            Refusal::NoConfig => retry_later("no_config"),
+            Refusal::NoReplica(back) => ErrorResponse {
                 retry_after_ms: Some(back.as_millis() as u64),
-                ..row(503, "Service Unavailable", "no_replica")
+                ..response(503, "Service Unavailable", "no_replica")
             },
-            Refusal::NoRoute => row(404, "Not Found", "no_route"),
-            Refusal::Quarantined(back) => Row {
+            Refusal::NoRoute => response(404, "Not Found", "no_route"),
+            Refusal::Quarantined(back) => ErrorResponse {
                 retry_after_ms: Some(back.as_millis() as u64),
-                ..row(503, "Service Unavailable", "quarantined")
+                ..response(503, "Service Unavailable", "quarantined")
             },
             Refusal::TimedOut => unknown(504, "Gateway Timeout", "timed_out"),
-            Refusal::Unsent => later("unsent"),
-            Refusal::UnknownKey => row(401, "Unauthorized", "unknown_key"),
+            Refusal::Unsent => retry_later("unsent"),
+            Refusal::UnknownKey => response(401, "Unauthorized", "unknown_key"),
         }
     }
 
-    /// What it becomes at a process that may know less than others: newer records may allow what its
+    /// Adjusts the refusal at an entry whose configuration may be behind: newer records may allow what its own
     /// configuration denies.
-    pub fn by(self, standing: Freshness) -> Refusal {
+    pub fn adjusted_for(self, standing: Freshness) -> Refusal {
         match self {
             _ if standing == Freshness::Current => self,
             Refusal::BodyTooLarge
@@ -113,21 +115,21 @@
         }
     }
 
-    /// Whether its caller is to connect anew, to another entry.
-    pub fn sends_away(self) -> bool {
+    /// Returns whether the caller should reconnect to another entry.
+    pub fn requires_reconnect(self) -> bool {
         matches!(self, Refusal::Behind | Refusal::Leaving)
     }
 
-    /// The whole answer, as bytes.
+    /// Encodes the complete HTTP response.
     pub fn encode(self, request: Option<(&str, &str)>, close: bool) -> BytesMut {
-        let row = self.row();
-        let ran = match row.ran {
+        let response = self.error_response();
+        let ran = match response.ran {
             Ran::No => "no",
             Ran::Unknown => "unknown",
         };
-        let body = json!({"error": row.name, "ran": ran}).to_string();
+        let body = json!({"error": response.name, "ran": ran}).to_string();
         let mut out = BytesMut::with_capacity(256);
-        let status_line = format!("HTTP/1.1 {} {}\r\n", row.status, row.reason);
+        let status_line = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason);
         out.put_slice(status_line.as_bytes());
         let headers = format!(
             "Content-Type: application/json\r\nContent-Length: {}\r\n",
@@ -137,7 +139,7 @@
         if let Some((name, id)) = request {
             out.put_slice(format!("{name}: {id}\r\n").as_bytes());
         }
-        if let Some(ms) = row.retry_after_ms {
+        if let Some(ms) = response.retry_after_ms {
             let seconds = ms as f64 / 1000.0;
             out.put_slice(format!("Retry-After: {seconds}\r\n").as_bytes());
         }
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! A replica's answer, on its way to the caller.
+//! Relaying of a replica's response to the caller.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use super::{
     Entry,
-    abort::Ending,
-    attempt::{Ended, FirstTokenForecast},
+    abort::AbortReason,
+    attempt::{AttemptOutcome, FirstTokenForecast},
     forward::Job,
-    in_flight::Running,
+    in_flight::InFlightGuard,
 };
 use crate::{
     events::Splitter,
@@ -23,33 +23,33 @@
     traffic::Purpose,
 };
 
-/// Largest plain answer that is read whole before it goes out, in bytes. A larger one goes out as it
-/// comes.
-const MAX_STORED: usize = 512 << 10;
-/// Pause in a stream after which another replica is looked for to go on with it. Callers leave after two seconds.
-const SILENCE: Duration = Duration::from_millis(1_200);
-/// Pause in a plain answer after which another replica is looked for.
-const PLAIN_SILENCE: Duration = Duration::from_secs(2);
-/// Shortest time that a stored answer has to go out; it may also use all of its request's.
-const SEND: Duration = Duration::from_secs(2);
+/// Maximum size of a response that is buffered completely before it is sent, in bytes. A larger one is sent as it
+/// arrives.
+const MAX_BUFFERED: usize = 512 << 10;
+/// Pause in a stream after which another replica is selected to continue it. Callers give up after two seconds.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Pause in a buffered response after which the request is hedged.
+const BUFFERED_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum time allowed for sending a buffered response, even if the deadline of its request is earlier.
+const MIN_SEND_TIME: Duration = Duration::from_secs(2);
 
-/// A whole answer that is held, in case no other replica gives a better one.
-pub struct Stored {
+/// A complete response held in memory, in case no other replica gives a better one.
+pub struct BufferedResponse {
     head: Response,
     body: Bytes,
 }
 
-impl Stored {
-    /// HTTP status.
+impl BufferedResponse {
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.head.status
     }
 
-    /// Sends it to the caller; gives whether it went out.
+    /// Sends the response to the caller; returns whether that succeeded.
     pub async fn send(&self, entry: &Entry, caller: &mut Wire, job: &Job, close: bool) -> bool {
         let bytes = self.encode(close);
-        let least = entry.node.clock.now().after(SEND);
-        send(entry, caller, &bytes, job.deadline.max(least)).await
+        let min_deadline = entry.node.clock.now().after(MIN_SEND_TIME);
+        send(entry, caller, &bytes, job.deadline.max(min_deadline)).await
     }
 
     fn encode(&self, close: bool) -> Bytes {
@@ -65,141 +65,155 @@
     }
 }
 
-/// Drops an answer that is not passed on, and keeps its connection if nothing more comes on it.
-pub(super) fn discard(entry: &Entry, mut link: Link, head: &Response, method: &[u8], whole: bool) {
+/// Discards a response that is not relayed, and returns its connection to the pool if the response is complete.
+pub(super) fn discard(
+    entry: &Entry,
+    mut link: Link,
+    head: &Response,
+    method: &[u8],
+    fully_sent: bool,
+) {
     let Ok(framing) = Framing::of_response(head, method) else {
         return;
     };
     let mut decoder = Decoder::new(framing);
     while let Ok(Piece::Data(_)) = decoder.take(&mut link.wire.buffer) {}
-    if whole && head.keeps() && decoder.done() && link.wire.buffer.is_empty() {
+    if fully_sent && head.keeps() && decoder.done() && link.wire.buffer.is_empty() {
         entry.pool.keep(link, head.keep_alive_ms());
     }
 }
 
-/// A replica's answer while it is passed on.
-pub(super) struct Passage {
+/// A replica's response while it is relayed.
+pub(super) struct Relay {
     head: Response,
     decoder: Decoder,
-    /// Whether the connection can be kept once the answer is whole.
-    keep: bool,
-    form: Form,
+    /// Whether the connection can be reused once the response is complete.
+    reusable: bool,
+    mode: RelayMode,
 }
 
-/// How an answer is passed on.
-enum Form {
-    /// Read whole first, so that another replica may give a better one.
-    Plain(BytesMut),
-    /// As it comes, since it is large: nobody can go on with it.
-    Large,
-    /// Event by event, so that another replica can go on after the last one.
+/// Mode in which a response is relayed.
+enum RelayMode {
+    /// The response is read completely first, so that another replica may give a better one.
+    Buffered(BytesMut),
+    /// A large response is sent as it arrives; no other replica can continue it.
+    Unbuffered,
+    /// A stream is sent event by event, so that another replica can continue after the last event.
     Stream(Splitter),
 }
 
-/// Where an answer comes from.
-pub(super) struct Source<'a> {
-    /// The connection.
+/// Source of a relayed response.
+pub(super) struct Upstream<'a> {
+    /// Connection to the replica.
     pub(super) link: &'a mut Link,
-    /// The request's place at the replica.
-    pub(super) running: &'a Running,
-    /// When the answer is to begin, until it does.
-    pub(super) expected: &'a mut Option<FirstTokenForecast>,
+    /// Guard that counts the request as in flight at the replica.
+    pub(super) in_flight: &'a InFlightGuard,
+    /// Forecast of the begin of the response; taken once the response begins.
+    pub(super) forecast: &'a mut Option<FirstTokenForecast>,
 }
 
-/// What reading on gave.
-enum Read {
-    /// The connection ended or was reset before the answer was whole.
+/// Outcome of reading the next piece of a response.
+enum ReadOutcome {
+    /// The connection ended or was reset before the response was complete.
     Broken,
     Data(Bytes),
     End,
-    Gone,
-    /// Nothing came for too long.
+    CallerGone,
+    /// No data arrived within the silence timeout.
     Silent,
     TimedOut,
 }
 
-impl Read {
-    /// How an attempt ends with it, unless it brought something.
-    fn ended(&self) -> Option<Ended> {
+impl ReadOutcome {
+    /// Returns the attempt's outcome, unless data or the end of the response was read.
+    fn attempt_outcome(&self) -> Option<AttemptOutcome> {
         match self {
-            Read::Data(_) | Read::End => None,
-            Read::Broken => Some(Ended::Failed(Failure::Broken, None)),
-            Read::Gone => Some(Ended::Gone(Ending::CallerLeft)),
-            Read::Silent => Some(Ended::Silent),
-            Read::TimedOut => Some(Ended::TimedOut),
+            ReadOutcome::Data(_) | ReadOutcome::End => None,
+            ReadOutcome::Broken => Some(AttemptOutcome::Failed(Failure::Broken, None)),
+            ReadOutcome::CallerGone => Some(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
+            ReadOutcome::Silent => Some(AttemptOutcome::Silent),
+            ReadOutcome::TimedOut => Some(AttemptOutcome::TimedOut),
         }
     }
 }
 
-impl Passage {
-    /// An answer whose head came; `whole` tells whether all of the request went out.
-    pub(super) fn of(job: &Job, head: Response, whole: bool) -> Result<Passage, Ended> {
+impl Relay {
+    /// Begins to relay a response after its head; `fully_sent` tells whether the request was sent completely.
+    pub(super) fn of(job: &Job, head: Response, fully_sent: bool) -> Result<Relay, AttemptOutcome> {
         let framing = Framing::of_response(&head, &job.received.head.method)
-            .map_err(|_| Ended::Failed(Failure::Broken, None))?;
-        let streams = job.route.kind.streams() && head.status == 200;
-        if job.head_sent && !streams {
-            // A resumed stream needs a stream.
-            return Err(Ended::Failed(Failure::Failed, None));
+            .map_err(|_| AttemptOutcome::Failed(Failure::Broken, None))?;
+        let is_stream = job.route.kind.streams() && head.status == 200;
+        if job.head_sent && !is_stream {
+            // Only another stream can continue a stream.
+            return Err(AttemptOutcome::Failed(Failure::Failed, None));
         }
-        Ok(Passage {
+        Ok(Relay {
             decoder: Decoder::new(framing),
-            keep: whole && head.keeps() && framing != Framing::Close,
-            form: match streams {
-                true => Form::Stream(Splitter::default()),
-                false => Form::Plain(BytesMut::new()),
+            reusable: fully_sent && head.keeps() && framing != Framing::Close,
+            mode: match is_stream {
+                true => RelayMode::Stream(Splitter::default()),
+                false => RelayMode::Buffered(BytesMut::new()),
             },
             head,
         })
     }
 
-    /// Whether the connection can be kept once the answer is whole.
-    pub(super) fn keeps(&self) -> bool {
-        self.keep && self.decoder.done()
+    /// Returns whether the response is complete and the connection can be reused.
+    pub(super) fn connection_reusable(&self) -> bool {
+        self.reusable && self.decoder.done()
     }
 
-    /// How long the replica keeps the connection, as it said, in milliseconds.
+    /// Returns the keep-alive timeout that the replica declared, in milliseconds.
     pub(super) fn keep_alive_ms(&self) -> Option<u64> {
         self.head.keep_alive_ms()
     }
 
-    /// Time without a byte after which another replica is looked for; `None` where none could go on.
-    pub(super) fn silence(&self) -> Option<Duration> {
-        match self.form {
-            Form::Large => None,
-            Form::Plain(_) => Some(PLAIN_SILENCE),
-            Form::Stream(_) => Some(SILENCE),
+    /// Returns the time without data after which another replica is selected; `None` if none could continue.
+    pub(super) fn silence_timeout(&self) -> Option<Duration> {
+        match self.mode {
+            RelayMode::Unbuffered => None,
+            RelayMode::Buffered(_) => Some(BUFFERED_SILENCE_TIMEOUT),
+            RelayMode::Stream(_) => Some(STREAM_SILENCE_TIMEOUT),
         }
     }
 
-    /// Passes the answer on until it is whole, or nothing came for `silence`; goes on when it is called again.
-    pub(super) async fn pass(
+    /// Relays the response until it is complete or no data arrived for `silence`. Can be called again after a silence.
+    pub(super) async fn run(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
-        source: Source<'_>,
+        upstream: Upstream<'_>,
         silence: Option<Duration>,
-    ) -> Ended {
-        match self.form {
-            Form::Stream(_) => self.stream(entry, caller, job, source, silence).await,
-            Form::Plain(_) => self.plain(entry, caller, job, source, silence).await,
-            Form::Large => self.large(entry, caller, job, source).await,
+    ) -> AttemptOutcome {
+        match self.mode {
+            RelayMode::Stream(_) => {
+                self.relay_stream(entry, caller, job, upstream, silence)
+                    .await
+            }
+            RelayMode::Buffered(_) => {
+                self.relay_buffered(entry, caller, job, upstream, silence)
+                    .await
+            }
+            RelayMode::Unbuffered => self.relay_unbuffered(entry, caller, job, upstream).await,
         }
     }
 
-    /// The next piece of the answer.
-    async fn next(
+    /// Reads the next piece of the response.
+    async fn next_piece(
         &mut self,
         entry: &Entry,
         caller: &mut Wire,
         deadline: Time,
-        source: &mut Source<'_>,
+        upstream: &mut Upstream<'_>,
         silence: Option<Duration>,
-    ) -> Read {
+    ) -> ReadOutcome {
         let node = &entry.node;
-        let Source { link, running, .. } = source;
+        let Upstream {
+            link, in_flight, ..
+        } = upstream;
         loop {
-            if let Some(read) = self.next_here(link) {
+            if let Some(read) = self.buffered_piece(link) {
                 return read;
             }
             let now = node.clock.now();
@@ -207,215 +221,220 @@
             tokio::select! {
                 biased;
                 read = link.wire.fill() => match read {
-                    Ok(0) if self.decoder.closed() => return Read::End,
-                    Ok(0) | Err(_) => return Read::Broken,
+                    Ok(0) if self.decoder.closed() => return ReadOutcome::End,
+                    Ok(0) | Err(_) => return ReadOutcome::Broken,
                     Ok(_) => {}
                 },
-                () = caller.gone() => return Read::Gone,
-                () = running.ended() => return Read::Broken,
+                () = caller.gone() => return ReadOutcome::CallerGone,
+                () = in_flight.wait_for_restart() => return ReadOutcome::Broken,
                 () = node.timers.sleep_until(until) => {
                     if deadline <= node.clock.now() {
-                        return Read::TimedOut;
+                        return ReadOutcome::TimedOut;
                     }
-                    // After a pause of this process the runtime may know the time before what came meanwhile.
+                    // After a pause of this process, timers may fire before data that has arrived is read.
                     if !link.wire.pending() {
-                        return Read::Silent;
+                        return ReadOutcome::Silent;
                     }
                 }
             }
         }
     }
 
-    /// The next piece, if it is here already.
-    fn next_here(&mut self, link: &mut Link) -> Option<Read> {
+    /// Returns the next piece, if it has been received already.
+    fn buffered_piece(&mut self, link: &mut Link) -> Option<ReadOutcome> {
         match self.decoder.take(&mut link.wire.buffer) {
-            Ok(Piece::Data(data)) => Some(Read::Data(data)),
-            Ok(Piece::End) => Some(Read::End),
-            Err(_) => Some(Read::Broken),
+            Ok(Piece::Data(data)) => Some(ReadOutcome::Data(data)),
+            Ok(Piece::End) => Some(ReadOutcome::End),
+            Err(_) => Some(ReadOutcome::Broken),
             Ok(Piece::More) => None,
         }
     }
 
-    async fn plain(
+    async fn relay_buffered(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
-        mut source: Source<'_>,
+        mut upstream: Upstream<'_>,
         silence: Option<Duration>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         loop {
             let read = self
-                .next(entry, caller, job.deadline, &mut source, silence)
+                .next_piece(entry, caller, job.deadline, &mut upstream, silence)
                 .await;
-            if let Some(ended) = read.ended() {
+            if let Some(ended) = read.attempt_outcome() {
                 return ended;
             }
-            let Form::Plain(body) = &mut self.form else {
-                return Ended::Failed(Failure::Broken, None);
+            let RelayMode::Buffered(body) = &mut self.mode else {
+                return AttemptOutcome::Failed(Failure::Broken, None);
             };
-            let Read::Data(data) = read else { break };
-            count(entry, job, source.link, data.len());
+            let ReadOutcome::Data(data) = read else { break };
+            count_response_bytes(entry, job, upstream.link, data.len());
             body.extend_from_slice(&data);
-            if MAX_STORED < body.len() {
-                return self.begin_large(entry, caller, job, source).await;
+            if MAX_BUFFERED < body.len() {
+                return self
+                    .switch_to_unbuffered(entry, caller, job, upstream)
+                    .await;
             }
         }
-        let Form::Plain(body) = &mut self.form else {
-            return Ended::Failed(Failure::Broken, None);
+        let RelayMode::Buffered(body) = &mut self.mode else {
+            return AttemptOutcome::Failed(Failure::Broken, None);
         };
-        let stored = Stored {
+        let response = BufferedResponse {
             head: self.head.clone(),
             body: body.split().freeze(),
         };
-        if 500 <= stored.status() && job.route.kind.repeatable() {
-            return Ended::Failed(Failure::Failed, Some(stored));
+        if 500 <= response.status() && job.route.kind.repeatable() {
+            return AttemptOutcome::Failed(Failure::Failed, Some(response));
         }
         job.first_byte = Some(entry.node.clock.now());
-        job.closes = entry.closes(job);
-        let status = stored.status();
-        if stored.send(entry, caller, job, job.closes).await {
-            Ended::Answered(status)
+        job.close_after_response = entry.closes_after(job);
+        let status = response.status();
+        if response
+            .send(entry, caller, job, job.close_after_response)
+            .await
+        {
+            AttemptOutcome::Answered(status)
         } else {
-            Ended::Gone(Ending::CallerStalled)
+            AttemptOutcome::Aborted(AbortReason::CallerStalled)
         }
     }
 
-    /// Sends what is here of an answer that turns out large.
-    async fn begin_large(
+    /// Sends the buffered part of a response that exceeds [`MAX_BUFFERED`], and relays the rest unbuffered.
+    async fn switch_to_unbuffered(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
-        source: Source<'_>,
-    ) -> Ended {
+        upstream: Upstream<'_>,
+    ) -> AttemptOutcome {
         let mut out = chunked_head(entry, job, &self.head);
-        if let Form::Plain(body) = &self.form {
+        if let RelayMode::Buffered(body) = &self.mode {
             put_chunk(&mut out, body);
         }
-        self.form = Form::Large;
+        self.mode = RelayMode::Unbuffered;
         job.first_byte = Some(entry.node.clock.now());
         job.head_sent = true;
         if !send(entry, caller, &out, job.deadline).await {
-            return Ended::Gone(Ending::CallerStalled);
+            return AttemptOutcome::Aborted(AbortReason::CallerStalled);
         }
-        self.large(entry, caller, job, source).await
+        self.relay_unbuffered(entry, caller, job, upstream).await
     }
 
-    async fn large(
+    async fn relay_unbuffered(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
-        mut source: Source<'_>,
-    ) -> Ended {
+        mut upstream: Upstream<'_>,
+    ) -> AttemptOutcome {
         let mut out = BytesMut::new();
         loop {
             let read = self
-                .next(entry, caller, job.deadline, &mut source, None)
+                .next_piece(entry, caller, job.deadline, &mut upstream, None)
                 .await;
             match read {
-                Read::Data(data) => {
-                    count(entry, job, source.link, data.len());
+                ReadOutcome::Data(data) => {
+                    count_response_bytes(entry, job, upstream.link, data.len());
                     put_chunk(&mut out, &data);
                 }
-                Read::End => break,
-                Read::Gone => return Ended::Gone(Ending::CallerLeft),
-                Read::TimedOut => return Ended::TimedOut,
-                // The part that went out can't be taken back, so nobody else can go on.
-                Read::Broken | Read::Silent => {
-                    return Ended::Gone(Ending::Replica(Failure::Broken));
+                ReadOutcome::End => break,
+                ReadOutcome::CallerGone => return AttemptOutcome::Aborted(AbortReason::CallerLeft),
+                ReadOutcome::TimedOut => return AttemptOutcome::TimedOut,
+                // A part has been sent already, so no other replica can continue.
+                ReadOutcome::Broken | ReadOutcome::Silent => {
+                    return AttemptOutcome::Aborted(AbortReason::Replica(Failure::Broken));
                 }
             }
             if !send(entry, caller, &out, job.deadline).await {
-                return Ended::Gone(Ending::CallerStalled);
+                return AttemptOutcome::Aborted(AbortReason::CallerStalled);
             }
             out.clear();
         }
         if send(entry, caller, LAST_CHUNK, job.deadline).await {
-            Ended::Answered(self.head.status)
+            AttemptOutcome::Answered(self.head.status)
         } else {
-            Ended::Gone(Ending::CallerStalled)
+            AttemptOutcome::Aborted(AbortReason::CallerStalled)
         }
     }
 
-    async fn stream(
+    async fn relay_stream(
         &mut self,
         entry: &Rc<Entry>,
         caller: &mut Wire,
         job: &mut Job,
-        mut source: Source<'_>,
+        mut upstream: Upstream<'_>,
         silence: Option<Duration>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let mut out = BytesMut::new();
-        let mut here = None;
+        let mut buffered = None;
         loop {
-            let read = match here.take() {
+            let read = match buffered.take() {
                 Some(read) => read,
                 None => {
-                    self.next(entry, caller, job.deadline, &mut source, silence)
+                    self.next_piece(entry, caller, job.deadline, &mut upstream, silence)
                         .await
                 }
             };
-            if let Some(ended) = read.ended() {
+            if let Some(ended) = read.attempt_outcome() {
                 return ended;
             }
-            let Form::Stream(splitter) = &mut self.form else {
-                return Ended::Failed(Failure::Broken, None);
+            let RelayMode::Stream(splitter) = &mut self.mode else {
+                return AttemptOutcome::Failed(Failure::Broken, None);
             };
-            if let Read::Data(data) = &read {
-                heard(entry, job, &mut source, data.len());
+            if let ReadOutcome::Data(data) = &read {
+                record_stream_data(entry, job, &mut upstream, data.len());
                 splitter.feed(data);
             }
-            let whole = matches!(read, Read::End);
-            if job.cursor.pass(splitter, &mut out).is_err() || (whole && splitter.partial()) {
-                return Ended::Failed(Failure::Broken, None);
+            let complete = matches!(read, ReadOutcome::End);
+            if job.cursor.pass(splitter, &mut out).is_err() || (complete && splitter.partial()) {
+                return AttemptOutcome::Failed(Failure::Broken, None);
             }
-            // Events that are here already go out together.
-            here = if whole {
+            // Events that have been received already are sent together.
+            buffered = if complete {
                 None
             } else {
-                self.next_here(source.link)
+                self.buffered_piece(upstream.link)
             };
-            if here.is_some() {
+            if buffered.is_some() {
                 continue;
             }
             let mut bytes = BytesMut::new();
-            if !job.head_sent && (whole || !out.is_empty()) {
+            if !job.head_sent && (complete || !out.is_empty()) {
                 bytes = chunked_head(entry, job, &self.head);
                 job.head_sent = true;
                 job.first_byte = Some(entry.node.clock.now());
-                job.version = entry.version_of(source.link.replica());
+                job.version = entry.version_of(upstream.link.replica());
             }
             put_chunk(&mut bytes, &out);
             out.clear();
-            if whole {
+            if complete {
                 bytes.put_slice(LAST_CHUNK);
             }
             if !bytes.is_empty() && !send(entry, caller, &bytes, job.deadline).await {
-                return Ended::Gone(Ending::CallerStalled);
+                return AttemptOutcome::Aborted(AbortReason::CallerStalled);
             }
-            if whole {
-                return Ended::Answered(self.head.status);
+            if complete {
+                return AttemptOutcome::Answered(self.head.status);
             }
         }
     }
 }
 
-/// Counts bytes of an answer.
-fn count(entry: &Entry, job: &mut Job, link: &Link, bytes: usize) {
-    job.heard = Some(entry.node.clock.now());
+/// Counts received bytes of a response.
+fn count_response_bytes(entry: &Entry, job: &mut Job, link: &Link, bytes: usize) {
+    job.last_data_at = Some(entry.node.clock.now());
     entry.count_to_replica(Purpose::Answers, link.replica(), bytes);
 }
 
-/// A stream's bytes came: its replica is at work.
-fn heard(entry: &Entry, job: &mut Job, source: &mut Source<'_>, bytes: usize) {
-    let replica = source.link.replica();
-    count(entry, job, source.link, bytes);
+/// Records that a stream's replica has sent data.
+fn record_stream_data(entry: &Entry, job: &mut Job, upstream: &mut Upstream<'_>, bytes: usize) {
+    let replica = upstream.link.replica();
+    count_response_bytes(entry, job, upstream.link, bytes);
     entry.note_activity(replica);
-    source.running.begun();
-    if let Some(expected) = source.expected.take() {
-        entry.record_answer_start(replica, expected);
+    upstream.in_flight.response_begun();
+    if let Some(forecast) = upstream.forecast.take() {
+        entry.record_answer_start(replica, forecast);
     }
 }
 
@@ -426,9 +445,9 @@
 }
 
 fn chunked_head(entry: &Entry, job: &mut Job, head: &Response) -> BytesMut {
-    job.closes = entry.closes(job);
+    job.close_after_response = entry.closes_after(job);
     let mut out = BytesMut::with_capacity(512);
-    put_head(&mut out, head, job.closes);
+    put_head(&mut out, head, job.close_after_response);
     put(&mut out, b"Transfer-Encoding", b"chunked");
     out.put_slice(b"\r\n");
     out
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a request, and how it waits where none has room.
+//! Selection of a replica for a request, and waiting for capacity if none has room.
 
 use std::time::Duration;
 
@@ -17,23 +17,28 @@
 use super::{Entry, forward::Job};
 use crate::{h1::wire::Wire, settings::Settings};
 
-/// What came of a wait for a replica with room.
-pub(super) enum Room {
-    /// A replica may have some by now.
-    MayBe,
-    /// None is waited for any longer.
-    None,
-    /// The caller has gone.
+/// Outcome of a wait for a replica with capacity.
+pub(super) enum CapacityWait {
+    /// A replica may have capacity now.
+    Retry,
+    /// The request must not wait any longer.
+    GiveUp,
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// Waits until a replica may have room for a request that found none.
-pub(super) async fn room(entry: &Entry, caller: &mut Wire, job: &mut Job, now: Time) -> Room {
-    // Others like it may go first.
+/// Waits until a replica may have capacity for a request that found none.
+pub(super) async fn wait_for_capacity(
+    entry: &Entry,
+    caller: &mut Wire,
+    job: &mut Job,
+    now: Time,
+) -> CapacityWait {
+    // Lets identical requests be tried while this one waits.
     job.try_guard = None;
     let census = census(entry, job, now);
     job.census = Some(census);
-    let since = *job.waits_since.get_or_insert(now);
+    let since = *job.waiting_since.get_or_insert(now);
     let objective = Duration::from_millis(job.route.goal_ms);
     let until = wait::until(
         job.claim,
@@ -45,52 +50,53 @@
         entry.recently_refused(&job.service, now),
     );
     let Some(until) = until.filter(|it| now < *it && entry.speed(&job.service).is_some()) else {
-        return Room::None;
+        return CapacityWait::GiveUp;
     };
-    let look = until.min(now.after_ms(wait::LOOK_MS));
+    let retry_at = until.min(now.after_ms(wait::LOOK_MS));
     tokio::select! {
         biased;
-        () = caller.gone() => Room::CallerGone,
-        () = entry.room_freed.notified() => Room::MayBe,
-        () = entry.node.timers.sleep_until(look) => Room::MayBe,
+        () = caller.gone() => CapacityWait::CallerGone,
+        () = entry.room_freed.notified() => CapacityWait::Retry,
+        () = entry.node.timers.sleep_until(retry_at) => CapacityWait::Retry,
     }
 }
 
-/// The replica that gets a request: first of all one by which it can be in time.
-pub(super) fn choose(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
-    let chosen = another(entry, job, now);
-    // One that waits was counted when it came.
-    if job.waits_since.is_none() {
+/// Selects a replica for a request, preferring one that can meet its latency objective.
+pub(super) fn select_replica(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
+    let chosen = select_alternative(entry, job, now);
+    // A waiting request was counted at its first selection.
+    if job.waiting_since.is_none() {
         entry.count_placement(&job.service, chosen);
     }
     chosen
 }
 
-/// As [`choose`], for a request that a replica has: whether one is found says nothing of a want of room.
-pub(super) fn another(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
+/// Selects a replica like [`select_replica`], for a request that is already at another replica. The result is not counted
+/// towards the service's shortage.
+pub(super) fn select_alternative(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
     job.claim = match job.head_sent {
         true => Claim::Begun,
         false => Claim::of(job.goal.since(now)),
     };
-    let mut chosen = choose_by_version(entry, job, now);
+    let mut chosen = select_by_version(entry, job, now);
     if let Some(weaker) = job.claim.weaker().filter(|_| chosen.is_none()) {
         job.claim = weaker;
-        chosen = choose_by_version(entry, job, now);
+        chosen = select_by_version(entry, job, now);
     }
     chosen
 }
 
-fn choose_by_version(entry: &Entry, job: &Job, now: Time) -> Option<ReplicaKey> {
-    // Asked again for each attempt: a version may have become due meanwhile.
+fn select_by_version(entry: &Entry, job: &Job, now: Time) -> Option<ReplicaKey> {
+    // Read again for each attempt, as a version may have become due in the meantime.
     let oldest = entry.oldest_versions(&job.service);
-    let preferred = choose_from(entry, job, oldest.preferred, now);
+    let preferred = select_from(entry, job, oldest.preferred, now);
     if preferred.is_some() || oldest.preferred == oldest.allowed {
         return preferred;
     }
-    choose_from(entry, job, oldest.allowed, now)
+    select_from(entry, job, oldest.allowed, now)
 }
 
-/// Why none of a service's replicas can get a request now.
+/// Counts the reasons why none of a service's replicas can get a request now.
 fn census(entry: &Entry, job: &Job, now: Time) -> Census {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
@@ -99,11 +105,11 @@
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
-    let here = |it: &Replica| at_home(&settings, job, it);
-    placement::census(replicas.of(&job.service), here, wish, now)
+    let allowed = |it: &Replica| in_allowed_region(&settings, job, it);
+    placement::census(replicas.of(&job.service), allowed, wish, now)
 }
 
-fn choose_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
+fn select_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
     let wish = Wish {
@@ -111,17 +117,17 @@
         ..wish(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
-    let most = entry.max_connections_per_replica(&job.service);
-    let open = replicas
-        .of(&job.service)
-        .filter(|(key, it)| at_home(&settings, job, it) && entry.pool.used(*key) < most);
+    let max_connections = entry.max_connections_per_replica(&job.service);
+    let candidates = replicas.of(&job.service).filter(|(key, it)| {
+        in_allowed_region(&settings, job, it) && entry.pool.used(*key) < max_connections
+    });
     entry
         .node
-        .with_rng(|rng| placement::choose(open, wish, now, rng))
+        .with_rng(|rng| placement::choose(candidates, wish, now, rng))
 }
 
-/// Whether a replica is in a region in which the request may be served.
-fn at_home(settings: &Settings, job: &Job, replica: &Replica) -> bool {
+/// Returns whether a replica is in a region in which the request may be served.
+fn in_allowed_region(settings: &Settings, job: &Job, replica: &Replica) -> bool {
     job.homes.everywhere() || job.homes.allow(settings.region(&replica.listing.zone))
 }
 
