--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -8,7 +8,7 @@
         self, Borrower, CUT_OFF_MS, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
     },
     rendezvous,
-    request::admission::{Ledger, Rate},
+    request::admission::{Rate, TeamLimiter},
 };
 use gradeloft_wire::{
     border::platform::InstanceRole,
@@ -37,7 +37,7 @@
 /// Rates of all teams of the bundle.
 #[derive(Default)]
 pub struct Limits {
-    ledger: Ledger,
+    ledger: TeamLimiter,
     teams: HashMap<String, Team>,
     /// Teams whose home this entry has been asked to be.
     lenders: HashMap<String, [Lender; 2]>,
@@ -106,7 +106,7 @@
         for (name, team) in &mut self.teams {
             let [requests, tokens] = &mut team.demand;
             let demand = [requests.rate(now), tokens.rate(now)];
-            let saved = self.ledger.saved(name, now);
+            let saved = self.ledger.remaining(name, now);
             let need = [
                 rate_leases::need(demand[0], saved[0]),
                 rate_leases::need(demand[1], saved[1]),
@@ -151,7 +151,7 @@
                 entries,
                 connected,
             };
-            lent[idx] = lenders[idx].ask(ask, fleet, now);
+            lent[idx] = lenders[idx].grant(ask, fleet, now);
         }
         units(lent)
     }
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -240,16 +240,16 @@
     /// that silence must not end the response.
     fn silence_timeout(&self, job: &Job) -> Option<Duration> {
         let used = job.progress.attempts + u32::from(!self.silence_counted);
-        let may_repeat = job.route.kind.repeatable() && used < job.progress.max_attempts;
+        let may_retry = job.route.kind.repeatable() && used < job.progress.max_attempts;
         let first = match &self.stage {
             Stage::AwaitingHead(_) | Stage::NotExecuted { .. } => HEAD_SILENCE_TIMEOUT,
             Stage::Relaying(relay) => relay.silence_timeout()?,
         };
         let timeout = match self.silence_counted {
-            true => Duration::from_millis(wait::LOOK_MS),
+            true => Duration::from_millis(wait::POLL_INTERVAL_MS),
             false => first,
         };
-        may_repeat.then_some(timeout)
+        may_retry.then_some(timeout)
     }
 
     async fn read_head(
@@ -317,7 +317,7 @@
                         return Err(AttemptOutcome::Failed(Failure::Outdated, None));
                     }
                     // The replica has newer weights by now, or its response is about to be read.
-                    timer.set(timers.sleep_until(silent_at.max(now.after_ms(wait::LOOK_MS))));
+                    timer.set(timers.sleep_until(silent_at.max(now.after_ms(wait::POLL_INTERVAL_MS))));
                 }
             }
         }
@@ -467,7 +467,7 @@
     let mut set = |name: &str, value: &str| put(&mut out, name.as_bytes(), value.as_bytes());
     set(headers.deadline, &left.as_millis().max(1).to_string());
     set(headers.replica, id);
-    let rank = job.claim.rank(job.route.priority);
+    let rank = job.urgency.rank(job.route.priority);
     set(headers.priority, &rank.to_string());
     if let Some(team) = &job.team {
         set(headers.team, team);
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -141,7 +141,7 @@
 fn idle_deadline(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
     let until = since.after_ms(limits.idle_ms);
     let leave = entry.leave.get();
-    leave.map_or(until, |it| until.min(it.rests_until(since)))
+    leave.map_or(until, |it| until.min(it.idle_until(since)))
 }
 
 /// Reads the next request head; returns `None` if the connection closes instead.
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -11,8 +11,8 @@
         replicas::ReplicaKey,
     },
     request::{
-        attempt::{Failure, Progress, Ran},
-        placement::{Census, Claim},
+        attempt::{Attempts, Failure, Ran},
+        placement::{ExclusionCounts, Urgency},
     },
 };
 use gradeloft_wire::{frame::Table, id::Fingerprint};
@@ -24,7 +24,7 @@
     attempt::Attempt,
     connection::{ConnectionReuse, ReceivedRequest, refuse},
     hedge,
-    quarantine::TryGuard,
+    quarantine::ExclusiveAttempt,
     refusal::Refusal,
     relay::BufferedResponse,
     selection::{self, CapacityWait},
@@ -47,20 +47,20 @@
     /// Team that sent the request.
     pub team: Option<Rc<str>>,
     /// Regions in which the request may be served.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// Time by which the response must be complete.
     pub deadline: Time,
     /// Time by which the response must begin to meet the route's latency objective.
     pub goal: Time,
     /// Number of prompt tokens; 0 without a prompt.
     pub prompt_tokens: f64,
-    /// Priority claim when the current replica was selected.
-    pub claim: Claim,
+    /// Urgency when the current replica was selected.
+    pub urgency: Urgency,
     /// Time until the first token that was forecast when the current replica was selected, in milliseconds;
     /// 0 without a forecast.
     pub expected_ms: u64,
     /// Attempts so far, and the limits on further ones.
-    pub progress: Progress,
+    pub progress: Attempts,
     /// Replicas tried.
     pub tried: Vec<ReplicaKey>,
     /// Whether the response head was sent to the caller before the response was complete.
@@ -82,12 +82,12 @@
     /// Failures of attempts so far, for the log.
     failures: Vec<Failure>,
     /// Reasons why no replica was available at the last selection.
-    pub(super) census: Option<Census>,
+    pub(super) exclusions: Option<ExclusionCounts>,
     /// Time since which no replica has been available.
     pub(super) waiting_since: Option<Time>,
     fingerprint: OnceCell<Fingerprint>,
     /// Guard held while this entry must not send another copy of this suspect request.
-    pub(super) try_guard: Option<TryGuard>,
+    pub(super) exclusive_attempt: Option<ExclusiveAttempt>,
 }
 
 impl Job {
@@ -148,10 +148,10 @@
     }
     match resolve_route(entry, &config, &received) {
         Ok((route, team)) => {
-            let homes = config.allowed_regions(&route, team.as_deref());
-            let job = new_job(entry, route, team, homes, received, keep_alive);
+            let allowed_regions = config.allowed_regions(&route, team.as_deref());
+            let job = new_job(entry, route, team, allowed_regions, received, keep_alive);
             match entry.leave.get() {
-                Some(leave) if entry.others_accept_callers() || !leave.takes(job.deadline) => {
+                Some(leave) if entry.others_accept_callers() || !leave.accepts(job.deadline) => {
                     Err(Box::new((Refusal::Leaving, job.received)))
                 }
                 _ => Ok(job),
@@ -185,7 +185,7 @@
     entry: &Entry,
     route: Route,
     team: Option<Rc<str>>,
-    homes: AllowedRegions,
+    allowed_regions: AllowedRegions,
     received: ReceivedRequest,
     keep_alive: bool,
 ) -> Job {
@@ -204,12 +204,12 @@
         deadline: received.at.after_ms(timeout_ms),
         goal: received.at.after(goal),
         prompt_tokens: prompt_tokens(entry, &received),
-        claim: Claim::Late,
+        urgency: Urgency::Late,
         expected_ms: 0,
-        progress: Progress::new(route.kind, route.max_attempts),
+        progress: Attempts::new(route.kind, route.max_attempts),
         service,
         team,
-        homes,
+        allowed_regions,
         received,
         route,
         tried: Vec::new(),
@@ -222,10 +222,10 @@
         close_after_response: false,
         config_version: entry.config_version(),
         failures: Vec::new(),
-        census: None,
+        exclusions: None,
         waiting_since: None,
         fingerprint: OnceCell::new(),
-        try_guard: None,
+        exclusive_attempt: None,
     }
 }
 
@@ -263,7 +263,7 @@
                 CapacityWait::CallerGone => break Outcome::Aborted(AbortReason::CallerLeft),
             }
         };
-        job.census = None;
+        job.exclusions = None;
         job.waiting_since = None;
         if 0 < job.progress.attempts && !entry.take_repeat(&job.service) {
             break exhausted_outcome(&job);
@@ -285,7 +285,7 @@
             }
             hedge::RunOutcome::Failed(response) => {
                 replica_error = response.or(replica_error);
-                if !job.progress.may_repeat() {
+                if !job.progress.may_retry() {
                     break exhausted_outcome(&job);
                 }
             }
@@ -302,7 +302,7 @@
     replica: ReplicaKey,
     failure: Failure,
 ) {
-    job.progress.ended(failure);
+    job.progress.record_failure(failure);
     record_failure(entry, job, replica, failure);
 }
 
@@ -317,7 +317,7 @@
     let mut replicas = entry.replicas.borrow_mut();
     if failure == Failure::Misdirected {
         replicas.replaced(replica);
-    } else if failure.blames_replica() {
+    } else if failure.implicates_replica() {
         replicas.failed(replica, now);
     }
 }
@@ -450,17 +450,17 @@
     let tried = entry.replica_ids(&job.tried);
     info!(log, "request";
         "request" => request_id(entry, &job.received), "outcome" => outcome, "status" => status,
-        "route" => &*job.route.name, "service" => &*job.service, "team" => team.unwrap_or("-"), "homes" => %job.homes,
+        "route" => &*job.route.name, "service" => &*job.service, "team" => team.unwrap_or("-"), "homes" => %job.allowed_regions,
         "replicas" => tried.join(","), "failures" => failures.join(","),
         "first_ms" => job.first_byte.map_or(-1, |it| since(it).as_millis() as i64),
-        "ms" => since(now).as_millis() as u64, "claim" => %job.claim, "expected_ms" => job.expected_ms,
+        "ms" => since(now).as_millis() as u64, "claim" => %job.urgency, "expected_ms" => job.expected_ms,
         "ended_by" => abort_reason.map_or("", AbortReason::name),
         "quiet_ms" => job.last_data_at.map_or(-1, |it| now.since(it).as_millis() as i64),
         "leaving_ms" => entry.leaving_ms(), "config_before" => job.config_version,
         "config" => entry.config_version(), "behind_ms" => behind_ms(entry),
         "replicas_known" => entry.replicas.borrow().len(), "resumed" => is_resumed(job),
         "fingerprint" => suspect_fingerprint(job, outcome).map_or_else(String::new, |it| it.to_string()),
-        "none_free" => job.census.map_or_else(String::new, |it| it.to_string()));
+        "none_free" => job.exclusions.map_or_else(String::new, |it| it.to_string()));
 }
 
 /// Returns the fingerprint of a request that may have crashed a replica or is quarantined.
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -7,7 +7,7 @@
 use slog::warn;
 use tokio::{net::TcpStream, time::timeout};
 
-use super::TryGuard;
+use super::ExclusiveAttempt;
 use crate::{
     entry::{Entry, forward::Job},
     logs::Topic,
@@ -62,7 +62,7 @@
 pub(super) struct LostRequests {
     hash: u32,
     since: Time,
-    pub(super) requests: Vec<(Fingerprint, Option<TryGuard>)>,
+    pub(super) requests: Vec<(Fingerprint, Option<ExclusiveAttempt>)>,
     /// Whether a probe of the replica's address is in progress.
     probing: bool,
 }
@@ -99,7 +99,7 @@
         });
         lost.since = now;
         lost.requests
-            .push((job.fingerprint(), job.try_guard.take()));
+            .push((job.fingerprint(), job.exclusive_attempt.take()));
         let probe = !std::mem::replace(&mut lost.probing, true);
         drop(all);
         if self.replicas.borrow().get(start.key).is_none() {
@@ -136,11 +136,11 @@
     fn is_alive(&self, key: ReplicaKey) -> bool {
         let lost = self.quarantine.lost.borrow();
         let replicas = self.replicas.borrow();
-        let last_data_at = replicas.get(key).map(|it| it.spoke);
+        let last_received = replicas.get(key).map(|it| it.last_received);
         let lost_at = lost.get(&key).map(|it| it.since);
         lost_at
-            .zip(last_data_at)
-            .is_some_and(|(lost, last_data_at)| lost.after_ms(READ_GRACE_MS) < last_data_at)
+            .zip(last_received)
+            .is_some_and(|(lost, last_received)| lost.after_ms(READ_GRACE_MS) < last_received)
     }
 
     /// Blames requests lost at replicas that are gone by now, and drops those whose loss is too long ago.
@@ -184,7 +184,7 @@
                 .quarantine
                 .known
                 .borrow_mut()
-                .blame(*request, lost.hash, now);
+                .record_crash(*request, lost.hash, now);
             if changed {
                 self.suspect_changed(*request, Source::Own, now);
             }
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -24,7 +24,7 @@
     clock::Time,
     process::{announcements::Announcements, cadence::Budget, replicas::ReplicaKey, roster},
     rendezvous,
-    request::quarantine::{Quarantine, SHUT_OUT_AT, Verdict},
+    request::quarantine::{QUARANTINE_CRASHES, Quarantine, Verdict},
 };
 use gradeloft_wire::{
     codec,
@@ -64,15 +64,19 @@
 /// Guard of an exclusive try: while it exists, this entry sends no other copy of the suspect request.
 ///
 /// It is held until the outcome of the try is certain.
-pub(super) struct TryGuard {
+pub(super) struct ExclusiveAttempt {
     entry: Weak<Entry>,
     request: Fingerprint,
 }
 
-impl Drop for TryGuard {
+impl Drop for ExclusiveAttempt {
     fn drop(&mut self) {
         if let Some(entry) = self.entry.upgrade() {
-            entry.quarantine.known.borrow_mut().end_try(self.request);
+            entry
+                .quarantine
+                .known
+                .borrow_mut()
+                .end_attempt(self.request);
         }
     }
 }
@@ -111,9 +115,9 @@
 
     /// Checks whether a request may be sent to a replica; returns the refusal for its caller if not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
-        job.try_guard = None;
+        job.exclusive_attempt = None;
         let known = self.quarantine.known.borrow();
-        if known.is_empty() || !known.knows(job.fingerprint()) {
+        if known.is_empty() || !known.contains(job.fingerprint()) {
             return None;
         }
         let request = job.fingerprint();
@@ -122,15 +126,15 @@
         drop(known);
         match verdict {
             Verdict::Admitted => None,
-            Verdict::Alone => {
-                self.quarantine.known.borrow_mut().begin_try(request);
-                job.try_guard = Some(TryGuard {
+            Verdict::Exclusive => {
+                self.quarantine.known.borrow_mut().begin_attempt(request);
+                job.exclusive_attempt = Some(ExclusiveAttempt {
                     entry: Rc::downgrade(self),
                     request,
                 });
                 None
             }
-            Verdict::Busy(back) | Verdict::ShutOut(back) => Some(Refusal::Quarantined(back)),
+            Verdict::Busy(back) | Verdict::Quarantined(back) => Some(Refusal::Quarantined(back)),
         }
     }
 
@@ -147,7 +151,7 @@
     /// Returns whether a request is suspected of crashing replicas.
     pub(super) fn suspects_request(&self, job: &Job) -> bool {
         let known = self.quarantine.known.borrow();
-        !known.is_empty() && known.knows(job.fingerprint())
+        !known.is_empty() && known.contains(job.fingerprint())
     }
 
     /// Clears the suspicion of a request that was answered, as it does not crash replicas.
@@ -168,20 +172,20 @@
     pub(super) fn receive_suspects(&self, suspects: &[Suspect], source: Source, now: Time) {
         for suspect in suspects {
             let merged = self.quarantine.known.borrow_mut().merge(suspect, now);
-            if merged.news {
+            if merged.changed {
                 self.suspect_changed(suspect.request, source, now);
             }
             if source == Source::Store {
                 continue;
             }
             let mut announcements = self.quarantine.announcements.borrow_mut();
-            if merged.lacking {
+            if merged.incomplete {
                 let wait = self
                     .node
                     .with_rng(|it| it.random_range(0..MAX_REPLY_DELAY_MS));
-                announcements.answer(suspect.request, now.after_ms(wait));
-            } else if !merged.news {
-                announcements.heard(suspect.request);
+                announcements.schedule_answer(suspect.request, now.after_ms(wait));
+            } else if !merged.changed {
+                announcements.cancel_answer(suspect.request);
             }
         }
     }
@@ -190,11 +194,14 @@
     fn suspect_changed(&self, request: Fingerprint, source: Source, now: Time) {
         let known = self.quarantine.known.borrow();
         let crashes = known.crashes(request);
-        self.node.metrics.quarantined.set(known.shut_out() as i64);
-        if (SHUT_OUT_AT <= crashes || source == Source::Own)
+        self.node
+            .metrics
+            .quarantined
+            .set(known.quarantined() as i64);
+        if (QUARANTINE_CRASHES <= crashes || source == Source::Own)
             && let Some(log) = self.node.logs.line(Topic::State)
         {
-            let suspect = known.word(request, now);
+            let suspect = known.snapshot(request, now);
             let starts = suspect.iter().flat_map(|it| &it.crashes);
             let starts = starts.map(|it| match it.void {
                 true => format!("({:08x})", it.start),
@@ -202,7 +209,7 @@
             });
             let starts: Vec<String> = starts.collect();
             info!(log, "suspect"; "fingerprint" => %request, "crashes" => crashes,
-                "shut_out" => known.is_shut_out(request), "starts" => starts.join(","),
+                "shut_out" => known.is_quarantined(request), "starts" => starts.join(","),
                 "source" => %source, "age_ms" => suspect.map_or(0, |it| it.age_ms));
         }
         drop(known);
@@ -240,7 +247,7 @@
         drop(announcements);
         let suspects: Vec<Suspect> = due
             .into_iter()
-            .filter_map(|it| known.word(it, now))
+            .filter_map(|it| known.snapshot(it, now))
             .collect();
         drop(known);
         if suspects.is_empty() {
@@ -282,7 +289,9 @@
         let mut worst: Vec<Fingerprint> = all.collect();
         worst.sort_unstable_by_key(|it| (Reverse(known.crashes(*it)), *it));
         let worst_first = worst.into_iter().take(IN_DATAGRAM);
-        let suspects: Vec<Suspect> = worst_first.filter_map(|it| known.word(it, now)).collect();
+        let suspects: Vec<Suspect> = worst_first
+            .filter_map(|it| known.snapshot(it, now))
+            .collect();
         drop(known);
         if suspects.is_empty() {
             return;
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -38,10 +38,13 @@
             return;
         }
         known.expire(now);
-        self.node.metrics.quarantined.set(known.shut_out() as i64);
+        self.node
+            .metrics
+            .quarantined
+            .set(known.quarantined() as i64);
         let stored = self.quarantine.stored.borrow();
         let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
-        for request in stored.keys().filter(|it| !known.knows(**it)) {
+        for request in stored.keys().filter(|it| !known.contains(**it)) {
             let (from, to) = DELETE_DELAY_MS;
             let wait = || now.after_ms(self.node.with_rng(|it| it.random_range(from..to)));
             pending_writes.entry(*request).or_insert_with(wait);
@@ -107,7 +110,7 @@
         let stored = self.quarantine.stored.borrow();
         let stored = stored.get(&request);
         let key = quarantine::key(request);
-        let Some(suspect) = known.word(request, now) else {
+        let Some(suspect) = known.snapshot(request, now) else {
             // A stored suspect that has expired here is deleted.
             return stored.map(|_| Put { key, value: None });
         };
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -9,7 +9,7 @@
         replicas::{Replica, ReplicaKey},
     },
     request::{
-        placement::{self, Census, Claim, Wish},
+        placement::{self, ExclusionCounts, Requirements, Urgency},
         wait,
     },
 };
@@ -35,14 +35,14 @@
     now: Time,
 ) -> CapacityWait {
     // Lets identical requests be tried while this one waits.
-    job.try_guard = None;
-    let census = census(entry, job, now);
-    job.census = Some(census);
+    job.exclusive_attempt = None;
+    let exclusions = count_exclusions(entry, job, now);
+    job.exclusions = Some(exclusions);
     let since = *job.waiting_since.get_or_insert(now);
     let objective = Duration::from_millis(job.route.goal_ms);
-    let until = wait::until(
-        job.claim,
-        census,
+    let until = wait::wait_deadline(
+        job.urgency,
+        exclusions,
         job.received.at,
         objective,
         job.deadline,
@@ -52,7 +52,7 @@
     let Some(until) = until.filter(|it| now < *it && entry.speed(&job.service).is_some()) else {
         return CapacityWait::GiveUp;
     };
-    let retry_at = until.min(now.after_ms(wait::LOOK_MS));
+    let retry_at = until.min(now.after_ms(wait::POLL_INTERVAL_MS));
     tokio::select! {
         biased;
         () = caller.gone() => CapacityWait::CallerGone,
@@ -74,13 +74,13 @@
 /// Selects a replica like [`select_replica`], for a request that is already at another replica. The result is not counted
 /// towards the service's shortage.
 pub(super) fn select_alternative(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
-    job.claim = match job.head_sent {
-        true => Claim::Begun,
-        false => Claim::of(job.goal.since(now)),
+    job.urgency = match job.head_sent {
+        true => Urgency::Resumed,
+        false => Urgency::of(job.goal.since(now)),
     };
     let mut chosen = select_by_version(entry, job, now);
-    if let Some(weaker) = job.claim.weaker().filter(|_| chosen.is_none()) {
-        job.claim = weaker;
+    if let Some(fallback) = job.urgency.fallback().filter(|_| chosen.is_none()) {
+        job.urgency = fallback;
         chosen = select_by_version(entry, job, now);
     }
     chosen
@@ -97,24 +97,24 @@
 }
 
 /// Counts the reasons why none of a service's replicas can get a request now.
-fn census(entry: &Entry, job: &Job, now: Time) -> Census {
+fn count_exclusions(entry: &Entry, job: &Job, now: Time) -> ExclusionCounts {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
-    let wish = Wish {
+    let requirements = Requirements {
         oldest: entry.oldest_versions(&job.service).allowed,
-        ..wish(entry, job, &settings.zone, speed.as_ref(), now)
+        ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
     let allowed = |it: &Replica| in_allowed_region(&settings, job, it);
-    placement::census(replicas.of(&job.service), allowed, wish, now)
+    placement::count_exclusions(replicas.of(&job.service), allowed, requirements, now)
 }
 
 fn select_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
-    let wish = Wish {
+    let requirements = Requirements {
         oldest,
-        ..wish(entry, job, &settings.zone, speed.as_ref(), now)
+        ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
     let max_connections = entry.max_connections_per_replica(&job.service);
@@ -123,28 +123,31 @@
     });
     entry
         .node
-        .with_rng(|rng| placement::choose(candidates, wish, now, rng))
+        .with_rng(|rng| placement::choose(candidates, requirements, now, rng))
 }
 
 /// Returns whether a replica is in a region in which the request may be served.
 fn in_allowed_region(settings: &Settings, job: &Job, replica: &Replica) -> bool {
-    job.homes.everywhere() || job.homes.allow(settings.region(&replica.listing.zone))
+    job.allowed_regions.is_unrestricted()
+        || job
+            .allowed_regions
+            .allows(settings.region(&replica.listing.zone))
 }
 
-fn wish<'a>(
+fn requirements<'a>(
     entry: &Entry,
     job: &'a Job,
     zone: &'a str,
     speed: Option<&'a Speed>,
     now: Time,
-) -> Wish<'a> {
+) -> Requirements<'a> {
     let view = entry.staleness(&job.service, now);
-    Wish {
+    Requirements {
         zone,
         oldest: None,
         same: job.version,
         tried: &job.tried,
-        claim: job.claim,
+        claim: job.urgency,
         prompt_tokens: job.prompt_tokens,
         speed,
         near: view.near,
