--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -394,7 +394,7 @@
 
 /// Returns the time until which a request may wait at a replica before it is cancelled, as the weights there expire.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
-    let time = entry.begin_by(&job.service, replica);
+    let time = entry.start_deadline(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
 }
 
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -77,7 +77,7 @@
             Ok(Some(head)) => head,
             Ok(None) => return,
             Err(refusal) => {
-                let refusal = refusal.adjusted_for(entry.standing());
+                let refusal = refusal.adjusted_for(entry.freshness());
                 refuse(entry, wire, refusal, None, true).await;
                 return;
             }
@@ -91,7 +91,7 @@
         let (body, has_body) = match body {
             Ok(Ok(body)) => body,
             Ok(Err(Some(refusal))) => {
-                let refusal = refusal.adjusted_for(entry.standing());
+                let refusal = refusal.adjusted_for(entry.freshness());
                 refuse(entry, wire, refusal, Some(&head), true).await;
                 return;
             }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -6,7 +6,7 @@
     clock::Time,
     process::{
         allowed_regions::AllowedRegions,
-        document::{Config, Denied, Kind, Route},
+        document::{Config, Denied, Route, RouteKind},
         freshness::Freshness,
         replicas::ReplicaKey,
     },
@@ -142,8 +142,8 @@
     let Some(config) = entry.config.borrow().clone() else {
         return Err(Box::new((Refusal::NoConfig, received)));
     };
-    let standing = entry.standing();
-    if standing == Freshness::Stale {
+    let freshness = entry.freshness();
+    if freshness == Freshness::Stale {
         return Err(Box::new((Refusal::Behind, received)));
     }
     match resolve_route(entry, &config, &received) {
@@ -158,11 +158,11 @@
             }
         }
         Err(Denied::NoRoute) => Err(Box::new((
-            Refusal::NoRoute.adjusted_for(standing),
+            Refusal::NoRoute.adjusted_for(freshness),
             received,
         ))),
         Err(Denied::UnknownKey) => Err(Box::new((
-            Refusal::UnknownKey.adjusted_for(standing),
+            Refusal::UnknownKey.adjusted_for(freshness),
             received,
         ))),
     }
@@ -197,7 +197,7 @@
         .and_then(|it| it.parse().ok());
     let timeout_ms = declared.map_or(route.timeout_ms, |it: u64| it.min(route.timeout_ms));
     let left = Duration::from_millis(declared.unwrap_or(route.timeout_ms));
-    let age = entry.age(&route.name, left);
+    let age = entry.caller_age(&route.name, left);
     let goal = Duration::from_millis(route.goal_ms).saturating_sub(age);
     let service = entry.node.with_rng(|it| route.draw(it));
     Job {
@@ -477,7 +477,7 @@
 }
 
 fn is_resumed(job: &Job) -> bool {
-    job.route.kind == Kind::ResumableStream && job.head_sent && 1 < job.tried.len()
+    job.route.kind == RouteKind::ResumableStream && job.head_sent && 1 < job.tried.len()
 }
 
 fn log_refusal(entry: &Entry, received: &ReceivedRequest, refusal: Refusal) {
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -14,27 +14,27 @@
     pub fn track_in_flight(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> InFlightGuard {
         let now = self.node.clock.now();
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
-            if replica.own == 0 {
+            if replica.own_requests == 0 {
                 replica.silent_since = now;
             }
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.note_sent(self.node.clock.now());
             replica.own_waiting_tokens += prompt_tokens;
         }
-        let mut starts = self.starts.borrow_mut();
+        let mut restart_tokens = self.restart_tokens.borrow_mut();
         InFlightGuard {
             waiting: Cell::new(true),
             entry: Rc::clone(self),
             key,
             prompt_tokens,
-            replica_restarted: starts.entry(key).or_default().clone(),
+            replica_restarted: restart_tokens.entry(key).or_default().clone(),
         }
     }
 
     /// Handles the restart of a replica: requests in flight at its previous start, `replaced`, get no response any more.
     pub(super) fn replica_restarted(&self, replaced: ReplicaKey) {
-        let token = self.starts.borrow_mut().remove(&replaced);
+        let token = self.restart_tokens.borrow_mut().remove(&replaced);
         if let Some(log) = self.node.logs.line(Topic::State) {
             info!(log, "replica started again"; "had_requests" => token.is_some());
         }
@@ -45,10 +45,10 @@
     }
 
     /// Drops the restart signals of replicas that are no longer listed; these finish the requests in flight there.
-    pub(super) fn forget_starts(&self) {
+    pub(super) fn prune_restart_tokens(&self) {
         let replicas = self.replicas.borrow();
-        let mut starts = self.starts.borrow_mut();
-        starts.retain(|key, _| replicas.get(*key).is_some());
+        let mut restart_tokens = self.restart_tokens.borrow_mut();
+        restart_tokens.retain(|key, _| replicas.get(*key).is_some());
     }
 }
 
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.response_begun();
         if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
         self.entry.room_freed.notify_waiters();
     }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -33,7 +33,7 @@
     pub(super) fn maintain(self: &Rc<Entry>) {
         let now = self.node.clock.now();
         self.node.show_behind();
-        self.log_standing();
+        self.log_freshness();
         self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
             if let Some(log) = self.node.logs.line(Topic::State) {
@@ -43,7 +43,7 @@
         let replicas = self.replicas.borrow();
         self.pool.expire(|it| replicas.get(it).is_some());
         drop(replicas);
-        self.forget_starts();
+        self.prune_restart_tokens();
         self.maintain_quarantine(now);
         let seeds = self.node.settings().seeds.clone();
         self.roster
@@ -128,7 +128,7 @@
             for (region, parts) in regions.iter().zip(parts) {
                 for ((_, key, _), part) in region.replicas.iter().zip(parts) {
                     if let Some(replica) = replicas.get_mut(*key) {
-                        replica.part = part;
+                        replica.own_slots = part;
                     }
                 }
             }
--- a/crates/gradeloft_gateway/src/entry/refusal.rs
+++ b/crates/gradeloft_gateway/src/entry/refusal.rs
@@ -104,9 +104,9 @@
 
     /// Adjusts the refusal at an entry whose configuration may be behind: newer records may allow what its own
     /// configuration denies.
-    pub fn adjusted_for(self, standing: Freshness) -> Refusal {
+    pub fn adjusted_for(self, freshness: Freshness) -> Refusal {
         match self {
-            _ if standing == Freshness::Current => self,
+            _ if freshness == Freshness::Current => self,
             Refusal::BodyTooLarge
             | Refusal::HeadTooLarge
             | Refusal::NoRoute
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -434,7 +434,7 @@
     entry.note_activity(replica);
     upstream.in_flight.response_begun();
     if let Some(forecast) = upstream.forecast.take() {
-        entry.record_answer_start(replica, forecast);
+        entry.record_response_start(replica, forecast);
     }
 }
 
