--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -101,7 +101,7 @@
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
     let requirements = Requirements {
-        oldest: entry.oldest_versions(&job.service).allowed,
+        min_version: entry.oldest_versions(&job.service).allowed,
         ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
@@ -109,11 +109,16 @@
     placement::count_exclusions(replicas.of(&job.service), allowed, requirements, now)
 }
 
-fn select_from(entry: &Entry, job: &Job, oldest: Option<u64>, now: Time) -> Option<ReplicaKey> {
+fn select_from(
+    entry: &Entry,
+    job: &Job,
+    min_version: Option<u64>,
+    now: Time,
+) -> Option<ReplicaKey> {
     let settings = entry.node.settings();
     let speed = entry.speed(&job.service);
     let requirements = Requirements {
-        oldest,
+        min_version,
         ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
     };
     let replicas = entry.replicas.borrow();
@@ -144,10 +149,10 @@
     let view = entry.staleness(&job.service, now);
     Requirements {
         zone,
-        oldest: None,
-        same: job.version,
+        min_version: None,
+        resumed_version: job.version,
         tried: &job.tried,
-        claim: job.urgency,
+        urgency: job.urgency,
         prompt_tokens: job.prompt_tokens,
         speed,
         near: view.near,
