--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -97,9 +97,9 @@
             {
                 let at = self.node.clock.now();
                 self.node
-                    .receive_ages(datagram.ends, datagram.unconfirmed_ms);
+                    .note_peer_copies(datagram.ends, datagram.unconfirmed_ms);
                 // What lay in the socket while this process stood still is outdated.
-                let current = self.node.receives_current();
+                let current = self.node.datagrams_are_current();
                 let mut new = false;
                 if current {
                     self.receive_progress(&switched);
@@ -109,7 +109,7 @@
                 }
                 let end = datagram.ends[Table::Operator as usize];
                 if self.wants(&switched, end, at)
-                    && self.node.receive_ends(from, &datagram.zone, datagram.ends)
+                    && self.node.catch_up_from(from, &datagram.zone, datagram.ends)
                 {
                     let mut refresh = self.refresh.get();
                     refresh.asked(at);
--- a/crates/gradeloft_gateway/src/agent/share.rs
+++ b/crates/gradeloft_gateway/src/agent/share.rs
@@ -38,7 +38,7 @@
                 Call::Pieces { model, version } => {
                     list(&agent, model, version, outgoing).await;
                 }
-                other => agent.node.answer(other, outgoing).await,
+                other => agent.node.serve_call(other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -32,7 +32,7 @@
     /// Expires old state, and recomputes what depends on other entries' reports.
     pub(super) fn maintain(self: &Rc<Entry>) {
         let now = self.node.clock.now();
-        self.node.show_behind();
+        self.node.update_behind_metric();
         self.log_freshness();
         self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -484,7 +484,7 @@
         let node = Rc::clone(&self.0);
         let scope = Rc::clone(&node.scope);
         // A call that only agents serve gets no answer, which tells the caller that it failed.
-        scope.spawn(async move { node.answer(call, outgoing).await });
+        scope.spawn(async move { node.serve_call(call, outgoing).await });
     }
 
     fn malformed(&self) {
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -48,7 +48,7 @@
         };
         // State that lay in the socket during a stall is outdated, and each sender sends again within a second. The ends
         // of copies, and crashes, stay true whenever they are received.
-        let current = self.node.receives_current();
+        let current = self.node.datagrams_are_current();
         match &datagram.sender {
             Sender::Agent { .. } | Sender::Entry { .. } | Sender::Region { .. } if !current => {}
             Sender::Agent { replica, engine } => {
@@ -77,8 +77,8 @@
         }
         if !relayed_before {
             self.node
-                .receive_ages(datagram.ends, datagram.unconfirmed_ms);
-            self.node.receive_ends(from, &datagram.zone, datagram.ends);
+                .note_peer_copies(datagram.ends, datagram.unconfirmed_ms);
+            self.node.catch_up_from(from, &datagram.zone, datagram.ends);
         }
     }
 
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -182,7 +182,7 @@
     fn apply_listing(&self, record: &Record) {
         let mut replicas = self.replicas.borrow_mut();
         if record.value.is_none() {
-            let trust = self.node.trust_in(Table::Replicas, record);
+            let trust = self.node.trust_in_removal(Table::Replicas, record);
             replicas.unlist(&record.key, trust);
             if let Some(log) = self.node.logs.line(Topic::State) {
                 info!(log, "replica unlisted"; "replica" => &record.key, "trust" => ?trust,
--- a/crates/gradeloft_gateway/src/node/ages.rs
+++ b/crates/gradeloft_gateway/src/node/ages.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether what is received now was sent a moment ago, rather than while the process stood still.
-    pub fn receives_current(&self) -> bool {
+    pub fn datagrams_are_current(&self) -> bool {
         self.disturbances.borrow().ticks.fresh(self.clock.now())
     }
 
@@ -107,7 +107,7 @@
 
     /// A peer said how far its copies go, and for how long it has not known them to be whole by reads of its
     /// own. Only such words count, so that no word comes back as news to who said it.
-    pub fn receive_ages(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
+    pub fn note_peer_copies(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
         let now = self.clock.now();
         let mut disturbances = self.disturbances.borrow_mut();
         disturbances.ticks.seen(now);
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -74,7 +74,7 @@
 impl Node {
     /// Answers a peer's call, if it is for records or for parts of one. Other calls are for other kinds of
     /// process; dropping the answer is how the caller knows.
-    pub async fn answer(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
+    pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
                 table,
@@ -177,7 +177,7 @@
     /// A peer's copies go up to `ends`: reads from it what this process lacks; gives whether that was
     /// anything. Peers of other regions are left alone for a moment, in which near ones most likely
     /// have it too, and then asked by a few processes of this region first.
-    pub fn receive_ends(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
+    pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
         let mut asked = false;
         let near = self.near(zone);
         for table in Table::ALL {
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -202,7 +202,7 @@
         }
         self.source.set(source);
         self.apply(table, update);
-        self.show_behind();
+        self.update_behind_metric();
     }
 
     fn reach(&self, source: Source) -> Reach {
@@ -234,7 +234,7 @@
     }
 
     /// Shows in the metrics for how long the operator's table has lacked something.
-    pub fn show_behind(&self) {
+    pub fn update_behind_metric(&self) {
         let behind = self.behind(Table::Operator).unwrap_or_default();
         self.metrics.behind.set(behind.as_secs_f64());
     }
@@ -397,7 +397,7 @@
 
     /// Whether a record that removes something from a table may be an error of the store's. Counts from when
     /// the record is known to be there, and not from before an interruption: doubt would end too soon.
-    pub fn trust_in(&self, table: Table, record: &Record) -> StoreTrust {
+    pub fn trust_in_removal(&self, table: Table, record: &Record) -> StoreTrust {
         let now = self.clock.now();
         let known = self.ages.borrow()[index(table)].known_since(record.offset);
         let written = known.map_or(now, |it| it.min(now));
