--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -1,8 +1,8 @@
-//! The operator's records without what only entries need.
+//! The operator's records, without the parts that only entries need.
 //!
-//! A configuration of thousands of routes is several hundred kilobytes, and an agent needs of it which
-//! services there are. Agents of an availability zone share the links of its entries with requests, so an
-//! entry abridges a large record once and gives agents that.
+//! A configuration of thousands of routes has several hundred kilobytes, of which an agent needs only the
+//! services. Agents of an availability zone share the links of its entries with requests, so an entry
+//! abridges a large record once and sends the result to agents.
 
 use std::collections::HashMap;
 
@@ -14,27 +14,27 @@
 use super::{Node, tables::index};
 use crate::{logs::Topic, settings::Role};
 
-/// Records up to this size go as they are, in bytes: they take 4 ms of an agent's link of 9.4 Mbit/s.
-const SMALL: usize = 4 << 10;
+/// Largest record that is not abridged, in bytes: it takes 4 ms of an agent's link of 9.4 Mbit/s.
+const SMALL_BYTES: usize = 4 << 10;
 
-/// Abridged records, on both sides.
+/// Abridged records of a sender and of a receiver.
 #[derive(Debug, Default)]
-pub(super) struct Brief {
-    /// What agents get of the newest large record of each key, and the record's offset.
-    given: HashMap<String, (u64, Bytes)>,
-    /// Records before this offset may have come abridged.
-    whole_from: u64,
+pub(super) struct AbridgedRecords {
+    /// Offset and abridged value of the newest large record of each key.
+    cache: HashMap<String, (u64, Bytes)>,
+    /// Offset before which records may have been received abridged.
+    unabridged_from: u64,
 }
 
 impl Node {
-    /// Whether this process asks for abridged records.
-    pub(super) fn takes_brief(&self) -> bool {
+    /// Returns whether this process asks for abridged records.
+    pub(super) fn wants_abridged(&self) -> bool {
         matches!(self.settings.borrow().role, Role::Agent { .. })
     }
 
-    /// What a peer gets that has seen a table up to `from`; `None` for one that needs whole records while
+    /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs unabridged records and
     /// this process has only abridged ones.
-    pub(super) fn given(&self, table: Table, from: u64, brief: bool) -> Option<Update> {
+    pub(super) fn update_for_peer(&self, table: Table, from: u64, brief: bool) -> Option<Update> {
         let mut update = self.copies.borrow()[index(table)].since(from);
         if table != Table::Operator {
             return Some(update);
@@ -45,22 +45,22 @@
             }
             return Some(update);
         }
-        let whole_from = self.brief.borrow().whole_from;
-        let whole = update.records.iter().all(|it| whole_from <= it.offset);
-        whole.then_some(update)
+        let unabridged_from = self.abridged.borrow().unabridged_from;
+        let unabridged = update.records.iter().all(|it| unabridged_from <= it.offset);
+        unabridged.then_some(update)
     }
 
-    /// Requests wait while an entry parses a large record, 3.6 ms of a whole core for 0.99 MB (release
-    /// build, five runs), so it does so for the first agent only.
+    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms of a whole core for
+    /// 0.99 MB in a release build.
     fn abridge(&self, record: &mut Record) {
         let Some(value) = &record.value else {
             return;
         };
-        if value.len() <= SMALL {
+        if value.len() <= SMALL_BYTES {
             return;
         }
-        let mut brief = self.brief.borrow_mut();
-        if let Some((offset, value)) = brief.given.get(&record.key)
+        let mut abridged_records = self.abridged.borrow_mut();
+        if let Some((offset, value)) = abridged_records.cache.get(&record.key)
             && *offset == record.offset
         {
             record.value = Some(value.clone());
@@ -77,25 +77,25 @@
             }
         };
         let kept = (record.offset, value.clone());
-        brief.given.insert(record.key.clone(), kept);
+        abridged_records.cache.insert(record.key.clone(), kept);
         record.value = Some(value);
     }
 
-    /// A peer brought what the copy of a table holds now, up to its end or, ahead of that, to `seen`: to
-    /// this process it may have given it abridged.
-    pub(super) fn took_from_peer(&self, table: Table, seen: Option<u64>) {
-        if table == Table::Operator && self.takes_brief() {
+    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up to `seen`. They
+    /// may be abridged if this process asks for that.
+    pub(super) fn note_peer_update(&self, table: Table, seen: Option<u64>) {
+        if table == Table::Operator && self.wants_abridged() {
             let end = self.end(table).max(seen.unwrap_or(0));
-            let mut brief = self.brief.borrow_mut();
-            brief.whole_from = brief.whole_from.max(end);
+            let mut abridged_records = self.abridged.borrow_mut();
+            abridged_records.unabridged_from = abridged_records.unabridged_from.max(end);
         }
     }
 
-    /// How far peers are told that the copy of a table goes: an agent that read nothing from the store
-    /// since an entry gave it abridged records has nothing for those that need whole ones.
-    pub(super) fn offered(&self, table: Table) -> u64 {
+    /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read nothing from the
+    /// store since it received abridged records, as it has none for peers that need unabridged ones.
+    pub(super) fn advertised_end(&self, table: Table) -> u64 {
         let end = self.end(table);
-        let abridged = table == Table::Operator && end <= self.brief.borrow().whole_from;
+        let abridged = table == Table::Operator && end <= self.abridged.borrow().unabridged_from;
         if abridged { 0 } else { end }
     }
 }
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -1,5 +1,5 @@
-//! How far back in time a record can have been written that the store brings: until when each copy is
-//! known to have been whole.
+//! The time up to which each copy is known to have been complete, which bounds how long ago a record that the store
+//! returns can have been written.
 
 use gradeloft_policy::clock::Time;
 use gradeloft_wire::frame::Table;
@@ -7,28 +7,29 @@
 use super::{Node, tables::index};
 
 impl Node {
-    /// Until when the copy of a table is known to have been whole, by own reads and by peers' words on
-    /// theirs: a record that it lacked then had not been written. While a read is being taken in, the time
-    /// before that read. In steady reading this is up to the wait of one read ago, and a round trip.
+    /// Returns the time up to which the copy of a table is known to have been complete, by this process's reads and
+    /// by peers' reports of theirs: a record that it lacked then had not been written. While a read is being
+    /// applied, it is the time before that read. With uninterrupted reads it is at most the wait of one read, and a
+    /// round trip, ago.
     pub fn confirmed_until(&self, table: Table) -> Option<Time> {
-        self.ages.borrow()[index(table)].complete_until(self.end(table))
+        self.write_times.borrow()[index(table)].complete_until(self.end(table))
     }
 
-    /// Whether the last read of a table that went well came after one that failed: what it brought may
-    /// have been written long before.
+    /// Returns whether the last successful read of a table followed a failed one: its records may have been written
+    /// long before.
     pub fn after_interruption(&self, table: Table) -> bool {
         self.after_interruption.get()[index(table)]
     }
 
-    /// Notes that the copy was whole at `at`, by a read of the store.
+    /// Notes that the copy was complete at `at`, by a read of the store.
     pub(super) fn confirm(&self, table: Table, at: Time) {
         let end = self.end(table);
-        // An answer that comes before the end of its wait confirms no time to come.
+        // A response that arrives before the end of its wait confirms no time in the future.
         let at = at.min(self.clock.now());
-        self.ages.borrow_mut()[index(table)].confirm(end, at);
+        self.write_times.borrow_mut()[index(table)].confirm(end, at);
     }
 
-    /// Notes whether the read that is about to be taken in came after one that failed.
+    /// Notes whether the read that is about to be applied followed a failed one.
     pub(super) fn set_after_interruption(&self, table: Table, interrupted: bool) {
         let mut after = self.after_interruption.get();
         after[index(table)] = interrupted;
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -1,20 +1,20 @@
-//! What entries and agents share: copies of the platform's tables, peers, datagrams.
+//! State and functions that entries and agents share: copies of the platform's tables, calls between peers, datagrams.
 //!
-//! - [`ages`]: since when records count as written.
-//! - [`abridged`]: the operator's records without what only entries need.
-//! - [`confirmed`]: until when each copy is known to have been whole.
-//! - [`unreadable`]: records that other writers left, and that nothing can be made of.
-//! - [`parts`]: large values, which processes give each other in parts.
-//! - [`records`]: what peers bring of the tables, and what they are given.
-//! - [`tables`]: who reads the tables from the store.
+//! - [`write_times`]: the times at which records count as written, and stalls of the process.
+//! - [`abridged`]: the operator's records, without the parts that only entries need.
+//! - [`confirmed`]: the time up to which each copy is known to be complete.
+//! - [`unreadable`]: records of other writers that can't be decoded.
+//! - [`parts`]: large values, which peers send to each other in parts.
+//! - [`records`]: exchange of the tables' records with peers.
+//! - [`tables`]: copies of the tables, and reads of the store.
 
 pub mod abridged;
-pub mod ages;
 pub mod confirmed;
 pub mod parts;
 pub mod records;
 pub mod tables;
 pub mod unreadable;
+pub mod write_times;
 
 use std::{
     cell::{Cell, RefCell},
@@ -49,10 +49,10 @@
 use slog::warn;
 use tokio::{net::UdpSocket, sync::Notify};
 
-use abridged::Brief;
-use ages::Disturbances;
+use abridged::AbridgedRecords;
 use records::Inbox;
-use tables::{Reading, Source};
+use tables::{ReadState, Source};
+use write_times::ActivityGaps;
 
 use crate::{
     logs::{Logs, Topic},
@@ -61,46 +61,46 @@
     traffic::{Purpose, Reach, Traffic},
 };
 
-/// Largest frame between processes, in bytes: what [`records`] puts into one, and room for its keys.
+/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room for their keys.
 pub const MAX_FRAME: usize = 1 << 20;
-/// Time to connect to a peer: far above the links' delays.
+/// Time limit for a connection to a peer: far above the links' delays.
 const PEER_CONNECT: Duration = Duration::from_millis(500);
 
-/// What the composition root gives a process: adapters to its platform.
+/// Adapters to the platform, which the composition root passes to a process.
 #[derive(Clone)]
 pub struct Platform {
-    /// Tables.
+    /// Store of the tables.
     pub store: Rc<dyn Store>,
-    /// Reads the platform's records.
+    /// Decoder of the platform's records.
     pub decoder: Rc<dyn Decoder>,
-    /// Answers to questions for addresses and readiness.
+    /// Responses to lookups of addresses and readiness.
     pub directory: Rc<dyn Directory>,
     /// Origin of weights.
     pub origin: Rc<dyn Origin>,
-    /// Engine beside this process, for agents.
+    /// Engine of the agent's instance; `None` for entries.
     pub engine: Option<Rc<dyn Engine>>,
     /// Names of headers.
     pub headers: Headers,
 }
 
-/// Decides who reads the tables from the store.
+/// Elects the processes that read the tables from the store.
 pub trait Election {
-    /// Whether this process is to read a table.
+    /// Returns whether this process should read a table.
     fn reads(&self, table: Table) -> bool;
-    /// Pause between two reads of a table, of which `pause` is the shortest.
+    /// Returns the pause between two reads of a table, at least `pause`.
     fn pause(&self, _table: Table, pause: Duration) -> Duration {
         pause
     }
-    /// Longest pause after reads that failed.
+    /// Returns the longest pause after failed reads.
     fn longest_pause(&self) -> Duration {
         tables::LONGEST_PAUSE
     }
 }
 
-/// Learns what changed in a table.
+/// Callback for changed records of a table.
 pub type Observer = Rc<dyn Fn(Table, Vec<Record>)>;
 
-/// A process, whatever its role.
+/// State of a process of either role.
 pub struct Node {
     /// Settings.
     pub settings: RefCell<Rc<Settings>>,
@@ -118,37 +118,39 @@
     pub scope: Rc<Scope>,
     /// Connections to peers.
     pub peers: Pool,
-    /// Set once SIGTERM came.
+    /// Set once the process received SIGTERM.
     pub leaving: Cell<bool>,
+    /// Copies of the tables.
     copies: RefCell<[Mirror; 3]>,
-    /// What comes of each table from peers.
+    /// Updates of each table that are being fetched from peers.
     inboxes: RefCell<[Inbox; 3]>,
-    /// Large values that are being given to peers.
-    giving: RefCell<UploadSlots>,
-    /// Since when each table's records are known to be written.
-    ages: RefCell<[WriteTimes; 3]>,
-    disturbances: RefCell<Disturbances>,
-    /// When a datagram that was sent a moment before last said how far others are.
+    /// Large values that are being sent to peers.
+    uploads: RefCell<UploadSlots>,
+    /// Write times of each table's records.
+    write_times: RefCell<[WriteTimes; 3]>,
+    activity_gaps: RefCell<ActivityGaps>,
+    /// Time of the last current information about the ends of other copies, by datagram or by a read of the store.
     informed_at: Cell<Option<Time>>,
-    reading: RefCell<[Reading; 3]>,
-    /// Whether the last good read of each table came after one that failed.
+    /// State of reading each table from the store.
+    read_states: RefCell<[ReadState; 3]>,
+    /// Whether the last successful read of each table followed a failed one.
     after_interruption: Cell<[bool; 3]>,
     election: RefCell<Option<Rc<dyn Election>>>,
-    /// Until when removals that peers gave may be errors of the store's.
-    peer_doubt: Cell<Time>,
-    /// Set while an update is taken in from a peer that vouches for its removals.
-    peer_sound: Cell<bool>,
-    brief: RefCell<Brief>,
-    /// Where the records that are being taken in came from.
+    /// Time up to which removals received from peers may be errors of the store.
+    peer_doubt_until: Cell<Time>,
+    /// Set while an update is applied whose sending peer trusts its removals.
+    peer_is_sound: Cell<bool>,
+    abridged: RefCell<AbridgedRecords>,
+    /// Source of the records that are being applied.
     source: Cell<Source>,
-    /// Whether they are the first of their table.
-    beginning: Cell<bool>,
-    /// What was said last of a store that does not serve.
-    store_trouble: Cell<Option<&'static str>>,
+    /// Whether the records that are being applied are the first of their table.
+    initial_load: Cell<bool>,
+    /// Last logged event of a store that does not respond; `None` while it responds.
+    logged_store_fault: Cell<Option<&'static str>>,
     observer: RefCell<Option<Observer>>,
-    /// Whether peers that spoke are in this process's region.
+    /// Whether each peer that sent datagrams is in this process's region.
     near_peers: RefCell<HashMap<Ipv4Addr, bool>>,
-    /// What was sent.
+    /// Counts of bytes.
     traffic: Traffic,
     socket: UdpSocket,
     incarnation: u64,
@@ -158,7 +160,7 @@
 }
 
 impl Node {
-    /// A process that is about to start.
+    /// Creates the state of a process, and binds its socket.
     pub async fn new(
         settings: Settings,
         platform: Platform,
@@ -167,7 +169,7 @@
     ) -> io::Result<Rc<Node>> {
         let own = SocketAddrV4::new(settings.address, settings.peer_port);
         let socket = UdpSocket::bind(own).await?;
-        // Until then nothing can be sent without a wait, and the first datagrams would be lost.
+        // Before the socket is writable, sends would block, and the first datagrams would be lost.
         socket.writable().await?;
         let mut seed = [0; 8];
         getrandom::fill(&mut seed).map_err(io::Error::other)?;
@@ -185,19 +187,19 @@
             leaving: Cell::new(false),
             copies: RefCell::default(),
             inboxes: RefCell::default(),
-            giving: RefCell::default(),
-            ages: RefCell::default(),
-            disturbances: RefCell::default(),
+            uploads: RefCell::default(),
+            write_times: RefCell::default(),
+            activity_gaps: RefCell::default(),
             informed_at: Cell::default(),
-            reading: RefCell::default(),
+            read_states: RefCell::default(),
             after_interruption: Cell::default(),
             election: RefCell::default(),
-            peer_doubt: Cell::default(),
-            peer_sound: Cell::default(),
-            brief: RefCell::default(),
+            peer_doubt_until: Cell::default(),
+            peer_is_sound: Cell::default(),
+            abridged: RefCell::default(),
             source: Cell::default(),
-            beginning: Cell::default(),
-            store_trouble: Cell::default(),
+            initial_load: Cell::default(),
+            logged_store_fault: Cell::default(),
             observer: RefCell::default(),
             near_peers: RefCell::default(),
             traffic: Traffic::default(),
@@ -208,37 +210,37 @@
         }))
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Rc<Settings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Sets who learns what changed.
+    /// Sets the callback for changed records.
     pub fn set_observer(&self, observer: Observer) {
         *self.observer.borrow_mut() = Some(observer);
     }
 
-    /// Sets who decides which process reads the tables.
+    /// Sets the election of the processes that read the tables.
     pub fn set_election(&self, election: Rc<dyn Election>) {
         *self.election.borrow_mut() = Some(election);
     }
 
-    /// Runs a decision that needs randomness.
+    /// Runs a function with this process's random number generator.
     pub fn with_rng<T>(&self, run: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
         run(&mut self.rng.borrow_mut())
     }
 
-    /// Where the process on an instance listens for peers.
+    /// Returns the address at which the process on an instance listens for peers.
     pub fn peer_address(&self, peer: Ipv4Addr) -> String {
         SocketAddr::from((peer, self.settings.borrow().peer_port)).to_string()
     }
 
-    /// Names this start of the process.
+    /// Returns the number of this start of the process; later starts have higher numbers.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sends this process's state.
+    /// Sends a datagram with this process's state.
     pub fn send_state(
         &self,
         purpose: Purpose,
@@ -249,15 +251,15 @@
         let datagram = Datagram {
             incarnation: self.incarnation,
             zone: self.settings().zone.clone(),
-            ends: Table::ALL.map(|it| self.offered(it)),
+            ends: Table::ALL.map(|it| self.advertised_end(it)),
             unconfirmed_ms: self.unconfirmed_ms(),
             sender,
         };
         self.send(purpose, reach, &datagram, to);
     }
 
-    /// Sends a datagram. One that can't be sent is as good as lost; one that nobody would read is counted. `reach` is
-    /// that of receivers that have not sent anything themselves.
+    /// Sends a datagram. One that the socket refuses counts as lost; one that is too large to be read is counted as
+    /// unsent. `reach` applies to receivers that have not sent a datagram yet.
     pub fn send(
         &self,
         purpose: Purpose,
@@ -301,35 +303,35 @@
             .inc();
     }
 
-    /// Counts bytes that go to an instance in an availability zone, or come from it.
+    /// Counts bytes sent to an instance in an availability zone, or received from it.
     pub fn count_zone(&self, purpose: Purpose, zone: &str, bytes: usize) {
         self.count(purpose, Reach::of(self.near(zone)), bytes);
     }
 
-    /// Counts bytes that go out or come in.
+    /// Counts bytes sent or received.
     pub fn count(&self, purpose: Purpose, reach: Reach, bytes: usize) {
         self.traffic.count(&self.metrics, purpose, reach, bytes);
     }
 
-    /// Logs what was sent, now and then.
+    /// Logs the counts of bytes from time to time.
     pub fn log_traffic(&self) {
         let now = self.clock.now();
         self.traffic.show(&self.logs.root, &self.metrics, now);
     }
 
-    /// The next datagram, and who sent it.
+    /// Waits for the next datagram, and returns it with its sender's address.
     pub async fn next_datagram(&self) -> (Ipv4Addr, Datagram) {
         let mut buffer = [0; MAX_BYTES];
         loop {
             let received = self.socket.recv_from(&mut buffer).await;
             let Ok((length, SocketAddr::V4(from))) = received else {
-                // An earlier datagram was refused, most likely.
+                // Most likely an ICMP error for a datagram that was sent before.
                 tokio::task::yield_now().await;
                 continue;
             };
             if let Ok(datagram) = codec::parse::<Datagram>(&buffer[..length]) {
                 if matches!(datagram.sender, Sender::Entry { .. }) {
-                    self.know_holder(*from.ip(), &datagram.zone, datagram.ends);
+                    self.note_holder(*from.ip(), &datagram.zone, datagram.ends);
                 }
                 let near = self.near(&datagram.zone);
                 self.near_peers.borrow_mut().insert(*from.ip(), near);
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -1,7 +1,7 @@
-//! Large values, which processes give each other in parts.
+//! Large values, which peers send to each other in parts.
 //!
-//! How long a configuration takes depends on its size, on the link and on who else asks, so only a part is
-//! bounded in time. What came is kept, and goes on from any peer that has the record
+//! The time to transfer a configuration depends on its size, on the link and on concurrent transfers, so only each
+//! part has a time limit. Received parts are kept, and the transfer continues from any peer that holds the record
 //! ([`transfer`](gradeloft_policy::process::transfer)).
 
 use std::{cell::Cell, net::Ipv4Addr, rc::Rc, time::Duration};
@@ -21,62 +21,62 @@
 };
 use crate::settings;
 
-/// Time for a peer to send one part: 22 KB/s at least, a fiftieth of an agent's link.
-const PART_TIME: Duration = Duration::from_millis(1_500);
-/// Bytes of a part.
+/// Time limit for one part: 22 KB/s at least, a fiftieth of an agent's link.
+const PART_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Size of a part, in bytes.
 const PART_BYTES: usize = 32 << 10;
 
-/// A large value is being given; counted until dropped.
-pub(super) struct Slot(Rc<Node>, Role);
+/// Guard of an upload slot, which is freed on drop.
+pub(super) struct UploadSlot(Rc<Node>, Role);
 
-impl Drop for Slot {
+impl Drop for UploadSlot {
     fn drop(&mut self) {
-        self.0.giving.borrow_mut().free(self.1);
+        self.0.uploads.borrow_mut().free(self.1);
     }
 }
 
-/// What a peer asks for by [`Call::Parts`].
+/// Contents of a [`Call::Parts`].
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct PartsRequest {
     /// Table.
     pub(super) table: Table,
     /// Position of the record in the table.
     pub(super) offset: u64,
-    /// Bytes of the value that the peer has already.
+    /// Bytes of the value that the peer already has.
     pub(super) start: u64,
-    /// What the peer is.
+    /// Role of the peer.
     pub(super) caller: Role,
 }
 
-/// Why a peer gave nothing further: in words, and for the choice of the next one.
-type Missed = (&'static str, Refusal);
+/// Why a peer sent no further parts: the metric label, and the kind that decides which peer is next.
+type FetchFailure = (&'static str, Refusal);
 
 impl Node {
-    /// Answers a peer's call for a value, if it is held and few others get one now.
-    pub(super) async fn give_parts(self: &Rc<Node>, asked: Asked, outgoing: Outgoing) {
-        let Some(value) = self.value_at(asked.table, asked.offset) else {
+    /// Serves a peer's call for a value, if this process holds the value and has a free upload slot.
+    pub(super) async fn serve_parts(self: &Rc<Node>, request: PartsRequest, outgoing: Outgoing) {
+        let Some(value) = self.value_at(request.table, request.offset) else {
             outgoing.finish(&Reply::Absent(Absence::NotHeld)).await;
             return;
         };
-        let Some(_slot) = self.slot(asked.caller) else {
+        let Some(_slot) = self.take_upload_slot(request.caller) else {
             outgoing.finish(&Reply::Absent(Absence::Busy)).await;
             return;
         };
-        let rest = value.get(asked.start as usize..).unwrap_or_default();
-        let pace = Pace::new(asked.start, self.clock.now());
-        let away = self.giving.borrow_mut().refused(asked.caller);
-        let mut done = asked.start;
+        let rest = value.get(request.start as usize..).unwrap_or_default();
+        let pace = Pace::new(request.start, self.clock.now());
+        let away = self.uploads.borrow_mut().refused(request.caller);
+        let mut done = request.start;
         for part in rest.chunks(PART_BYTES) {
-            let waited_for = self.giving.borrow_mut().refused(asked.caller) != away;
+            let waited_for = self.uploads.borrow_mut().refused(request.caller) != away;
             if waited_for && pace.slow(done, value.len() as u64, self.clock.now()) {
-                // One who takes slowly would keep all others waiting, and comes back after them.
+                // A slow receiver would keep all others waiting, so it has to retry after them.
                 outgoing.finish(&Reply::Absent(Absence::Busy)).await;
                 return;
             }
             done += part.len() as u64;
             let part = Reply::Part(part.to_vec());
-            // Whoever gets no part in time has given this up, and may be out of reach.
-            let sent = tokio::time::timeout(PART_TIME, outgoing.send(&part)).await;
+            // A peer that gets no part in time has given up this call, and may be unreachable.
+            let sent = tokio::time::timeout(PART_TIMEOUT, outgoing.send(&part)).await;
             if sent != Ok(true) {
                 return;
             }
@@ -84,13 +84,14 @@
         outgoing.end();
     }
 
-    pub(super) fn slot(self: &Rc<Node>, caller: Role) -> Option<Slot> {
-        let taken = self.giving.borrow_mut().take(caller);
-        taken.then(|| Slot(Rc::clone(self), caller))
+    /// Takes an upload slot, if one is free.
+    pub(super) fn take_upload_slot(self: &Rc<Node>, caller: Role) -> Option<UploadSlot> {
+        let taken = self.uploads.borrow_mut().take(caller);
+        taken.then(|| UploadSlot(Rc::clone(self), caller))
     }
 
-    /// Fetches the large values that are missing, unless that is under way.
-    pub(super) fn fetch(self: &Rc<Node>, table: Table) {
+    /// Starts to fetch the missing large values, unless a task does so already.
+    pub(super) fn start_fetch(self: &Rc<Node>, table: Table) {
         let fetching = self.with_inbox(table, |it| std::mem::replace(&mut it.fetching, true));
         if fetching {
             return;
@@ -102,18 +103,19 @@
         });
     }
 
+    /// Fetches large values until none is missing or no peer holds one.
     async fn fetch_all(self: &Rc<Node>, table: Table) {
-        while self.begin(table) {
-            match self.choose(table) {
-                Choice::Ask(peer) => self.receive(peer, table).await,
+        while self.ensure_transfer(table) {
+            match self.choose_peer(table) {
+                Choice::Ask(peer) => self.fetch_from(peer, table).await,
                 Choice::Wait(time) => actix_rt::time::sleep(time).await,
                 Choice::NoHolder | Choice::Retry(_) if self.superseded(table) => {
-                    // What was superseded goes on only while someone gives it.
+                    // A superseded value is fetched only while some peer sends it.
                     self.with_inbox(table, |it| it.transfer = None);
                 }
                 Choice::Retry(time) => actix_rt::time::sleep(time).await,
                 Choice::NoHolder => {
-                    // Whoever speaks next is asked what there is to have; what came is kept.
+                    // The next peer that sends a datagram is asked for records; received parts are kept.
                     self.with_inbox(table, |it| it.pending = None);
                     self.fetch_failed("none", table, self.clock.now(), "nobody");
                     return;
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Whether something else is missing than what is being fetched.
+    /// Returns whether the missing value is another one than that being fetched.
     fn superseded(&self, table: Table) -> bool {
         self.with_inbox(table, |it| {
             let fetched = it.transfer.as_ref().map(Transfer::want);
@@ -131,29 +133,30 @@
         })
     }
 
-    /// Makes sure that the transfer is one that is of use; gives `false` if none would be, as when the store
-    /// was quicker.
-    fn begin(&self, table: Table) -> bool {
-        self.settle(table);
+    /// Replaces the transfer unless it is still needed; returns `false` if none is needed, as when the store was
+    /// faster.
+    fn ensure_transfer(&self, table: Table) -> bool {
+        self.apply_complete(table);
         let now = self.clock.now();
         let copies = self.copies.borrow();
         let copy = &copies[index(table)];
         self.with_inbox(table, |it| {
             let missing = it.pending.as_ref().and_then(|it| it.pending.missing());
-            let useful = |transfer: &Transfer| {
+            let is_needed = |transfer: &Transfer| {
                 let want = transfer.want();
                 missing == Some(want) || copy.lacks(&want.key, want.offset)
             };
-            if !it.transfer.as_ref().is_some_and(useful) {
+            if !it.transfer.as_ref().is_some_and(is_needed) {
                 it.transfer = missing.cloned().map(|it| Transfer::new(it, now));
             }
             it.transfer.is_some()
         })
     }
 
-    fn choose(&self, table: Table) -> Choice {
+    /// Chooses the peer from which to fetch.
+    fn choose_peer(&self, table: Table) -> Choice {
         let now = self.clock.now();
-        let caller = self.caller();
+        let caller = self.fetcher();
         self.with_rng(|rng| {
             self.with_inbox(table, |it| match &it.transfer {
                 Some(transfer) => transfer.choose(&it.holders, caller, now, rng),
@@ -162,8 +165,8 @@
         })
     }
 
-    /// Receives parts from a peer for as long as it gives them and they are of use.
-    async fn receive(self: &Rc<Node>, peer: Ipv4Addr, table: Table) {
+    /// Fetches parts from a peer while it sends them and they are needed.
+    async fn fetch_from(self: &Rc<Node>, peer: Ipv4Addr, table: Table) {
         let asked = self.clock.now();
         let (reason, refusal) = match self.receive_parts(peer, table).await {
             Ok(()) => return,
@@ -180,7 +183,12 @@
         self.fetch_failed(peer, table, asked, reason);
     }
 
-    async fn receive_parts(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> Result<(), Missed> {
+    /// Calls a peer for parts, and receives them.
+    async fn receive_parts(
+        self: &Rc<Node>,
+        peer: Ipv4Addr,
+        table: Table,
+    ) -> Result<(), FetchFailure> {
         let wanted = self.with_inbox(table, |it| {
             let transfer = it.transfer.as_ref()?;
             Some((transfer.want().offset, transfer.start()))
@@ -195,33 +203,33 @@
             caller: self.role(),
         };
         let address = self.peer_address(peer);
-        let waits_since = Cell::new(self.clock.now());
+        let waiting_since = Cell::new(self.clock.now());
         let late = |_| {
-            self.peers.silent(&address, Lane::Bulk, waits_since.get());
+            self.peers.silent(&address, Lane::Bulk, waiting_since.get());
             ("late", Refusal::Faulty)
         };
         let broken = |it| (reason(it), Refusal::Faulty);
-        // Beside small news, which would else wait behind what is in the connection's buffers.
+        // On the bulk lane: small records would otherwise wait behind the data in the connection's buffers.
         let opening = self.peers.open(&address, Lane::Bulk, &call);
-        let opened = tokio::time::timeout(PART_TIME, opening).await;
+        let opened = tokio::time::timeout(PART_TIMEOUT, opening).await;
         let mut incoming = opened.map_err(late)?.map_err(broken)?;
         let pace = Pace::new(start, self.clock.now());
-        let mut came = false;
+        let mut received = false;
         loop {
-            let next = tokio::time::timeout(PART_TIME, incoming.next()).await;
+            let next = tokio::time::timeout(PART_TIMEOUT, incoming.next()).await;
             match next.map_err(late)?.map_err(broken)? {
                 Some(Reply::Part(part)) => {
-                    waits_since.set(self.clock.now());
-                    if !self.part_came(peer, table, offset, &part)? {
+                    waiting_since.set(self.clock.now());
+                    if !self.add_part(peer, table, offset, &part)? {
                         return Ok(());
                     }
-                    came = true;
-                    if self.leaves(peer, table, pace) {
+                    received = true;
+                    if self.should_switch_peer(peer, table, pace) {
                         return Err(("slow", Refusal::Faulty));
                     }
                 }
-                // Others wait there for what this process took slowly, and come first.
-                Some(Reply::Absent(Absence::Busy)) if came => {
+                // Other peers wait there for the slot that this process used slowly, and are served first.
+                Some(Reply::Absent(Absence::Busy)) if received => {
                     return Err(("sent away", Refusal::Faulty));
                 }
                 Some(Reply::Absent(Absence::Busy)) => return Err(("busy", Refusal::Busy)),
@@ -232,11 +240,11 @@
         }
     }
 
-    /// Whether a peer gives slowly while another could be asked. Parts that come in time show only that it
-    /// is there: a link that carries little would hold up what another peer has.
-    fn leaves(&self, peer: Ipv4Addr, table: Table, pace: Pace) -> bool {
+    /// Returns whether a peer sends slowly while another could be asked. Parts within their time limit only show that
+    /// the peer is alive: a slow link would delay a value that another peer holds.
+    fn should_switch_peer(&self, peer: Ipv4Addr, table: Table, pace: Pace) -> bool {
         let now = self.clock.now();
-        let caller = self.caller();
+        let caller = self.fetcher();
         self.with_rng(|rng| {
             self.with_inbox(table, |it| {
                 it.transfer.as_ref().is_some_and(|transfer| {
@@ -247,13 +255,15 @@
         })
     }
 
-    pub(super) fn caller(&self) -> Fetcher {
+    /// Returns this process's address and role, for the choice of a peer.
+    pub(super) fn fetcher(&self) -> Fetcher {
         Fetcher {
             address: self.settings().address,
             role: self.role(),
         }
     }
 
+    /// Returns this process's role in calls.
     fn role(&self) -> Role {
         match self.settings.borrow().role {
             settings::Role::Agent { .. } => Role::Agent,
@@ -261,14 +271,14 @@
         }
     }
 
-    /// Takes in a part of the record at `offset`; gives whether the next one is of use.
-    fn part_came(
+    /// Adds a part of the record at `offset`; returns whether the next part is needed.
+    fn add_part(
         &self,
         peer: Ipv4Addr,
         table: Table,
         offset: u64,
         part: &[u8],
-    ) -> Result<bool, Missed> {
+    ) -> Result<bool, FetchFailure> {
         let fetched = |it: &Transfer| it.want().offset == offset;
         let progress = self.with_inbox(table, |it| {
             let transfer = it.transfer.as_mut().filter(|it| fetched(it));
@@ -278,19 +288,19 @@
             None => Ok(false),
             Some(Progress::Corrupt) => Err(("spoilt", Refusal::NotHeld)),
             Some(Progress::More) => {
-                let goes_on = self.begin(table);
+                let is_needed = self.ensure_transfer(table);
                 let same = |it: &mut Inbox| it.transfer.as_ref().is_some_and(fetched);
-                Ok(goes_on && self.with_inbox(table, same))
+                Ok(is_needed && self.with_inbox(table, same))
             }
             Some(Progress::Complete(value)) => {
-                self.came(table, value, Source::Peer(peer));
+                self.finish_transfer(table, value, Source::Peer(peer));
                 Ok(false)
             }
         }
     }
 
-    /// What was being fetched has come.
-    fn came(&self, table: Table, value: Bytes, source: Source) {
+    /// Applies a value that has been fetched completely.
+    fn finish_transfer(&self, table: Table, value: Bytes, source: Source) {
         let transfer = self.with_inbox(table, |it| it.transfer.take());
         let Some(transfer) = transfer else {
             return;
@@ -303,13 +313,13 @@
                 announced.source = source;
             }
         });
-        self.settle(table);
-        // In case that it was superseded while it came.
+        self.apply_complete(table);
+        // In case the value was superseded during the transfer.
         let record = Record {
             key: want.key.clone(),
             value: Some(value),
             offset: want.offset,
         };
-        self.take_ahead(table, vec![record], source);
+        self.apply_ahead(table, vec![record], source);
     }
 }
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -1,6 +1,6 @@
-//! What peers bring of the platform's tables, and what they are given.
+//! Exchange of the tables' records with peers.
 //!
-//! An answer to a call for records holds small values, and announces large ones, which then come in parts
+//! A reply to a call for records holds small values, and announces large ones, which are then fetched in parts
 //! ([`parts`](super::parts)).
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
@@ -28,52 +28,56 @@
 
 use super::{
     MAX_FRAME, Node,
-    parts::Asked,
-    tables::{BACK_MS, Source, index},
+    parts::PartsRequest,
+    tables::{RESTORED_MS, Source, index},
 };
 use crate::{logs::Topic, metrics::Reason, settings};
 
-/// Longest time for which a peer that was asked for records sends nothing.
-const PEER_SILENCE: Duration = Duration::from_millis(1_500);
-/// Largest value that comes with its record, in bytes: at most 55 ms of an agent's link.
-const HERE_BYTES: usize = 64 << 10;
-/// Bytes of all values in an answer; the rest of the frame is for keys.
-const ANSWER_BYTES: usize = MAX_FRAME / 4 * 3;
-/// Pause after a peer that gives to others, in milliseconds.
+/// Time limit for a peer's reply to a call for records.
+const RECORDS_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Largest value that is sent with its record, in bytes: an agent's link carries it in 55 ms at most.
+const INLINE_BYTES: usize = 64 << 10;
+/// Bytes of all values in a reply; the rest of the frame is for keys.
+const REPLY_BYTES: usize = MAX_FRAME / 4 * 3;
+/// Pause after a peer that is busy with other uploads, in milliseconds.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 20..=120;
 /// Time for which a peer of another region has to be ahead before it is asked for records, in
-/// milliseconds: two pauses between near entries' datagrams, and an answer.
-const FAR_MS: u64 = 300;
+/// milliseconds: two intervals between near entries' datagrams, and a reply.
+const FAR_DELAY_MS: u64 = 300;
 
-/// What comes of a table from peers.
+/// State of fetching one table from peers.
 #[derive(Default)]
 pub(super) struct Inbox {
     /// Whether a peer is being asked for records.
     asking: bool,
-    /// Since when a peer of another region has been ahead.
-    behind: Option<Time>,
+    /// Time since which a peer of another region has been ahead.
+    behind_since: Option<Time>,
+    /// Peers that hold records of the table.
     pub(super) holders: Holders,
+    /// Update that is not complete yet.
     pub(super) pending: Option<Announced>,
-    /// Outlives what announced it: its record may be superseded meanwhile, and is still newer than what is
-    /// here. To drop it for the newest each time would bring none of them while they change quickly.
+    /// Large value that is being fetched. It outlives the update that announced it: a superseded record is still
+    /// newer than the copy, and if each newer record restarted the transfer, none would complete while they
+    /// change quickly.
     pub(super) transfer: Option<Transfer>,
-    /// Whether the transfer is being worked on.
+    /// Whether a task is fetching the value.
     pub(super) fetching: bool,
 }
 
-/// What a peer announced.
+/// An update that a peer announced.
 pub(super) struct Announced {
     pub(super) pending: PendingUpdate,
-    /// Whether the peer vouches for its removals.
+    /// Whether the peer trusts the removals in it.
     sound: bool,
+    /// Time of the call.
     asked: Time,
-    /// Who brought the last of it.
+    /// Source of its last value.
     pub(super) source: Source,
 }
 
 impl Node {
-    /// Answers a peer's call, if it is for records or for parts of one. Other calls are for other kinds of
-    /// process; dropping the answer is how the caller knows.
+    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of process: their
+    /// stream is dropped, which tells the caller.
     pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
@@ -82,37 +86,38 @@
                 start,
                 caller,
             } => {
-                let asked = Asked {
+                let request = PartsRequest {
                     table,
                     offset,
                     start,
                     caller,
                 };
-                self.give_parts(asked, outgoing).await;
+                self.serve_parts(request, outgoing).await;
             }
             Call::Records { table, from, brief } => {
-                self.give_records(table, from, brief, outgoing).await;
+                self.serve_records(table, from, brief, outgoing).await;
             }
             _ => {}
         }
     }
 
-    /// Answers a peer's call for records.
-    async fn give_records(
+    /// Serves a peer's call for records.
+    async fn serve_records(
         self: &Rc<Node>,
         table: Table,
         from: u64,
         brief: bool,
         outgoing: Outgoing,
     ) {
-        let Some(update) = self.given(table, from, brief) else {
+        let Some(update) = self.update_for_peer(table, from, brief) else {
             return;
         };
-        // Where many ask at once, as after a start, few at a time are done sooner, and give to the others.
+        // When many peers ask at once, as after a start, serving few at a time completes the first copies sooner, and
+        // those peers then serve the others.
         let caller = if brief { Role::Agent } else { Role::Entry };
         let _slot = match update.bytes() {
-            ..=HERE_BYTES => None,
-            _ => match self.slot(caller) {
+            ..=INLINE_BYTES => None,
+            _ => match self.take_upload_slot(caller) {
                 Some(slot) => Some(slot),
                 None => {
                     outgoing.finish(&Reply::Absent(Absence::Busy)).await;
@@ -120,7 +125,7 @@
                 }
             },
         };
-        let mut room = ANSWER_BYTES;
+        let mut room = REPLY_BYTES;
         let rows = update.records.into_iter().map(|it| Row {
             age_ms: self.age_ms(table, &it),
             value: self.value_for_peer(table, &it, &mut room),
@@ -136,13 +141,13 @@
         outgoing.finish(&reply).await;
     }
 
-    /// A record's value as it is given to a peer; `room` is what is left for values in the answer.
+    /// Returns a record's value as it is sent to a peer; `room` is the space left for values in the reply.
     fn value_for_peer(&self, table: Table, record: &Record, room: &mut usize) -> Value {
         let Some(value) = &record.value else {
             return Value::Deleted;
         };
-        let large = HERE_BYTES < value.len() || *room < value.len();
-        // Parts are given of values as they are held, and not of abridged ones.
+        let large = INLINE_BYTES < value.len() || *room < value.len();
+        // Only values that this process holds as they are can be sent in parts, not abridged ones.
         if large && self.value_at(table, record.offset).as_ref() == Some(value) {
             return Value::Apart {
                 length: value.len() as u64,
@@ -153,14 +158,14 @@
         Value::Here(value.to_vec())
     }
 
-    /// Value of a record, if it is held.
+    /// Returns the value of a record, if the copy holds it.
     pub(super) fn value_at(&self, table: Table, offset: u64) -> Option<Bytes> {
         let copies = self.copies.borrow();
         copies[index(table)].at(offset)?.value.clone()
     }
 
-    /// An entry said that its copies go up to `ends`.
-    pub(super) fn know_holder(&self, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) {
+    /// Notes the ends of an entry's copies.
+    pub(super) fn note_holder(&self, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) {
         let near = self.near(zone);
         let now = self.clock.now();
         for (inbox, end) in self.inboxes.borrow_mut().iter_mut().zip(ends) {
@@ -168,15 +173,15 @@
         }
     }
 
-    /// Whether an availability zone lies in this process's region.
+    /// Returns whether an availability zone is in this process's region.
     pub(crate) fn near(&self, zone: &str) -> bool {
         let settings = self.settings();
         settings.region(zone) == settings.region(&settings.zone)
     }
 
-    /// A peer's copies go up to `ends`: reads from it what this process lacks; gives whether that was
-    /// anything. Peers of other regions are left alone for a moment, in which near ones most likely
-    /// have it too, and then asked by a few processes of this region first.
+    /// Fetches the records that this process lacks from a peer whose copies go up to `ends`; returns whether it lacks
+    /// any. Peers of other regions are asked only after a moment, within which near peers most likely have the
+    /// records too, and at first only by a few processes of this region.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
         let mut asked = false;
         let near = self.near(zone);
@@ -186,13 +191,13 @@
                 continue;
             }
             let behind = self.announced_end(table) < ends[index(table)];
-            let waits = !near && !self.asks_far(table);
+            let waits = !near && !self.may_ask_far(table);
             if !behind || waits {
                 continue;
             }
             asked = true;
             self.with_inbox(table, |it| {
-                it.behind = None;
+                it.behind_since = None;
                 it.asking = true;
             });
             let node = Rc::clone(self);
@@ -204,19 +209,20 @@
         asked
     }
 
+    /// Runs a function with the state of fetching a table.
     pub(super) fn with_inbox<T>(&self, table: Table, run: impl FnOnce(&mut Inbox) -> T) -> T {
         run(&mut self.inboxes.borrow_mut()[index(table)])
     }
 
-    /// Offset up to which the copy of a table goes once all is here that peers announced.
+    /// Returns the end of a table's copy once all announced records have arrived.
     fn announced_end(&self, table: Table) -> u64 {
         let announced = self.with_inbox(table, |it| it.pending.as_ref().map(|it| it.pending.end()));
         self.end(table).max(announced.unwrap_or(0))
     }
 
-    /// Whether it is this process's turn to ask a peer of another region for a table, with which that is ahead.
-    fn asks_far(&self, table: Table) -> bool {
-        let caller = self.caller();
+    /// Returns whether this process may ask a peer of another region that is ahead with a table.
+    fn may_ask_far(&self, table: Table) -> bool {
+        let caller = self.fetcher();
         if caller.role == Role::Agent && !self.loaded(table) {
             return true;
         }
@@ -226,21 +232,24 @@
             Role::Agent => 0,
             Role::Entry => it.holders.far_wait_ms(key, caller, now),
         });
-        self.long_behind(table, FAR_MS + turn_ms)
+        self.is_far_behind_for(table, FAR_DELAY_MS + turn_ms)
     }
 
-    /// Whether peers of other regions have been ahead with a table for so long.
-    fn long_behind(&self, table: Table, wait_ms: u64) -> bool {
+    /// Returns whether peers of other regions have been ahead with a table for a time.
+    fn is_far_behind_for(&self, table: Table, wait_ms: u64) -> bool {
         let now = self.clock.now();
         self.with_inbox(table, |it| {
-            // What near peers brought meanwhile does not count as being behind.
-            let recent = it.behind.filter(|it| now < it.after_ms(wait_ms + FAR_MS));
-            it.behind = recent.or(Some(now));
+            // A time outside this window is discarded: near peers have most likely sent those records since.
+            let recent = it
+                .behind_since
+                .filter(|it| now < it.after_ms(wait_ms + FAR_DELAY_MS));
+            it.behind_since = recent.or(Some(now));
             recent.is_some_and(|it| it.after_ms(wait_ms) <= now)
         })
     }
 
-    /// Agents need replicas only while they fetch weights, and entries never.
+    /// Returns whether this process keeps a table up to date from peers. Agents need the table of replicas only while
+    /// they fetch weights, and never that of entries.
     fn follows(&self, table: Table) -> bool {
         match self.settings.borrow().role {
             settings::Role::Agent { .. } => table == Table::Operator,
@@ -248,17 +257,17 @@
         }
     }
 
-    /// Reads what this process lacks of a table from a peer; gives whether the peer answered. Large values
-    /// come later, from whoever gives them.
+    /// Fetches the records of a table that this process lacks from a peer; returns whether the peer replied. Large
+    /// values follow later, from any peer that sends them.
     pub async fn ask_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
         let address = self.peer_address(peer);
         let from = self.end(table);
         let asked = self.clock.now();
-        let brief = self.takes_brief();
+        let brief = self.wants_abridged();
         let call = Call::Records { table, from, brief };
         let asking = self
             .peers
-            .ask_within(&address, Lane::Live, &call, PEER_SILENCE);
+            .ask_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
         let reply = asking.await;
         let (snapshot, rows, end, sound) = match reply {
             Ok(Ok(Reply::Records {
@@ -276,7 +285,7 @@
             Ok(Err(fault)) => return self.fetch_failed(peer, table, asked, reason(fault)),
             Err(_) => return self.fetch_failed(peer, table, asked, "late"),
         };
-        self.note_given(table, &rows, asked);
+        self.note_received_rows(table, &rows, asked);
         let rows: Vec<pending_update::Row> = rows.into_iter().map(row).collect();
         let pending = PendingUpdate::new(snapshot, rows, end);
         if pending.oversized() {
@@ -290,12 +299,12 @@
         };
         self.with_inbox(table, |it| it.holders.note(peer, None, end, asked));
         self.announce(table, announced);
-        self.settle(table);
-        self.fetch(table);
+        self.apply_complete(table);
+        self.start_fetch(table);
         true
     }
 
-    /// Keeps what a peer announced in place of what was announced before, whose values it takes over.
+    /// Replaces the update announced before by a newer one, which takes over its values.
     fn announce(&self, table: Table, mut announced: Announced) {
         self.with_inbox(table, |it| {
             let before = it.pending.take();
@@ -319,8 +328,8 @@
         });
     }
 
-    /// Takes in what has all come of what was announced, from peers or meanwhile from the store.
-    pub(super) fn settle(&self, table: Table) {
+    /// Applies the part of the announced update that is complete, from peers or meanwhile from the store.
+    pub(super) fn apply_complete(&self, table: Table) {
         let announced = self.with_inbox(table, |it| it.pending.take());
         let Some(mut announced) = announced else {
             return;
@@ -338,21 +347,22 @@
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
         }
-        // A peer that reads the store steadily knows better than a process that is cut off from it.
-        self.peer_sound.set(sound);
+        // A peer that reads the store without interruption is right about removals, also where this process is cut off.
+        self.peer_is_sound.set(sound);
         if let Some(update) = update {
             if !sound {
-                self.peer_doubt.set(self.clock.now().after_ms(BACK_MS));
+                self.peer_doubt_until
+                    .set(self.clock.now().after_ms(RESTORED_MS));
             }
-            self.take(table, update, source, asked);
+            self.apply_update(table, update, source, asked);
         }
         let seen = ahead.iter().map(|it| it.offset + 1).max();
-        self.take_ahead(table, ahead, source);
-        self.took_from_peer(table, seen);
-        self.peer_sound.set(false);
+        self.apply_ahead(table, ahead, source);
+        self.note_peer_update(table, seen);
+        self.peer_is_sound.set(false);
     }
 
-    /// Notes that a peer did not give what it was asked for.
+    /// Counts and logs a failed fetch from a peer; returns `false`.
     pub(super) fn fetch_failed(
         &self,
         peer: impl fmt::Display,
@@ -375,6 +385,7 @@
     }
 }
 
+/// Returns the metric label of a failed call.
 pub(super) fn reason(fault: client::Fault) -> &'static str {
     match fault {
         client::Fault::Lost => "lost",
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -1,4 +1,4 @@
-//! Copies of the platform's tables: who reads them from the store, and what peers bring.
+//! Copies of the platform's tables, which some processes read from the store and the others from peers.
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -21,26 +21,26 @@
     traffic::{Purpose, Reach},
 };
 
-/// First pause after a failed call to the store, which doubles with each further one.
+/// First pause after a failed call to the store, in milliseconds, which doubles with each further failure.
 const FIRST_PAUSE_MS: u64 = 150;
-/// Longest pause of entries, which have to follow the operator within seconds.
+/// Longest pause of entries after failed calls: they have to apply the operator's records within seconds.
 pub(super) const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Shortest wait of a read, in percent of the longest.
+/// Shortest wait of a long poll, in percent of the longest.
 const SHORTEST_WAIT_PERCENT: u64 = 75;
-/// Pause before a process that leaves reading to others looks again whether it is to read.
-const STANDBY: Duration = Duration::from_millis(200);
+/// Pause between checks whether a process on standby has to read the store.
+const STANDBY_PAUSE: Duration = Duration::from_millis(200);
 /// Time after an interruption of reading a table within which the store may still drop records of
-/// replicas that live, in milliseconds.
+/// live replicas, in milliseconds.
 const DOUBT_MS: u64 = 1_500;
-/// Time after the interruption by which dropped records of replicas that live are back, in
-/// milliseconds: two seconds, and a read. Counted from there and not from the removal, so that a
-/// replica which leaves just then is left in time.
-pub(super) const BACK_MS: u64 = 2_300;
+/// Time after the interruption by which dropped records of live replicas are back, in milliseconds: two
+/// seconds, and a read. It counts from the end of the interruption and not from the removal, so that requests
+/// to a replica which leaves just then stop in time.
+pub(super) const RESTORED_MS: u64 = 2_300;
 
-/// Where records came from.
+/// Source of records.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Source {
-    /// This process, by what it saw itself.
+    /// This process, by its own observation.
     Own,
     /// Another process.
     Peer(Ipv4Addr),
@@ -69,95 +69,96 @@
     }
 }
 
-/// How reading a table from the store goes.
+/// State of reading a table from the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) enum Reading {
+pub(super) enum ReadState {
     /// The last read failed.
     Interrupted,
-    /// It failed, and has gone well since.
+    /// A read failed, and reads have succeeded since this time.
     Resumed(Time),
-    /// It has never failed.
+    /// No read has failed.
     #[default]
     Steady,
-    /// It is left to others.
+    /// Other processes read the table.
     Standby,
 }
 
 impl Node {
-    /// Whether this process leaves reading a table from the store to others.
+    /// Returns whether this process leaves reading a table from the store to others.
     pub fn on_standby(&self, table: Table) -> bool {
-        self.reading.borrow()[index(table)] == Reading::Standby
+        self.read_states.borrow()[index(table)] == ReadState::Standby
     }
 
-    /// Whether the store serves this process, as far as it knows. For a moment after an interruption it
-    /// counts as unserved, so that others, which saw none, go on reading: what it reads is doubtful.
+    /// Returns whether the store serves this process, as far as it knows. For a moment after an interruption it
+    /// counts as unserved, as its reads are doubtful: processes without an interruption keep reading.
     pub fn access(&self) -> Access {
         let now = self.clock.now();
-        let doubtful = |it: &Reading| match it {
-            Reading::Interrupted => true,
-            Reading::Resumed(at) => now < at.after_ms(DOUBT_MS),
-            Reading::Standby | Reading::Steady => false,
+        let doubtful = |it: &ReadState| match it {
+            ReadState::Interrupted => true,
+            ReadState::Resumed(at) => now < at.after_ms(DOUBT_MS),
+            ReadState::Standby | ReadState::Steady => false,
         };
-        if self.reading.borrow().iter().any(doubtful) {
+        if self.read_states.borrow().iter().any(doubtful) {
             Access::Unserved
         } else {
             Access::Served
         }
     }
 
-    /// Whether the copy of a table has ever been brought up to date.
+    /// Returns whether the copy of a table has ever been loaded.
     pub fn loaded(&self, table: Table) -> bool {
         self.copies.borrow()[index(table)].loaded()
     }
 
-    /// Whether a removal from a table may be an error of the store's.
+    /// Returns whether a removal from a table that is received now may be an error of the store.
     pub fn trust(&self, table: Table) -> StoreTrust {
-        if self.peer_sound.get() {
+        if self.peer_is_sound.get() {
             return StoreTrust::Sound;
         }
         let now = self.clock.now();
-        match self.reading.borrow()[index(table)] {
-            Reading::Interrupted => StoreTrust::Doubtful(now.after_ms(BACK_MS)),
-            Reading::Resumed(at) if now < at.after_ms(DOUBT_MS) => {
-                StoreTrust::Doubtful(at.after_ms(BACK_MS))
+        match self.read_states.borrow()[index(table)] {
+            ReadState::Interrupted => StoreTrust::Doubtful(now.after_ms(RESTORED_MS)),
+            ReadState::Resumed(at) if now < at.after_ms(DOUBT_MS) => {
+                StoreTrust::Doubtful(at.after_ms(RESTORED_MS))
             }
-            Reading::Standby if now < self.peer_doubt.get() => {
-                StoreTrust::Doubtful(self.peer_doubt.get())
+            ReadState::Standby if now < self.peer_doubt_until.get() => {
+                StoreTrust::Doubtful(self.peer_doubt_until.get())
             }
-            Reading::Resumed(_) | Reading::Standby | Reading::Steady => StoreTrust::Sound,
+            ReadState::Resumed(_) | ReadState::Standby | ReadState::Steady => StoreTrust::Sound,
         }
     }
 
-    /// Whether what is being taken in is the first of its table. Nothing is known of when it was written, also
-    /// not by peers: their words reach back to the start of this process.
+    /// Returns whether the records that are being applied are the first of their table. The times at which they were
+    /// written are unknown, as peers' datagrams cover only the time since this process started.
     pub fn is_initial_load(&self) -> bool {
-        self.beginning.get()
+        self.initial_load.get()
     }
 
-    /// Whether the copy of a table has a record with a key.
+    /// Returns whether the copy of a table has a record with a key.
     pub fn has_key(&self, table: Table, key: &str) -> bool {
         self.copies.borrow()[index(table)].value(key).is_some()
     }
 
-    /// Newest records of a table.
+    /// Returns the newest records of a table.
     pub fn records(&self, table: Table) -> Vec<Record> {
         let copies = self.copies.borrow();
         copies[index(table)].records().cloned().collect()
     }
 
-    /// Offset up to which the copy of a table goes.
+    /// Returns the offset up to which the copy of a table goes.
     pub fn end(&self, table: Table) -> u64 {
         self.copies.borrow()[index(table)].end()
     }
 
-    fn apply(&self, table: Table, update: Update) {
-        self.beginning.set(!self.loaded(table));
+    /// Applies an update to the copy of a table.
+    fn apply_to_copy(&self, table: Table, update: Update) {
+        self.initial_load.set(!self.loaded(table));
         let changed = self.copies.borrow_mut()[index(table)].apply(update);
-        self.observed(table, changed);
+        self.notify_observer(table, changed);
     }
 
-    /// Tells the observer what changed.
-    fn observed(&self, table: Table, changed: Vec<Record>) {
+    /// Passes changed records to the observer.
+    fn notify_observer(&self, table: Table, changed: Vec<Record>) {
         if changed.is_empty() {
             return;
         }
@@ -168,21 +169,22 @@
         self.changed.notify_waiters();
     }
 
-    /// How long the copy of a table has lacked what peers are known to have; `None` if it lacks nothing.
+    /// Returns for how long the copy of a table has lacked records that peers are known to have; `None` if it lacks
+    /// none.
     pub fn behind(&self, table: Table) -> Option<Duration> {
-        let lacks_since = self.ages.borrow()[index(table)].known_since(self.end(table));
+        let lacks_since = self.write_times.borrow()[index(table)].known_since(self.end(table));
         lacks_since.map(|it| self.clock.now().since(it))
     }
 
-    /// Takes in what a source brought, and says so where a request may later depend on it.
-    pub(super) fn take(&self, table: Table, update: Update, source: Source, asked: Time) {
+    /// Applies an update, and logs it if it may affect requests.
+    pub(super) fn apply_update(&self, table: Table, update: Update, source: Source, asked: Time) {
         let bytes = update.bytes();
         let purpose = match source {
             Source::Store => Purpose::Store,
             Source::Own | Source::Peer(_) => Purpose::Records,
         };
         self.count(purpose, self.reach(source), bytes);
-        let update = self.without_foreign(table, update, source);
+        let update = self.replace_unreadable(table, update, source);
         let label = Reason {
             reason: source.name(),
         };
@@ -201,10 +203,11 @@
                 "ms" => self.clock.now().since(asked).as_millis() as u64);
         }
         self.source.set(source);
-        self.apply(table, update);
+        self.apply_to_copy(table, update);
         self.update_behind_metric();
     }
 
+    /// Returns the reach of the bytes of an update.
     fn reach(&self, source: Source) -> Reach {
         match source {
             Source::Peer(peer) => Reach::of(self.is_near_peer(peer)),
@@ -212,15 +215,15 @@
         }
     }
 
-    /// Whether a peer is known to be in this process's region.
+    /// Returns whether a peer is known to be in this process's region.
     pub fn is_near_peer(&self, peer: Ipv4Addr) -> bool {
         self.near_peers.borrow().get(&peer) == Some(&true)
     }
 
-    /// Takes in records from beyond the end of the copy, since something large before them is still on its
-    /// way. The copy goes no further by that.
-    pub(super) fn take_ahead(&self, table: Table, records: Vec<Record>, source: Source) {
-        self.beginning.set(!self.loaded(table));
+    /// Applies records beyond the end of the copy while a large record before them is still being fetched. The end
+    /// of the copy does not move.
+    pub(super) fn apply_ahead(&self, table: Table, records: Vec<Record>, source: Source) {
+        self.initial_load.set(!self.loaded(table));
         let changed = self.copies.borrow_mut()[index(table)].apply_ahead(records);
         if table == Table::Operator
             && !changed.is_empty()
@@ -230,36 +233,36 @@
                 "rows" => changed.len(), "end" => self.end(table));
         }
         self.source.set(source);
-        self.observed(table, changed);
+        self.notify_observer(table, changed);
     }
 
-    /// Shows in the metrics for how long the operator's table has lacked something.
+    /// Sets the metric of the time for which the copy of the operator's table has lacked records.
     pub fn update_behind_metric(&self) {
         let behind = self.behind(Table::Operator).unwrap_or_default();
         self.metrics.behind.set(behind.as_secs_f64());
     }
 
-    /// Where the records that are being taken in came from.
+    /// Returns the source of the records that are being applied.
     pub fn source(&self) -> Source {
         self.source.get()
     }
 
-    /// Keeps the copy of a table up to date from the store, with `pause` between reads that wait `wait` at
-    /// most.
+    /// Keeps the copy of a table up to date from the store, by long polls of at most `wait` with `pause` between
+    /// them.
     pub async fn follow(self: Rc<Node>, table: Table, wait: Duration, pause: Duration) {
         let mut failures = 0;
         let mut fresh = false;
         loop {
-            if self.stands_by(table) {
-                // Peers keep the copy up to date, so reading goes on where it ends.
+            if self.update_standby(table) {
+                // Peers keep the copy up to date, so later reads continue at its end.
                 fresh = self.loaded(table);
-                actix_rt::time::sleep(STANDBY).await;
+                actix_rt::time::sleep(STANDBY_PAUSE).await;
                 continue;
             }
             self.count_call(table);
-            // After a failure, a read without a wait soon tells whether the store is back.
+            // After a failure, a read without a wait soon shows whether the store is back.
             let wait = if failures == 0 {
-                self.drawn(wait)
+                self.jittered_wait(wait)
             } else {
                 Duration::ZERO
             };
@@ -267,16 +270,16 @@
             match read {
                 Ok(()) => {
                     failures = 0;
-                    self.store_answered(table);
+                    self.note_store_success(table);
                     let election = self.election.borrow().clone();
                     let pause = election.map_or(pause, |it| it.pause(table, pause));
                     actix_rt::time::sleep(pause).await;
                 }
                 Err(fault) => {
-                    self.store_fault(table, &fault);
+                    self.note_store_fault(table, &fault);
                     let silent = matches!(fault, Fault::Broken | Fault::Lost);
                     if failures == 0 && silent {
-                        // Whether it was the connection only, a new one tells at once.
+                        // A retry on a new connection shows at once whether only the old one failed.
                         failures = 1;
                         continue;
                     }
@@ -291,38 +294,39 @@
         }
     }
 
-    /// The wait of one read. Readers begin to wait together, with the last record: drawn waits spread, so
-    /// that one of them soon finds out that connections have gone silent.
-    fn drawn(&self, longest: Duration) -> Duration {
+    /// Returns the wait of one read, with jitter. Readers start to wait together, at the last record, and spread
+    /// waits let one of them soon detect that connections have gone silent.
+    fn jittered_wait(&self, longest: Duration) -> Duration {
         let longest = longest.as_millis() as u64;
         let shortest = longest * SHORTEST_WAIT_PERCENT / 100;
         Duration::from_millis(self.with_rng(|it| it.random_range(shortest..=longest)))
     }
 
-    /// Whether reading a table is left to others now.
-    fn stands_by(&self, table: Table) -> bool {
+    /// Updates and returns whether reading a table is left to others.
+    fn update_standby(&self, table: Table) -> bool {
         let election = self.election.borrow().clone();
         let Some(election) = election else {
             return false;
         };
         let reads = election.reads(table);
-        let before = self.reading.borrow()[index(table)];
-        if reads == (before == Reading::Standby)
+        let before = self.read_states.borrow()[index(table)];
+        if reads == (before == ReadState::Standby)
             && let Some(log) = self.logs.line(Topic::Dependency)
         {
-            info!(log, "duty"; "table" => ?table, "reads_store" => reads);
+            info!(log, "store reader changed"; "table" => ?table, "reads_store" => reads);
         }
-        let reading = &mut self.reading.borrow_mut()[index(table)];
+        let reading = &mut self.read_states.borrow_mut()[index(table)];
         match (reads, *reading) {
-            (false, _) => *reading = Reading::Standby,
-            // That others are not served says little of the store; whether it is out of reach shows in
-            // the first read.
-            (true, Reading::Standby) => *reading = Reading::Steady,
+            (false, _) => *reading = ReadState::Standby,
+            // Other readers without access say little about the store; the first read shows whether it is
+            // reachable.
+            (true, ReadState::Standby) => *reading = ReadState::Steady,
             (true, _) => {}
         }
         !reads
     }
 
+    /// Reads a table once: a snapshot first, then changes.
     async fn read(&self, table: Table, fresh: &mut bool, wait: Duration) -> Result<(), Fault> {
         let store = &self.platform.store;
         let asked = self.clock.now();
@@ -330,7 +334,7 @@
             let update = store.snapshot(table).await?;
             *fresh = true;
             self.note_read(table, &update, asked, Duration::ZERO);
-            self.take(table, update, Source::Store, asked);
+            self.apply_update(table, update, Source::Store, asked);
             self.confirm(table, asked);
             return Ok(());
         }
@@ -338,74 +342,80 @@
         match store.follow(table, self.end(table), wait_ms).await? {
             Followed::Dropped => *fresh = false,
             Followed::Part(update) => {
-                // It broke off on its way, so nobody has looked since it was asked for.
+                // The response broke off, so it confirms nothing about the time after the request.
                 self.note_read(table, &update, asked, Duration::ZERO);
-                self.take(table, update, Source::Store, asked);
+                self.apply_update(table, update, Source::Store, asked);
             }
             Followed::Update(update) => {
-                let passed = update.records.is_empty();
+                let waited_in_full = update.records.is_empty();
                 self.note_read(table, &update, asked, wait);
-                // Before what was read is taken in: records of an interruption are doubtful.
-                self.take(table, update, Source::Store, asked);
-                // An answer without records was sent when the whole wait had passed.
-                let whole_at = if passed { asked.after(wait) } else { asked };
-                self.confirm(table, whole_at);
+                // Applied before the copy is confirmed: records of an interruption are doubtful.
+                self.apply_update(table, update, Source::Store, asked);
+                // A response without records was sent after the whole wait.
+                let complete_at = if waited_in_full {
+                    asked.after(wait)
+                } else {
+                    asked
+                };
+                self.confirm(table, complete_at);
             }
         }
         Ok(())
     }
 
-    /// Reads a table whole from the store, once.
+    /// Reads a snapshot of a table from the store, once.
     pub async fn read_snapshot(&self, table: Table) {
         self.count_call(table);
         let asked = self.clock.now();
         match self.platform.store.snapshot(table).await {
             Ok(update) => {
                 self.note_read(table, &update, asked, Duration::ZERO);
-                self.take(table, update, Source::Store, asked);
+                self.apply_update(table, update, Source::Store, asked);
                 self.confirm(table, asked);
             }
-            Err(fault) => self.store_fault(table, &fault),
+            Err(fault) => self.note_store_fault(table, &fault),
         }
     }
 
-    fn store_answered(&self, table: Table) {
-        let reading = &mut self.reading.borrow_mut()[index(table)];
-        if *reading == Reading::Interrupted {
-            *reading = Reading::Resumed(self.clock.now());
+    /// Notes a successful call to the store.
+    fn note_store_success(&self, table: Table) {
+        let reading = &mut self.read_states.borrow_mut()[index(table)];
+        if *reading == ReadState::Interrupted {
+            *reading = ReadState::Resumed(self.clock.now());
         }
-        if self.store_trouble.take().is_some()
+        if self.logged_store_fault.take().is_some()
             && let Some(log) = self.logs.line(Topic::Dependency)
         {
             info!(log, "store regained");
         }
     }
 
-    fn store_fault(&self, table: Table, fault: &Fault) {
+    /// Notes a failed call to the store.
+    fn note_store_fault(&self, table: Table, fault: &Fault) {
         self.metrics.store_faults.inc();
-        self.reading.borrow_mut()[index(table)] = Reading::Interrupted;
-        let trouble = match fault {
+        self.read_states.borrow_mut()[index(table)] = ReadState::Interrupted;
+        let event = match fault {
             Fault::Lost | Fault::Unreachable => "store lost",
             _ => "store fault",
         };
-        if self.store_trouble.replace(Some(trouble)) != Some(trouble)
+        if self.logged_store_fault.replace(Some(event)) != Some(event)
             && let Some(log) = self.logs.line(Topic::Dependency)
         {
-            warn!(log, "{}", trouble; "table" => ?table, "fault" => %fault);
+            warn!(log, "{}", event; "table" => ?table, "fault" => %fault);
         }
     }
 
-    /// Whether a record that removes something from a table may be an error of the store's. Counts from when
-    /// the record is known to be there, and not from before an interruption: doubt would end too soon.
+    /// Returns whether a removal may be an error of the store. The doubt counts from the time since which the record
+    /// is known to exist, and not from before an interruption, as it would end too soon.
     pub fn trust_in_removal(&self, table: Table, record: &Record) -> StoreTrust {
         let now = self.clock.now();
-        let known = self.ages.borrow()[index(table)].known_since(record.offset);
+        let known = self.write_times.borrow()[index(table)].known_since(record.offset);
         let written = known.map_or(now, |it| it.min(now));
-        self.trust(table).of_written(written, BACK_MS)
+        self.trust(table).of_written(written, RESTORED_MS)
     }
 }
 
-/// Position of a table in arrays of one value for each.
+/// Returns the position of a table in arrays with one value per table.
 pub(super) fn index(table: Table) -> usize {
     match table {
         Table::Entries => 0,
