--- a/crates/gradeloft_policy/src/lib.rs
+++ b/crates/gradeloft_policy/src/lib.rs
@@ -1,13 +1,13 @@
-//! Every decision of gradeloft, without I/O, clock, globals or runtime.
+//! All decisions of gradeloft as pure logic, without I/O, clock, globals or runtime.
 //!
-//! Functions here take a state, an event, the time and a random generator, and give actions; the
-//! daemon carries the actions out. Modules follow life spans:
+//! Functions take a state, an event, the time and a random generator, and return actions, which the
+//! daemon carries out. Modules are grouped by the lifetime of the state they handle:
 //!
-//! - [`request`]: what lives for a request: admission, route, retries, at most once, answer.
-//! - [`connection`]: what lives for a connection: health, pacing.
-//! - [`version`]: what lives for a bundle or a version: acceptance, placement, distribution.
-//! - [`process`]: what lives for a process: membership, addresses.
-//! - [`clock`] and [`rendezvous`] serve them all.
+//! - [`request`]: one request: admission, routing, retries, at-most-once execution, answers.
+//! - [`connection`]: one connection: health, pacing.
+//! - [`version`]: one bundle or version: acceptance, placement, distribution.
+//! - [`process`]: one process: membership, gossip, replicas, rate leases, table copies.
+//! - [`clock`] and [`rendezvous`] are used by all of them.
 
 pub mod clock;
 pub mod connection;
@@ -16,7 +16,7 @@
 pub mod request;
 pub mod version;
 
-/// The names that most users of this crate want.
+/// The items that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         clock::Time,
--- a/crates/gradeloft_policy/src/process/address.rs
+++ b/crates/gradeloft_policy/src/process/address.rs
@@ -1,27 +1,28 @@
-//! Which entries a caller is told to use.
+//! Orders the entries that a caller can use.
 
 use std::cmp::Reverse;
 
 use crate::rendezvous;
 
-/// Share of requests for entries in the caller's availability zone.
+/// Weight of an entry in the caller's availability zone.
 const NEAR_WEIGHT: u32 = 100;
-/// Share for the others.
+/// Weight of any other entry.
 const FAR_WEIGHT: u32 = 10;
 
-/// An entry that takes new requests.
+/// An entry that accepts new requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
     /// Instance.
     pub node: String,
     /// Availability zone.
     pub zone: String,
-    /// Public address, ip:port.
+    /// Public address, as `ip:port`.
     pub address: String,
 }
 
-/// Entries in order of use for a team in a zone, each with its weight: the near ones first, and
-/// among equals each team in an order of its own, so that teams spread over the entries.
+/// Returns the entries in order of preference for a team in a zone, each with its weight. Entries
+/// of that zone come first. Within each group, each team has an order of its own, which spreads
+/// teams over the entries.
 pub fn order(entries: &[Entry], team: &str, zone: &str) -> Vec<(Entry, u32)> {
     let key = rendezvous::hash(team.as_bytes());
     let mut ranked: Vec<&Entry> = entries.iter().collect();
--- a/crates/gradeloft_policy/src/process/allowed_regions.rs
+++ b/crates/gradeloft_policy/src/process/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Regions to which the operator binds the requests of a route or team.
+//! Regions in which the requests of a route or team may be served.
 
 use std::{collections::BTreeSet, fmt, rc::Rc};
 
@@ -20,7 +20,7 @@
 }
 
 impl AllowedRegions {
-    /// The regions of a list, or all regions if the list is empty.
+    /// Returns a set of the given regions, or of all regions if there are none.
     pub fn of(regions: impl IntoIterator<Item = String>) -> AllowedRegions {
         let regions: BTreeSet<String> = regions.into_iter().collect();
         AllowedRegions {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Regions that both allow. Two lists without a common region allow none.
+    /// Returns the regions that both sets allow. Two lists without a common region allow none.
     pub fn intersect(&self, other: &AllowedRegions) -> AllowedRegions {
         let regions = match (&self.regions, &other.regions) {
             (Some(one), Some(other)) => Some(Rc::new(one.intersection(other).cloned().collect())),
@@ -49,7 +49,7 @@
     }
 }
 
-/// The regions with commas between; `*` for all.
+/// Writes the regions separated by commas, or `*` for all regions.
 impl fmt::Display for AllowedRegions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(regions) = &self.regions else {
--- a/crates/gradeloft_policy/src/process/announcements.rs
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -1,8 +1,9 @@
-//! What an entry tells others at once, and again until they have most likely heard it.
+//! Schedules announcements to other entries and their repetition.
 //!
-//! Datagrams get lost, and entries are frozen, cut off or just starting, so what must be known everywhere soon is
-//! told several times. Whoever hears a word that lacks something answers with what it knows; that all who know it
-//! answer at once is avoided by waiting for a while, and by keeping quiet once another has said the same.
+//! Datagrams get lost, and entries can be suspended, cut off or just starting, so an announcement
+//! that must reach all entries soon is repeated. An entry that receives outdated information
+//! replies with its own. To avoid replies from all entries at once, each waits for a while and
+//! drops its reply if another entry has sent the same in the meantime.
 
 use std::collections::HashMap;
 
@@ -10,17 +11,18 @@
 
 use crate::clock::Time;
 
-/// When something is told after it came up, in milliseconds. Of a word that is lost once in thirty times on a
-/// bad link, four in a million are lost each time; and the last comes after a process that had just started, or
-/// was away for a second, listens again.
+/// Times at which an announcement is sent, counted from its creation, in milliseconds. On a bad
+/// link that loses one datagram in thirty, four announcements in a million are lost every time. The
+/// last one is sent after a process that had just started, or was suspended for a second, receives
+/// again.
 const SEND_AT_MS: [u64; 5] = [0, 125, 500, 1_000, 2_000];
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
     since: Time,
-    /// How often it was told.
+    /// Number of times it was sent.
     sent: usize,
-    /// How often it is told in all.
+    /// Number of times it is to be sent.
     times: usize,
 }
 
@@ -31,14 +33,14 @@
     }
 }
 
-/// Requests of which others are told.
+/// Requests to announce to other entries.
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
     items: HashMap<Fingerprint, Item>,
 }
 
 impl Announcements {
-    /// Something came up that others do not know: they are told from now on.
+    /// Schedules announcements of new information about a request, starting now.
     pub fn add(&mut self, request: Fingerprint, now: Time) {
         let item = Item {
             since: now,
@@ -48,9 +50,10 @@
         self.items.insert(request, item);
     }
 
-    /// Another entry lacks something: it is told at `at`, unless it will be told sooner in any case.
+    /// Schedules a single reply to an entry with outdated information at `at`, unless an
+    /// announcement of the request is already scheduled.
     pub fn schedule_answer(&mut self, request: Fingerprint, at: Time) {
-        // Once is enough: whoever still lacks it is answered again.
+        // One reply is enough, since each further outdated message gets another one.
         let item = Item {
             since: at,
             sent: 0,
@@ -59,7 +62,7 @@
         self.items.entry(request).or_insert(item);
     }
 
-    /// Another entry said what this one would have said.
+    /// Cancels a reply that another entry has already sent.
     pub fn cancel_answer(&mut self, request: Fingerprint) {
         let answer = |it: &Item| it.times == 1;
         if self.items.get(&request).is_some_and(answer) {
@@ -67,7 +70,8 @@
         }
     }
 
-    /// What is to be told now, `most` requests at the most: those of the highest `weight` first.
+    /// Returns the requests to announce now, at most `most` of them, those of the highest `weight`
+    /// first.
     pub fn take_due(
         &mut self,
         now: Time,
--- a/crates/gradeloft_policy/src/process/cadence.rs
+++ b/crates/gradeloft_policy/src/process/cadence.rs
@@ -1,27 +1,28 @@
-//! How often an entry tells others of itself.
+//! Derives the interval between messages to others from a byte budget.
 //!
-//! What a process spends on control must not grow with the fleet: it shares its instance's link, and the links
-//! between regions, with requests. So each kind of word has a budget in bytes a second, and the pause between
-//! words follows from how many are told, and from how much.
+//! The cost of control messages to a process must not grow with the fleet, since they share the
+//! links of its instance and the links between regions with requests. Each kind of message
+//! therefore has a budget in bytes a second, from which the interval follows by the number of
+//! receivers and the size of the message.
 
 use std::time::Duration;
 
-/// Bytes of the headers of a datagram on the wire.
+/// Size of the headers of a datagram on the wire, in bytes.
 const HEADERS: usize = 28;
 
-/// Budget of one kind of word.
+/// Budget of one kind of message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Budget {
     /// Bytes a second that a process sends.
     pub bytes_per_s: u64,
-    /// Shortest pause; no receiver decides better by hearing more often.
+    /// Shortest interval; more frequent messages don't improve any receiver's decisions.
     pub shortest: Duration,
-    /// Longest pause; beyond it receivers would take the sender for gone.
+    /// Longest interval; with a longer one, receivers would consider the sender dead.
     pub longest: Duration,
 }
 
 impl Budget {
-    /// Pause between two words of `bytes` to so many receivers.
+    /// Returns the interval between two messages of `bytes` bytes to each of `receivers`.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -1,5 +1,4 @@
-//! The operator's configuration: which service a request goes to, who may send it, and the bounds
-//! it is held to.
+//! The operator's configuration: routes, services, API keys and the limits for requests.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc};
 
@@ -7,16 +6,16 @@
 
 use super::allowed_regions::AllowedRegions;
 
-/// Whether a request may run more than once, and how its answer comes.
+/// Whether a request may run more than once, and the form of its answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RouteKind {
-    /// May run again after any failure.
+    /// May be run again after any failure.
     Idempotent,
-    /// Runs at most once.
+    /// Must run at most once.
     Once,
-    /// An event stream that runs at most once.
+    /// Event stream that must run at most once.
     Stream,
-    /// An event stream that another replica can continue after a given event.
+    /// Event stream that another replica can resume after a given event.
     ResumableStream,
 }
 
@@ -32,44 +31,44 @@
     }
 }
 
-/// A service that a route may lead to, and its part of the route's requests.
+/// A service that a route leads to, and its share of the route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Service.
     pub service: Rc<str>,
-    /// Part of the requests, relative to the other targets' weights.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: f64,
 }
 
-/// Where requests for a host and a path prefix go.
+/// Rule for the requests to a host whose path has a given prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: Rc<str>,
-    /// Host that it serves, in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// Begins the path of each request that it serves; ends with a slash.
+    /// Prefix of the request path; ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated, and the form of their answers.
     pub kind: RouteKind,
     /// Services; at least one.
     pub targets: Vec<Target>,
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth its full credit, in milliseconds.
+    /// Time within which an answer has its full value, in milliseconds.
     pub goal_ms: u64,
-    /// Most replicas that one request is sent to; at least 1.
+    /// Highest number of replicas that one request is sent to; at least 1.
     pub max_attempts: u32,
-    /// Rank under overload; 0 is the highest.
+    /// Priority under overload; 0 is the highest.
     pub priority: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no API key.
     pub public: bool,
     /// Regions in which its requests may be served.
     pub homes: AllowedRegions,
 }
 
 impl Route {
-    /// Draws the service of one request by the targets' weights.
+    /// Selects the service of one request at random by the weights of the targets.
     pub fn draw(&self, rng: &mut impl Rng) -> Rc<str> {
         let sum: f64 = self.targets.iter().map(|it| it.weight).sum();
         let mut left = rng.random::<f64>() * sum;
@@ -83,63 +82,64 @@
     }
 }
 
-/// How a service's weights are cut into pieces.
+/// Division of a service's weights into pieces.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Layout {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// Pieces of one version.
+    /// Number of pieces of one version.
     pub pieces: u32,
-    /// Bytes of one piece.
+    /// Size of one piece, in bytes.
     pub piece_bytes: u32,
 }
 
-/// How fast the engines of a service work, as the operator publishes it.
+/// Speed of the engines of a service, as published by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speed {
-    /// Time of a step, which writes one token of each request, in milliseconds. Above 0.
+    /// Duration of a decoding step, which generates one token of each request, in milliseconds.
+    /// Above 0.
     pub step_ms: f64,
-    /// What each request that writes adds to a step, in milliseconds.
+    /// Time that each request in decoding adds to a step, in milliseconds.
     pub step_ms_per_request: f64,
-    /// Steps of one pass; at least 1.
+    /// Number of steps in one pass; at least 1.
     pub steps: u32,
-    /// Prompt tokens that are read in a millisecond. Above 0.
+    /// Prompt tokens processed per millisecond. Above 0.
     pub read_per_ms: f64,
-    /// Tokens of a usual prompt.
+    /// Tokens of a typical prompt.
     pub usual_prompt: f64,
-    /// Tokens of a usual answer.
+    /// Tokens of a typical answer.
     pub usual_answer: f64,
 }
 
-/// What a replica of a service bears while it is cold.
+/// Load that a replica of a service tolerates while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    /// Time from a replica's start until it is warm, in milliseconds.
+    /// Time from the start of a replica until it is warm, in milliseconds.
     pub ms: u64,
     /// Requests a second. Above 0.
     pub per_s: f64,
 }
 
-/// A service and what its replicas bear.
+/// A service and the limits of its replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name.
     pub name: Rc<str>,
-    /// Connections that each of its replicas takes from all callers together.
+    /// Connections that each replica accepts from all callers together.
     pub max_connections: u32,
-    /// What its replicas bear while they are cold; `None` if they are never cold.
+    /// Load that its replicas tolerate while they are cold; `None` if they are never cold.
     pub warmup: Option<Warmup>,
-    /// How its weights are cut, for services that run a model.
+    /// Division of its weights into pieces, for services that run a model.
     pub layout: Option<Layout>,
-    /// How fast its engines work, for services that run a model.
+    /// Speed of its engines, for services that run a model.
     pub speed: Option<Speed>,
-    /// Models that its replicas may hold.
+    /// Models that its replicas may load.
     pub models: Vec<String>,
-    /// Where pieces of weights are read, for the service that is the origin.
+    /// Address that serves pieces of weights, for the service that is the origin.
     pub origin: Option<SocketAddr>,
 }
 
-/// What callers may send.
+/// Limits for requests of callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
     /// Largest request head, in bytes.
@@ -152,25 +152,25 @@
     pub idle_ms: u64,
 }
 
-/// One version of the configuration, as the operator wrote it.
+/// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
-    /// Version; a node only moves up.
+    /// Version; a node never goes back to a lower one.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Team of each key. Empty when requests need no key.
+    /// Team of each API key. Empty when requests need no key.
     pub keys: HashMap<String, Rc<str>>,
-    /// Regions in which requests of a team may be served, for teams that are bound to some.
+    /// Regions in which requests of a team may be served, for teams with such a restriction.
     pub homes: HashMap<Rc<str>, AllowedRegions>,
-    /// What callers may send.
+    /// Limits for requests of callers.
     pub limits: CallerLimits,
 }
 
 impl Document {
-    /// Whether all streams of a service can go on at another replica.
+    /// Whether another replica can resume any stream of a service.
     pub fn resumes(&self, service: &str) -> bool {
         let leads = |it: &&Route| it.targets.iter().any(|it| &*it.service == service);
         let mut routes = self.routes.iter().filter(leads);
@@ -178,18 +178,18 @@
     }
 }
 
-/// Why a request has no route.
+/// Reason why a request is denied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
     /// No route for the host and path.
     NoRoute,
-    /// The key is absent or nobody's.
+    /// The API key is missing or unknown.
     UnknownKey,
 }
 
-/// A document made ready for look-ups.
+/// A document indexed for look-ups.
 ///
-/// Routes of one host are sorted with the longest prefix first, so the first match is the one.
+/// The routes of a host are sorted by descending length of their prefix.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The document.
@@ -198,7 +198,7 @@
 }
 
 impl Config {
-    /// Sorts a document's routes.
+    /// Indexes the routes of a document.
     pub fn new(document: Document) -> Config {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (idx, route) in document.routes.iter().enumerate() {
@@ -210,7 +210,7 @@
         Config { document, by_host }
     }
 
-    /// The route of a request; `path` without its query.
+    /// Returns the route of a request; `path` has no query.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, Denied> {
         let host = host.split(':').next().unwrap_or_default();
         let routes = self.by_host.get(&host.to_ascii_lowercase());
@@ -222,7 +222,8 @@
             .ok_or(Denied::NoRoute)
     }
 
-    /// The team that sends a request on `route`; `None` where no key is needed and none is known.
+    /// Returns the team that sends a request on `route`, or `None` if no key is needed and none is
+    /// known.
     pub fn team(&self, route: &Route, key: Option<&str>) -> Result<Option<Rc<str>>, Denied> {
         let team = key.and_then(|it| self.document.keys.get(it)).cloned();
         let needed = !route.public && !self.document.keys.is_empty();
@@ -232,7 +233,7 @@
         Ok(team)
     }
 
-    /// Regions in which a team's requests on a route may be served.
+    /// Returns the regions in which a team's requests on a route may be served.
     pub fn allowed_regions(&self, route: &Route, team: Option<&str>) -> AllowedRegions {
         match team.and_then(|it| self.document.homes.get(it)) {
             Some(homes) => route.homes.intersect(homes),
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Regions in which requests for a host may be served by any of its routes.
+    /// Returns the regions in which requests for a host may be served by all of its routes.
     pub fn allowed_regions_of_host(&self, host: &str) -> AllowedRegions {
         let Some(routes) = self.by_host.get(&host.to_ascii_lowercase()) else {
             return AllowedRegions::default();
@@ -251,12 +252,12 @@
         })
     }
 
-    /// A service by name.
+    /// Returns a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.document.services.iter().find(|it| &*it.name == name)
     }
 
-    /// Where weights come from, if a service gives them.
+    /// Returns the address that weights are read from, if a service is the origin.
     pub fn origin(&self) -> Option<SocketAddr> {
         self.document.services.iter().find_map(|it| it.origin)
     }
--- a/crates/gradeloft_policy/src/process/earliest_writes.rs
+++ b/crates/gradeloft_policy/src/process/earliest_writes.rs
@@ -1,17 +1,16 @@
-//! Until when a table is known to have had no more: the earliest time at which a record can have been
-//! written.
+//! Lower bounds for the times at which records of a table were written.
 //!
-//! What is read after an interruption may have been written at any time since the copy was last known to
-//! be whole.
+//! A record that is read after an interruption may have been written at any time since the copy was
+//! last known to be complete.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Ends that are remembered: a few seconds of changes that follow each other closely.
-const REMEMBERED: usize = 64;
+/// Number of ends that are remembered: a few seconds of changes in close succession.
+const MAX_ENDS: usize = 64;
 
-/// Ends of a table, and until when it went no further.
+/// Ends of a table, each with the latest time at which the table is known not to have exceeded it.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::earliest_writes::EarliestWrites};
@@ -24,28 +23,28 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct EarliestWrites {
-    /// Each higher and later than the one before it: others say nothing more.
-    noted: VecDeque<(u64, Time)>,
+    /// Pairs of end and time, ascending in both; other pairs would add no information.
+    ends: VecDeque<(u64, Time)>,
 }
 
 impl EarliestWrites {
-    /// At the time `at` the table went no further than `end`.
+    /// Records that the table ended at or before `end` at the time `at`.
     pub fn note(&mut self, end: u64, at: Time) {
         if self.unwritten_until(end).is_some_and(|it| at <= it) {
             return;
         }
-        self.noted.retain(|it| it.0 < end || at < it.1);
-        let place = self.noted.partition_point(|it| it.0 < end);
-        self.noted.insert(place, (end, at));
-        if REMEMBERED < self.noted.len() {
-            self.noted.pop_front();
+        self.ends.retain(|it| it.0 < end || at < it.1);
+        let place = self.ends.partition_point(|it| it.0 < end);
+        self.ends.insert(place, (end, at));
+        if MAX_ENDS < self.ends.len() {
+            self.ends.pop_front();
         }
     }
 
-    /// Until when the record at `offset` is known not to have been written. A copy that ends there was whole
-    /// until then.
+    /// Returns the latest time at which the record at `offset` is known not to have been written
+    /// yet. A copy that ends there was complete until then.
     pub fn unwritten_until(&self, offset: u64) -> Option<Time> {
-        let within = self.noted.iter().take_while(|it| it.0 <= offset);
+        let within = self.ends.iter().take_while(|it| it.0 <= offset);
         within.last().map(|it| it.1)
     }
 }
--- a/crates/gradeloft_policy/src/process/freshness.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -1,40 +1,43 @@
-//! What an entry makes of knowing that others have newer records of the operator's.
+//! Rates an entry by the operator's records that it lacks and others hold.
 //!
-//! A final "no such route" is wrong for what a newer configuration may allow, while "not run, ask again"
-//! costs little, so an entry that lacks records denies nothing. An entry that lacks them for long handles
-//! requests by what no longer holds, so it leaves callers to those that know more, as long as these can
-//! bear them. What it does not know of it does not act on: an entry that is cut off from the store and
-//! from all peers serves on. That would show only in the silence of both: no datagram from any peer, and no
-//! answer of the store, for longer than the bound on following.
+//! A final "no such route" is wrong if a newer configuration allows the request, while "not run,
+//! ask again" costs little. An entry that lacks records therefore denies no request. An entry that
+//! has lacked them for long handles requests by outdated rules, so it leaves callers to entries
+//! with newer records, as long as these can handle the load. An entry does not act on missing
+//! records that it doesn't know of: one that is cut off from the store and from all peers continues
+//! to serve. Only the silence of both would show this: no datagram from any peer and no answer from
+//! the store for longer than the limit for applying changes.
 
 use std::time::Duration;
 
-/// Part of the time for a configuration to be in force for which an entry that lacks it takes callers as if
-/// it lacked nothing. That time counts from the confirmation, which comes after peers have the record: with
-/// a bound of 2 s this is 1.6 s, and entries of other regions tell each 0.5 s at the latest how far their
-/// copies go. Well above the time that a usual change takes on its way, and a large one over narrow links, so
-/// entries seldom step aside.
-const ASIDE: f64 = 0.8;
+/// Share of the time limit for applying a configuration during which an entry that lacks it still
+/// accepts callers. The limit counts from the confirmation, which follows after peers hold the
+/// record. With a limit of 2 s this is 1.6 s, and entries of other regions announce the end of
+/// their copies at least every 0.5 s. This is well above the time that a usual change needs, or a
+/// large one over slow links, so entries seldom stop accepting callers.
+const STALE_AFTER: f64 = 0.8;
 
-/// How an entry takes callers.
+/// How current the operator's records of an entry are.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Freshness {
-    /// It leaves them to others.
+    /// It has lacked records for long, and leaves callers to other entries.
     Stale,
-    /// It takes them, but denies nothing: others know more.
+    /// It accepts callers but denies no request, since others hold newer records.
     Behind,
-    /// It lacks nothing that it knows of.
+    /// It lacks no record that it knows of.
     #[default]
     Current,
 }
 
 impl Freshness {
-    /// Of an entry that has `lacked` something for a time. There is no way back but to catch up, which
-    /// ends it at once: it counts from when the first record that is still lacked was known of, so an
-    /// entry that follows changes in close order is never long behind.
+    /// Returns the freshness of an entry that has `lacked` records for a time. Only catching up
+    /// restores it, and does so at once. The time counts from when the entry learned of the first
+    /// record that it still lacks, so an entry that follows frequent changes closely never counts
+    /// as far behind.
     ///
-    /// `apply` is the time for a configuration to be in force. `most_beyond` says whether most entries have what it lacks. Where most lack it too, as while a
-    /// large record is on its way to all, they would refuse everybody.
+    /// `apply` is the time limit for applying a configuration. `most_beyond` returns whether most
+    /// entries hold the missing records. If most lack them too, such as while a large record is
+    /// being distributed, they would otherwise refuse all callers.
     ///
     /// ```
     /// use std::time::Duration;
@@ -53,7 +56,7 @@
         let Some(lacked) = lacked else {
             return Freshness::Current;
         };
-        if apply.mul_f64(ASIDE) <= lacked && most_beyond() {
+        if apply.mul_f64(STALE_AFTER) <= lacked && most_beyond() {
             Freshness::Stale
         } else {
             Freshness::Behind
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -1,15 +1,16 @@
-//! Gaps between events that come again and again, such as a process's ticks or its peers' datagrams.
+//! Detects gaps between recurring events, such as the ticks of a process or the datagrams of its
+//! peers.
 //!
-//! What was on its way during a gap may be old when it is read: the process stood still, or nothing came
-//! through to it.
+//! What is read right after a gap can be old, since the process was suspended or nothing reached
+//! it.
 
 use crate::clock::Time;
 
-/// Time after a gap in which what is heard may have lain in the socket since before its end, in
-/// milliseconds: a process that runs has read all that a socket holds by then.
+/// Time after a gap for which a received message may have been in the socket since before the end
+/// of the gap, in milliseconds: a running process empties the socket within this time.
 const STALE_MS: u64 = 250;
 
-/// Gaps between events.
+/// Gaps between recurring events.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::gaps::Gaps};
@@ -26,7 +27,7 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Gaps {
-    /// Longest pause between events that is none.
+    /// Longest pause between events that is not a gap, in milliseconds.
     limit_ms: u64,
     last: Option<Time>,
     /// When the last gap ended.
@@ -34,7 +35,8 @@
 }
 
 impl Gaps {
-    /// Of events whose pauses are gaps from `limit_ms` on. Before the first event there is none.
+    /// Creates a detector for which pauses longer than `limit_ms` are gaps. Before the first event
+    /// there is no gap.
     pub fn new(limit_ms: u64) -> Gaps {
         Gaps {
             limit_ms,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// An event.
+    /// Records an event.
     pub fn seen(&mut self, now: Time) {
         if self.recognised().is_some_and(|it| it < now) {
             self.ended = Some(now);
@@ -51,25 +53,26 @@
         self.last = Some(now);
     }
 
-    /// Whether a gap ended since `asked`, or goes on and was none yet then. One that had lasted before does
-    /// not count: whoever has no peers left hears none.
+    /// Whether a gap ended at or after `asked`, or is in progress and was first recognised after
+    /// `asked`. A gap that was recognised earlier and still lasts does not count: a process without
+    /// peers receives nothing.
     pub fn within(&self, asked: Time, now: Time) -> bool {
         let goes_on = |it: Time| asked < it && it < now;
         self.ended.is_some_and(|it| asked <= it) || self.recognised().is_some_and(goes_on)
     }
 
-    /// When the last gap ended; now, if one goes on.
+    /// Returns when the last gap ended, which is `now` while a gap is in progress.
     pub fn last_end(&self, now: Time) -> Option<Time> {
         let goes_on = self.recognised().is_some_and(|it| it < now);
         if goes_on { Some(now) } else { self.ended }
     }
 
-    /// Whether what is heard now was sent a moment ago.
+    /// Whether a message received now was sent recently.
     pub fn fresh(&self, now: Time) -> bool {
         self.ended.is_none_or(|it| it.after_ms(STALE_MS) <= now)
     }
 
-    /// From when on the pause since the last event is a gap.
+    /// Returns the time from which on the pause since the last event counts as a gap.
     fn recognised(&self) -> Option<Time> {
         self.last.map(|it| it.after_ms(self.limit_ms))
     }
--- a/crates/gradeloft_policy/src/process/gossip.rs
+++ b/crates/gradeloft_policy/src/process/gossip.rs
@@ -1,18 +1,18 @@
-//! Which peers a node asks for the bundle in force.
+//! Selects the peers that a node asks for the bundle in force.
 
 use gradeloft_wire::border::platform::InstanceRole;
 
 use super::membership::Peer;
 use crate::rendezvous;
 
-/// Peers of any role that a node gossips with.
+/// Number of peers of any role that a node gossips with.
 const PEERS: usize = 4;
-/// Entries that it gossips with besides; they are the first to know.
+/// Number of entries that it gossips with in addition; entries learn of a new bundle first.
 const ENTRIES: usize = 2;
 
-/// The few peers that the node whose name hashes to `own` gossips with. They are drawn by rendezvous
-/// and stay the same while members do, so that a large fleet does not end up with a connection for
-/// every pair, and all draws together still connect it.
+/// Selects the peers that the node whose name hashes to `own` gossips with, by rendezvous hashing.
+/// The selection is stable while the members are, and small, so a large fleet needs no connection
+/// between each pair of nodes. The selections of all nodes together still connect the fleet.
 pub fn select_peers<'a>(own: u64, peers: &[&'a Peer]) -> Vec<&'a Peer> {
     let nodes: Vec<u64> = peers.iter().map(|it| it.node).collect();
     let ranked: Vec<&Peer> = rendezvous::order(own, &nodes)
--- a/crates/gradeloft_policy/src/process/latest_writes.rs
+++ b/crates/gradeloft_policy/src/process/latest_writes.rs
@@ -1,18 +1,18 @@
-//! Since when a table is known to go beyond a record: the latest time at which it can have been written.
+//! Upper bounds for the times at which records of a table were written.
 //!
-//! A record may come late to a process: behind large ones, over a link that carries little. What its
-//! writer bounds by time counts from when it was written, and peers that have it say how far their copies
-//! go well before the record itself is here. Messages come in any order, so an earlier time counts also
-//! if it is received later.
+//! A record can reach a process late, behind large records or over a slow link. Time limits set by
+//! its writer count from the time of writing, and peers that hold the record announce the end of
+//! their copies well before the record itself arrives. Messages arrive in any order, so an earlier
+//! time replaces a later one even if it is received after it.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Ends that are remembered: a few seconds of changes that follow each other closely.
-const REMEMBERED: usize = 64;
+/// Number of ends that are remembered: a few seconds of changes in close succession.
+const MAX_ENDS: usize = 64;
 
-/// Ends of a table, and by when it went that far.
+/// Ends of a table, each with the earliest time by which the table is known to have reached it.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::latest_writes::LatestWrites};
@@ -26,32 +26,32 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LatestWrites {
-    /// Each higher and later than the one before it: others say nothing more.
-    noted: VecDeque<(u64, Time)>,
+    /// Pairs of end and time, ascending in both; other pairs would add no information.
+    ends: VecDeque<(u64, Time)>,
 }
 
 impl LatestWrites {
-    /// The table went up to `end` by the time `at`.
+    /// Records that the table reached `end` by the time `at`.
     pub fn note(&mut self, end: u64, at: Time) {
-        let place = self.noted.partition_point(|it| it.0 < end);
-        if self.noted.get(place).is_some_and(|it| it.1 <= at) {
+        let place = self.ends.partition_point(|it| it.0 < end);
+        if self.ends.get(place).is_some_and(|it| it.1 <= at) {
             return;
         }
-        if self.noted.get(place).is_some_and(|it| it.0 == end) {
-            self.noted.remove(place);
+        if self.ends.get(place).is_some_and(|it| it.0 == end) {
+            self.ends.remove(place);
         }
-        let earlier = self.noted.partition_point(|it| it.1 < at);
+        let earlier = self.ends.partition_point(|it| it.1 < at);
         let first = earlier.min(place);
-        self.noted.drain(first..place);
-        self.noted.insert(first, (end, at));
-        if REMEMBERED < self.noted.len() {
-            self.noted.pop_front();
+        self.ends.drain(first..place);
+        self.ends.insert(first, (end, at));
+        if MAX_ENDS < self.ends.len() {
+            self.ends.pop_front();
         }
     }
 
-    /// Since when the record at `offset` is known to be there.
+    /// Returns the earliest time by which the record at `offset` is known to have been written.
     pub fn known_since(&self, offset: u64) -> Option<Time> {
-        let beyond = self.noted.iter().find(|it| offset < it.0);
+        let beyond = self.ends.iter().find(|it| offset < it.0);
         beyond.map(|it| it.1)
     }
 }
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -1,7 +1,8 @@
-//! Which peers there are, by the platform's list and by what connections show.
+//! The peers of a process, by the platform's list and by the state of connections.
 //!
-//! The list lags and has outages, so it is a hint: a peer that it names is tried, a peer that it
-//! drops stays as long as its connection proves it alive, and an outage changes nothing.
+//! The list lags and has outages, so it is only a hint: a peer on the list is tried, a peer that
+//! disappears from it stays as long as its connection is alive, and an outage of the list changes
+//! nothing.
 
 use gradeloft_wire::{
     border::platform::{Instance, InstanceRole, InstanceState},
@@ -11,58 +12,58 @@
 
 use crate::{clock::Time, connection::health::Health, rendezvous};
 
-/// Shortest time between two readings of the list, in milliseconds.
+/// Shortest interval between two reads of the list, in milliseconds.
 const LIST_LEAST_MS: u64 = 500;
-/// What that time grows by for each instance of the list, in milliseconds.
+/// Time that each instance on the list adds to the interval, in milliseconds.
 const LIST_MS_PER_INSTANCE: u64 = 25;
 
-/// Time until the list is read again, when it had so many instances. It grows with the list, so that
-/// reading it costs a node the same bytes a second in a fleet of any size; what a large fleet learns
-/// late that way is only who is new, since connections show who is gone.
+/// Returns the time until the next read of a list of this size. It grows with the list, so that
+/// reads cost a node the same bytes a second in a fleet of any size. Only new instances are noticed
+/// later in a large fleet, since connections show which ones are gone.
 pub fn list_interval_ms(instances: usize) -> u64 {
     LIST_LEAST_MS.max(instances as u64 * LIST_MS_PER_INSTANCE)
 }
 
 new_key_type! {
-    /// Names a peer for as long as it is a member.
+    /// Key of a peer, valid for as long as the peer is a member.
     pub struct PeerKey;
 }
 
-/// What is known of one peer.
+/// Known state of one peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// The list's entry, as last seen.
+    /// The latest list entry of the peer.
     pub instance: Instance,
-    /// Hash of its name.
+    /// Hash of the name of its instance.
     pub node: u64,
-    /// Whether the last list that could be read names it.
+    /// Whether the last list that was read contains the peer.
     pub listed: bool,
-    /// Its last notice; none until it is connected.
+    /// Its last notice; `None` until it is connected.
     pub notice: Option<Notice>,
-    /// When the notice came.
+    /// When the notice was received.
     pub noticed_at: Time,
-    /// Whether its connection stands.
+    /// Whether its connection is up.
     pub connected: bool,
-    /// What its connection and its answers show.
+    /// Health by its connection and its answers.
     pub health: Health,
     /// Requests of this process that run there.
     pub own_requests: u32,
 }
 
 impl Peer {
-    /// Whether it may be given new work at `now`.
+    /// Whether it accepts new work at `now`.
     pub fn takes_work(&self, now: Time) -> bool {
         let leaving = self.notice.as_ref().is_none_or(|it| it.leaving);
         let listed_leaving = self.instance.state == InstanceState::Leaving;
         self.connected && !leaving && !listed_leaving && !self.health.is_suspect(now)
     }
 
-    /// Requests that it can run at once.
+    /// Returns the number of requests that it can run at once.
     pub fn capacity(&self) -> u32 {
         self.notice.as_ref().map_or(0, |it| it.capacity)
     }
 
-    /// Requests of others that ran there when it last reported.
+    /// Returns the number of requests of others that were running there at its last notice.
     pub fn others(&self) -> u32 {
         self.notice
             .as_ref()
@@ -75,12 +76,12 @@
 pub struct Membership {
     own: String,
     peers: SlotMap<PeerKey, Peer>,
-    /// Whether a list has ever been read.
+    /// Whether a list was ever read.
     read: bool,
 }
 
 impl Membership {
-    /// Peers of the instance `own`; none yet.
+    /// Creates a membership without peers for the instance `own`.
     pub fn new(own: &str) -> Membership {
         Membership {
             own: own.to_owned(),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes over a list that was read. Gives the peers that are new, or whose address changed.
+    /// Applies a list that was read. Returns the peers that are new or whose address changed.
     pub fn apply_list(&mut self, instances: Vec<Instance>) -> Vec<PeerKey> {
         self.read = true;
         for peer in self.peers.values_mut() {
@@ -134,7 +135,7 @@
         }))
     }
 
-    /// A peer sent a notice.
+    /// Records a notice from a peer.
     pub fn receive_notice(&mut self, key: PeerKey, notice: Notice, now: Time) {
         if let Some(peer) = self.peers.get_mut(key) {
             peer.connected = true;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A peer's connection broke, or can't be made.
+    /// Records that a peer's connection broke or can't be established.
     pub fn connection_lost(&mut self, key: PeerKey, now: Time) {
         let Some(peer) = self.peers.get_mut(key) else {
             return;
@@ -156,29 +157,29 @@
         }
     }
 
-    /// A peer.
+    /// Returns a peer.
     pub fn get(&self, key: PeerKey) -> Option<&Peer> {
         self.peers.get(key)
     }
 
-    /// A peer, to change what is known of it.
+    /// Returns a peer for modification.
     pub fn get_mut(&mut self, key: PeerKey) -> Option<&mut Peer> {
         self.peers.get_mut(key)
     }
 
-    /// All peers.
+    /// Iterates over all peers.
     pub fn iter(&self) -> impl Iterator<Item = (PeerKey, &Peer)> {
         self.peers.iter()
     }
 
-    /// Peers of one role.
+    /// Iterates over the peers of one role.
     pub fn of(&self, role: InstanceRole) -> impl Iterator<Item = (PeerKey, &Peer)> {
         self.peers
             .iter()
             .filter(move |(_, it)| it.instance.role == role)
     }
 
-    /// Whether a list has ever been read.
+    /// Whether a list was ever read.
     pub fn has_read_list(&self) -> bool {
         self.read
     }
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -1,18 +1,18 @@
 //! A copy of one keyed table of the platform's store.
 //!
-//! The store numbers the records of a table without gaps. A copy is brought up to date by the
-//! records that follow its end, or by a snapshot after records that it has not seen were dropped.
-//! It can be read from another process in the same two ways, so processes that the store does not
-//! serve follow those that it does.
+//! The store numbers the records of a table without gaps. A copy is updated with the records that
+//! follow its end, or with a snapshot if the store has dropped records that the copy lacks. Another
+//! process can update its copy from this one in the same two ways, so processes without access to
+//! the store follow those with access.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use bytes::Bytes;
 
-/// Records kept for peers that follow; a peer further behind gets a snapshot.
+/// Number of recent records kept for peers; a peer that is further behind gets a snapshot.
 const TAIL: usize = 512;
-/// Bytes of these records, of which the last one is kept in any case: four configurations of the largest
-/// size seen, 0.9 MB, on an instance with 128 MB of memory.
+/// Limit for the size of these records, in bytes; the latest one is always kept. It holds four
+/// configurations of 0.9 MB on an instance with 128 MB of memory.
 const TAIL_BYTES: usize = 4 << 20;
 
 /// A record of a table.
@@ -26,19 +26,19 @@
     pub offset: u64,
 }
 
-/// Part of a table, by which a copy is brought up to date.
+/// Part of a table that updates a copy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Update {
-    /// Whether `records` are the newest of every key, in place of the records since some offset.
+    /// Whether `records` are the latest of all keys, and not the records from some offset on.
     pub snapshot: bool,
-    /// Records in order of offset.
+    /// Records, ascending by offset.
     pub records: Vec<Record>,
-    /// Offset of the record that comes next.
+    /// Offset that follows the last record.
     pub end: u64,
 }
 
 impl Update {
-    /// Bytes of its keys and values.
+    /// Returns the size of its keys and values, in bytes.
     pub fn bytes(&self) -> usize {
         bytes(self.records.iter())
     }
@@ -47,53 +47,54 @@
 /// A copy of a table.
 #[derive(Debug, Default)]
 pub struct Mirror {
-    /// Newest record of each key. Deleted keys are absent.
+    /// Latest record of each key, without deleted keys.
     newest: HashMap<String, Record>,
-    /// The records before `end`, without gaps.
+    /// Consecutive records up to `end`.
     tail: VecDeque<Record>,
-    /// Bytes of the tail.
+    /// Size of the tail, in bytes.
     tail_bytes: usize,
     end: u64,
     loaded: bool,
 }
 
 impl Mirror {
-    /// Offset of the first record not seen yet.
+    /// Returns the offset of the first record that the copy lacks.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// Whether it has ever been brought up to date.
+    /// Whether the copy was ever updated.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
 
-    /// Newest value of a key.
+    /// Returns the latest value of a key.
     pub fn value(&self, key: &str) -> Option<&Bytes> {
         self.newest.get(key)?.value.as_ref()
     }
 
-    /// Newest record of every key.
+    /// Iterates over the latest record of each key.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.newest.values()
     }
 
-    /// The record at an offset, if it is the newest of its key or one of the last.
+    /// Returns the record at an offset, if it is the latest of its key or in the tail.
     pub fn at(&self, offset: u64) -> Option<&Record> {
         let recent = self.tail.iter().find(|it| it.offset == offset);
         recent.or_else(|| self.newest.values().find(|it| it.offset == offset))
     }
 
-    /// Whether a record at an offset would bring something newer than what is known of its key.
+    /// Whether a record at an offset would be newer than the known one of its key.
     pub fn lacks(&self, key: &str, offset: u64) -> bool {
         let known = self.newest.get(key);
         self.end <= offset && known.is_none_or(|it| it.offset < offset)
     }
 
-    /// Takes in values from beyond the end, with records missing before them; gives those that changed
-    /// something. The end stays, since the copy lacks something there, and what is taken in is taken in
-    /// again with the records before it, which then changes nothing. Deletions have to wait for that: a
-    /// deleted key leaves no trace here by which an older value of it could be told.
+    /// Applies records from beyond the end, before the records in between have arrived, and returns
+    /// those that changed something. The end stays, since the copy has a gap there. The same
+    /// records are applied again later, together with those before them, and change nothing then.
+    /// Deletions are not applied early: a deleted key leaves no trace here that would identify an
+    /// older value as outdated.
     pub fn apply_ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
         let mut changed = Vec::new();
         for record in records {
@@ -104,7 +105,7 @@
         changed
     }
 
-    /// Takes an update in; gives the records that changed something, deletions included.
+    /// Applies an update and returns the records that changed something, including deletions.
     pub fn apply(&mut self, update: Update) -> Vec<Record> {
         let known = !update.records.is_empty() || update.snapshot;
         self.loaded |= known;
@@ -119,8 +120,8 @@
         changed
     }
 
-    /// What brings a copy that ends at `from` up to date: the records since, or the newest of every key
-    /// if those are fewer bytes, as after many versions of one large record.
+    /// Returns an update for a copy that ends at `from`: the records since then, or the latest of
+    /// all keys if these are smaller, such as after many versions of one large record.
     pub fn since(&self, from: u64) -> Update {
         let first = self.end - self.tail.len() as u64;
         if first <= from {
@@ -159,7 +160,7 @@
         changed
     }
 
-    /// Adds a record to the tail, which lets go of the oldest ones.
+    /// Adds a record to the tail and drops the oldest ones beyond the limits.
     fn keep(&mut self, record: Record) {
         self.tail_bytes += bytes([&record].into_iter());
         self.tail.push_back(record);
@@ -175,12 +176,12 @@
     }
 
     fn replace(&mut self, update: &Update) -> Vec<Record> {
-        // A snapshot older than this copy tells nothing new.
+        // A snapshot older than this copy contains nothing new.
         if update.end < self.end {
             return Vec::new();
         }
         let named: HashSet<&str> = update.records.iter().map(|it| it.key.as_str()).collect();
-        // What was taken in ahead may be newer than the snapshot.
+        // Records that were applied ahead may be newer than the snapshot.
         let older = self.newest.values().filter(|it| it.offset < update.end);
         let gone: Vec<String> = older
             .map(|it| &it.key)
@@ -205,7 +206,7 @@
         changed
     }
 
-    /// Takes a record in unless a newer one of its key is known.
+    /// Applies a record unless a newer one of its key is known.
     fn set(&mut self, record: Record) -> Option<Record> {
         let newer = self.newest.get(&record.key);
         if newer.is_some_and(|it| record.offset <= it.offset) {
--- a/crates/gradeloft_policy/src/process/mod.rs
+++ b/crates/gradeloft_policy/src/process/mod.rs
@@ -1,32 +1,32 @@
-//! What lives for a process.
+//! Decisions whose state lasts as long as the process.
 //!
-//! - [`address`]: which entries a caller is told to use.
-//! - [`write_times`]: since when the records of a table count as written.
-//! - [`cadence`]: how often an entry tells others of itself.
+//! - [`address`]: orders the entries that a caller can use.
+//! - [`allowed_regions`]: regions in which the requests of a route or team may be served.
+//! - [`announcements`]: schedules announcements to other entries and their repetition.
+//! - [`cadence`]: derives the interval between messages from a byte budget.
+//! - [`delegates`]: selects the entries that send to other regions for their own.
 //! - [`document`]: the operator's configuration.
-//! - [`remote_loads`]: requests of others at replicas.
-//! - [`latest_writes`]: since when a table is known to go beyond a record.
-//! - [`gaps`]: gaps between events that come again and again.
-//! - [`gossip`]: which peers a node asks for the bundle in force.
-//! - [`allowed_regions`]: regions to which the operator binds the requests of a route or team.
-//! - [`drain`]: how an entry that was told to end treats its callers.
-//! - [`membership`]: which peers there are, by the list and by what connections show.
+//! - [`drain`]: handles callers while an entry shuts down.
+//! - [`earliest_writes`]: lower bounds for the times at which records of a table were written.
+//! - [`freshness`]: rates an entry by the operator's records that it lacks.
+//! - [`gaps`]: detects gaps between recurring events.
+//! - [`gossip`]: selects the peers that a node asks for the bundle in force.
+//! - [`latest_writes`]: upper bounds for the times at which records of a table were written.
+//! - [`membership`]: the peers, by the platform's list and by the state of connections.
 //! - [`mirror`]: a copy of a table of the platform's store.
-//! - [`announcements`]: what an entry tells others at once, and again.
-//! - [`pending_update`]: what a peer announced of a table, while large values of it are still under way.
-//! - [`readers`]: which entries read the platform's tables from its store.
-//! - [`refresh`]: when an agent asks an entry for the operator's records.
-//! - [`retry_budget`]: how often requests are sent again.
+//! - [`pending_update`]: a table update from a peer whose large values are still being fetched.
+//! - [`rate_leases`]: splits the rate limit of a team among entries by leases.
+//! - [`readers`]: selects the entries that read the platform's tables from its store.
+//! - [`refresh`]: schedules the reads of the operator's records by an agent.
+//! - [`remote_loads`]: requests of other entries at replicas.
+//! - [`replica_starts`]: assigns messages about a replica to its starts.
 //! - [`replicas`]: the replicas of all services.
-//! - [`roster`]: the entries that callers may be sent to.
-//! - [`rate_leases`]: shares of a rate between entries.
-//! - [`delegates`]: which entries speak for their region.
-//! - [`slot_split`]: how the slots of replicas are split among entries.
-//! - [`freshness`]: what an entry makes of knowing that others have newer records.
-//! - [`replica_starts`]: which start of a replica something was said of.
-//! - [`transfer`]: a large value on its way, and the peers that have it.
-//! - [`warmup`]: how many requests a replica gets while it is cold.
-//! - [`earliest_writes`]: until when a table is known to have had no more.
+//! - [`retry_budget`]: limits the number of repeated requests.
+//! - [`roster`]: the entries that callers can be sent to.
+//! - [`slot_split`]: splits the slots of replicas among entries.
+//! - [`transfer`]: fetches a large value from the peers that hold it.
+//! - [`warmup`]: limits the requests to a cold replica.
+//! - [`write_times`]: estimates the times at which records of a table were written.
 
 pub mod address;
 pub mod allowed_regions;
--- a/crates/gradeloft_policy/src/process/pending_update.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -1,8 +1,8 @@
-//! What a peer announced of a table, while large values of it are still under way.
+//! A table update from a peer whose large values are still being fetched.
 //!
-//! Small values come with the announcement. A copy of the table never claims to go further than what it
-//! has taken in without gaps, so records behind a missing value are taken in again with it; until then
-//! those that set a value can be used ahead of it ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
+//! Small values are part of the announcement. The end of a copy never covers a gap, so records that
+//! follow a missing value are applied again after it arrives. Until then, those of them that set a
+//! value can be applied ahead of it ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
 
 use std::collections::HashMap;
 
@@ -13,12 +13,12 @@
     transfer::{MAX_VALUE, MissingValue},
 };
 
-/// A record that was announced.
+/// An announced record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Row {
-    /// Its value is still to be fetched.
+    /// The value is still to be fetched.
     Missing(MissingValue),
-    /// All of it is here.
+    /// The record is complete.
     Present(Record),
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// An update whose values are not all here.
+/// An update with values that may be missing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PendingUpdate {
     snapshot: bool,
-    /// In order of offset.
+    /// Records, ascending by offset.
     rows: Vec<Row>,
     end: u64,
 }
 
 impl PendingUpdate {
-    /// What a peer announced: records in order of offset, the newest of every key if it is a `snapshot`,
-    /// up to `end`.
+    /// Creates an update from the records that a peer announced, ascending by offset and up to
+    /// `end`. A `snapshot` holds the latest records of all keys.
     pub fn new(snapshot: bool, rows: Vec<Row>, end: u64) -> PendingUpdate {
         PendingUpdate {
             snapshot,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Offset up to which a copy goes that has taken in all of it.
+    /// Returns the end of a copy to which all of the update was applied.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// The first value that is missing.
+    /// Returns the first missing value.
     pub fn missing(&self) -> Option<&MissingValue> {
         self.rows.iter().find_map(|it| match it {
             Row::Missing(want) => Some(want),
@@ -64,13 +64,13 @@
         })
     }
 
-    /// Whether it announces a value that is too large to be taken from peers.
+    /// Whether it announces a value that is too large to be fetched from peers.
     pub fn oversized(&self) -> bool {
         let too_large = |it: &Row| matches!(it, Row::Missing(want) if MAX_VALUE < want.length);
         self.rows.iter().any(too_large)
     }
 
-    /// Fills in what `held` gives of a missing record.
+    /// Fills in the missing values that `held` returns.
     pub fn fill(&mut self, held: impl Fn(&MissingValue) -> Option<Bytes>) {
         for row in &mut self.rows {
             if let Row::Missing(want) = row
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Values that are here, by offset.
+    /// Returns the present values by offset.
     pub fn values(&self) -> HashMap<u64, Bytes> {
         let here = self.rows.iter().filter_map(|it| match it {
             Row::Present(record) => Some((record.offset, record.value.clone()?)),
@@ -94,13 +94,13 @@
         here.collect()
     }
 
-    /// Whether it brings nothing more to a copy that goes up to `end`.
+    /// Whether it is incomplete and contains nothing new for a copy that ends at `end`.
     pub fn outdated(&self, end: u64) -> bool {
         self.end <= end && self.missing().is_some()
     }
 
-    /// Takes out what a copy that goes up to `end` can take in: the records before the first missing
-    /// value, and a snapshot only once it is whole.
+    /// Removes and returns the part that can be applied to a copy that ends at `end`: the records
+    /// before the first missing value, or a whole snapshot.
     pub fn take_ready(&mut self, end: u64) -> Option<Update> {
         if !self.snapshot {
             self.rows.retain(|it| end <= it.offset());
@@ -126,8 +126,8 @@
         })
     }
 
-    /// Values that can be used although something before them is missing: of each key the last record,
-    /// unless that deletes it.
+    /// Returns the records that can be applied although values before them are missing: the last
+    /// present record of each key, unless it is a deletion.
     pub fn usable_ahead(&self) -> Vec<Record> {
         let mut last: HashMap<&str, &Record> = HashMap::new();
         for row in &self.rows {
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -1,101 +1,101 @@
-//! Shares of a team's rate between entries, as leases that follow demand.
+//! Splits the rate limit of a team among entries by leases that follow demand.
 //!
-//! One entry is the home of each team, by rendezvous; it lends the team's rate to the others in
-//! leases. What it has lent and what entries may use without a lease never add up to more than the
-//! rate, so views that lag cost use, not the limit:
+//! Each team has a home entry, selected by rendezvous hashing, which leases shares of the team's
+//! rate to the other entries. The leased rate and the rate that entries may use without a lease
+//! never add up to more than the limit, so outdated views reduce the usable rate but never exceed
+//! the limit:
 //!
-//! - an entry that callers want nothing of has no lease, and may use a small part at once when that
-//!   changes;
-//! - an entry that is cut off lets its lease end and, once the home must have noticed, uses a larger
-//!   stated fraction of an equal part, which the home keeps back for it;
-//! - a home that is connected to no majority of the listed entries lends nothing, so an entry that
-//!   is cut off is no home of its own;
-//! - one that has just become home lends nobody more than they hold, until leases of the home before
-//!   it have ended.
+//! - An entry without demand has no lease, and may use a small share at once when demand appears.
+//! - An entry that is cut off lets its lease expire. Once the home must have noticed, it uses a
+//!   larger, fixed fraction of an equal share, which the home reserves for it.
+//! - A home that is not connected to a majority of the listed entries leases nothing, so an entry
+//!   that is cut off can't be its own home.
+//! - A new home leases no entry more than the entry already holds, until the leases of the previous
+//!   home have expired.
 //!
-//! Leased rates, the fallback when cut off and giving back what is unused are taken from the manual
-//! of the Varnish Enterprise ratelimit module; unlike there, a home grants them, because
-//! optimistic leases overshoot while entries disagree (`docs/design/0004-limits.md`).
+//! Leased rates, the fallback while cut off and the return of unused rates follow the manual of the
+//! Varnish Enterprise ratelimit module. Unlike there, a home grants the leases, because optimistic
+//! leases exceed the limit while entries disagree (`docs/design/0004-limits.md`).
 
 use std::collections::HashMap;
 
 use crate::{clock::Time, rendezvous};
 
-/// How long a lease stands, in milliseconds.
+/// Duration of a lease, in milliseconds.
 pub const LEASE_MS: u64 = 2_000;
-/// How often an entry asks for a new lease, in milliseconds.
+/// Interval between lease requests of an entry, in milliseconds.
 pub const RENEW_MS: u64 = 100;
-/// Share of an equal part of the rate that a silent entry may use at once.
+/// Fraction of an equal share of the rate that an entry without a lease may use at once.
 pub const IDLE_FRACTION: f64 = 0.05;
-/// Share of an equal part of the rate that an entry uses while it is cut off.
+/// Fraction of an equal share of the rate that an entry may use while it is cut off.
 pub const CUT_OFF_FRACTION: f64 = 0.3;
-/// An entry that no home has answered for so long counts itself as cut off, in milliseconds. By
-/// then its lease has ended and the homes have missed its heartbeats.
+/// Time without an answer from any home after which an entry counts as cut off, in milliseconds. By
+/// then its lease has expired and the homes have missed its heartbeats.
 pub const CUT_OFF_MS: u64 = 5_000;
-/// While the rate is not used up, an entry is lent at least this much more than it needs, so that
-/// demand can grow between two asks.
+/// Least ratio of a granted rate to the need while the total rate is not exhausted, which lets
+/// demand grow between two lease requests.
 const MARGIN: f64 = 1.15;
 /// Time over which steady demand is averaged, in seconds.
-const STEADY_S: f64 = 1.0;
-/// Time over which a change of demand is looked for, in seconds.
-const CHANGE_S: f64 = 0.1;
-/// Standard deviations of chance arrivals beyond which demand counts as changed.
+const STEADY_WINDOW_S: f64 = 1.0;
+/// Time over which demand is averaged to detect a change, in seconds.
+const CHANGE_WINDOW_S: f64 = 0.1;
+/// Deviation beyond which demand counts as changed, in standard deviations of random arrivals.
 const CHANGE_SIGMAS: f64 = 3.5;
 
-/// Units in a bucket that an entry keeps for chance, in seconds of its demand.
-const KEPT_S: f64 = 0.1;
-/// Time over which an entry uses what its bucket holds beyond that, in seconds.
-const SPENT_S: f64 = 0.5;
+/// Reserve for random arrivals that an entry keeps in its bucket, in seconds of its demand.
+const RESERVE_S: f64 = 0.1;
+/// Time over which an entry spends the content of its bucket beyond that reserve, in seconds.
+const SPEND_S: f64 = 0.5;
 
-/// What an entry needs to borrow: its demand, less what its bucket has saved up.
+/// Returns the rate that an entry needs to borrow: its demand, less what its bucket has saved.
 pub fn need(demand: f64, saved: f64) -> f64 {
-    let spare = (saved - demand * KEPT_S).max(0.0);
-    (demand - spare / SPENT_S).max(0.0)
+    let spare = (saved - demand * RESERVE_S).max(0.0);
+    (demand - spare / SPEND_S).max(0.0)
 }
 
-/// The home of a team among entries, by the hashes of their names.
+/// Returns the home of a team among entries, given by the hashes of their names.
 pub fn home(team: &str, entries: impl Iterator<Item = u64>) -> Option<u64> {
     let key = rendezvous::hash(team.as_bytes());
     entries.max_by_key(|it| (rendezvous::score(key, *it), *it))
 }
 
-/// A right to use a rate for a while.
+/// The right to use a rate for a limited time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Lease {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// When it ends.
+    /// When the lease expires.
     pub until: Time,
 }
 
 /// Demand of one team at one entry.
 ///
-/// It is averaged over a long time, because every wiggle moves leases and leaves a part of the rate
-/// unlent on the way; but a change larger than chance shows in a short average and is taken over
-/// at once.
+/// The average covers a long time, since each fluctuation would move leases and leave part of the
+/// rate unused in the meantime. A change beyond random fluctuation shows in a short average and is
+/// adopted at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     steady: f64,
     recent: f64,
-    /// Largest number of units that came at once lately; chance is larger for larger units.
+    /// Largest number of units recently added at once; larger ones increase random fluctuation.
     unit: f64,
     at: Time,
 }
 
 impl Demand {
-    /// Units were asked for, whether or not they were admitted.
+    /// Adds requested units, whether or not they were admitted.
     pub fn add(&mut self, units: f64, now: Time) {
         self.decay(now);
-        self.steady += units / STEADY_S;
-        self.recent += units / CHANGE_S;
+        self.steady += units / STEADY_WINDOW_S;
+        self.recent += units / CHANGE_WINDOW_S;
         self.unit = self.unit.max(units);
     }
 
-    /// Units a second.
+    /// Returns the demand in units per second.
     pub fn rate(&mut self, now: Time) -> f64 {
         self.decay(now);
         let larger = self.steady.max(self.recent);
-        let chance = (larger * self.unit / (2.0 * CHANGE_S)).sqrt();
+        let chance = (larger * self.unit / (2.0 * CHANGE_WINDOW_S)).sqrt();
         if CHANGE_SIGMAS * chance < (self.steady - self.recent).abs() {
             self.steady = self.recent;
         }
@@ -104,22 +104,22 @@
 
     fn decay(&mut self, now: Time) {
         let passed = now.seconds_since(self.at);
-        self.steady *= (-passed / STEADY_S).exp();
-        self.recent *= (-passed / CHANGE_S).exp();
-        self.unit *= (-passed / STEADY_S).exp();
+        self.steady *= (-passed / STEADY_WINDOW_S).exp();
+        self.recent *= (-passed / CHANGE_WINDOW_S).exp();
+        self.unit *= (-passed / STEADY_WINDOW_S).exp();
         self.at = self.at.max(now);
     }
 }
 
-/// One team's rate at an entry that borrows.
+/// State of one team's rate at an entry that borrows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Borrower {
     lease: Lease,
 }
 
 impl Borrower {
-    /// The home granted a rate, in answer to an ask made at `asked`. The lease counts from there, so
-    /// it never outlasts what the home thinks.
+    /// Applies a rate that the home granted in answer to a request made at `asked`. The lease
+    /// counts from then, so it never outlasts the lease at the home.
     pub fn granted(&mut self, rate: f64, asked: Time) {
         self.lease = Lease {
             rate,
@@ -127,7 +127,7 @@
         };
     }
 
-    /// The rate that may be used now, of `allowed` over `entries` entries.
+    /// Returns the rate that may be used now, for the limit `allowed` over `entries` entries.
     pub fn rate(&self, allowed: f64, entries: usize, reach: HomeReach, now: Time) -> f64 {
         if now < self.lease.until {
             return self.lease.rate;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// What it holds by lease.
+    /// Returns the rate that it holds by lease.
     pub fn held(&self, now: Time) -> f64 {
         if now < self.lease.until {
             self.lease.rate
@@ -148,16 +148,16 @@
     }
 }
 
-/// Whether an entry can reach the homes of its teams.
+/// Whether an entry reaches the homes of its teams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HomeReach {
     /// No home has answered for [`CUT_OFF_MS`].
     CutOff,
-    /// They answer, or have not been asked.
+    /// The homes answer, or have not been asked.
     Home,
 }
 
-/// A fraction of an equal part of the rate.
+/// Returns a fraction of an equal share of the rate.
 fn part(allowed: f64, entries: usize, fraction: f64) -> f64 {
     allowed * fraction / entries.max(1) as f64
 }
@@ -165,43 +165,43 @@
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     lease: Lease,
-    /// At least what it may use anyway.
+    /// Demand, at least the rate that is allowed without a lease.
     demand: f64,
 }
 
-/// One team's rate at its home.
+/// State of one team's rate at its home.
 #[derive(Clone, Debug)]
 pub struct Lender {
-    /// Entries that asked within a lease's time.
+    /// Entries that requested a lease within the duration of a lease.
     holders: HashMap<u64, Holder>,
     /// When this entry became home.
     since: Time,
 }
 
-/// What an entry asks its team's home for.
+/// Request for a lease, sent to the home of a team.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseRequest {
     /// Hash of the entry's name.
     pub entry: u64,
-    /// What callers want of it, in units a second.
+    /// Demand of its callers, in units per second.
     pub demand: f64,
-    /// What it holds by lease, from this home or the one before.
+    /// Rate that it holds by lease from this home or the previous one.
     pub held: f64,
 }
 
-/// What a home knows of the fleet.
+/// The fleet as a home sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
-    /// The team's rate, over all entries.
+    /// Rate limit of the team over all entries.
     pub allowed: f64,
-    /// Entries that the platform lists, this one included.
+    /// Number of entries that the platform lists, including this one.
     pub entries: usize,
-    /// Of those, the ones that this one is connected to, itself included.
+    /// Number of these entries that this one is connected to, including itself.
     pub connected: usize,
 }
 
 impl Lender {
-    /// A home from now on.
+    /// Creates the state of an entry that becomes home at `now`.
     pub fn new(now: Time) -> Lender {
         Lender {
             holders: HashMap::new(),
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Answers an ask with the rate that is granted for a lease's time.
+    /// Grants a rate for the duration of a lease and returns it.
     pub fn grant(&mut self, ask: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
         let FleetView {
             allowed,
@@ -250,7 +250,7 @@
         rate
     }
 
-    /// What entries without a lease may use.
+    /// Returns the rate that entries without a lease may use.
     fn reserved(&self, fleet: FleetView) -> f64 {
         let FleetView {
             allowed,
@@ -263,8 +263,9 @@
             + silent as f64 * part(allowed, entries, IDLE_FRACTION)
     }
 
-    /// The fair rate of an entry: what it demands with a margin if all of that fits, with the spare
-    /// split evenly; else demands are filled evenly until the rate is used up.
+    /// Returns the fair rate of an entry. If all demands fit with the margin, it is the demand with
+    /// the margin plus an equal part of the rest; otherwise the demands are filled evenly until the
+    /// rate is exhausted.
     fn target(&self, entry: u64, lendable: f64) -> f64 {
         let demand = self.holders.get(&entry).map_or(0.0, |it| it.demand);
         let count = self.holders.len().max(1) as f64;
@@ -278,7 +279,7 @@
         demand.min(self.level(lendable))
     }
 
-    /// The level up to which demands are filled.
+    /// Returns the level up to which demands are filled.
     fn level(&self, lendable: f64) -> f64 {
         let mut demands: Vec<f64> = self.holders.values().map(|it| it.demand).collect();
         demands.sort_by(f64::total_cmp);
--- a/crates/gradeloft_policy/src/process/refresh.rs
+++ b/crates/gradeloft_policy/src/process/refresh.rs
@@ -1,29 +1,30 @@
-//! When an agent asks an entry for the operator's records.
+//! Schedules the reads of the operator's records by an agent.
 //!
-//! All agents of an availability zone hear of a new configuration at once, from the entry that has it
-//! first. Would they ask in that moment, all would ask that entry.
+//! All agents of an availability zone learn of a new configuration at the same time, from the first
+//! entry that holds it. If they read it at once, all of them would read it from that entry.
 
 use rand::Rng;
 
 use crate::clock::Time;
 
-/// Pause between two questions, in milliseconds. A configuration may follow others closely, and little of
-/// it concerns an agent.
+/// Shortest interval between two reads, in milliseconds. Configurations can follow each other
+/// closely, and little of their content concerns an agent.
 const REFRESH_MS: u64 = 2_000;
-/// Time over which agents spread their questions, in milliseconds: the pause between an entry's datagrams
-/// to the agents of its region, so that each entry of the region speaks within it.
+/// Time over which agents spread their reads, in milliseconds. It is the interval between an
+/// entry's datagrams to the agents of its region, so each entry of the region announces its copies
+/// within it.
 const SPREAD_MS: u64 = 500;
 
-/// When an agent asked last and asks next.
+/// Times of the last and the next read of an agent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refresh {
     asked: Option<Time>,
-    /// Drawn when there is first something to ask for.
+    /// Time of the next read, drawn when there is first something new to read.
     due: Option<Time>,
 }
 
 impl Refresh {
-    /// Whether to ask an entry now that has something new.
+    /// Whether to read from an entry with new records now.
     pub fn due(&mut self, now: Time, rng: &mut impl Rng) -> bool {
         let due = *self.due.get_or_insert_with(|| {
             let earliest = self.asked.map_or(now, |it| it.after_ms(REFRESH_MS));
@@ -33,7 +34,7 @@
         due <= now
     }
 
-    /// An entry was asked.
+    /// Records a read.
     pub fn asked(&mut self, now: Time) {
         self.asked = Some(now);
         self.due = None;
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -1,7 +1,8 @@
-//! Requests of others at replicas, by their last reports, and the age of these.
+//! Requests of other entries at replicas, by their last reports, and the age of these.
 //!
-//! Entries of the own region report for themselves, other regions through their speakers. A report that is too large
-//! for one datagram comes in parts, each of which replaces the one before it.
+//! Entries of the own region report for themselves, other regions through their delegates. A report
+//! that is too large for one datagram arrives in parts; each part replaces the previous one of the
+//! same number.
 
 use std::{borrow::Borrow, collections::HashMap, hash::Hash, time::Duration};
 
@@ -10,11 +11,11 @@
 /// Requests at one replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Hash of the replica's start.
+    /// Hash of the replica's current start.
     pub replica: u32,
-    /// Requests.
+    /// Requests in progress.
     pub running: u32,
-    /// Of those, requests whose answer has not begun.
+    /// Of these, requests whose answer has not begun.
     pub waiting: u32,
 }
 
@@ -23,17 +24,17 @@
 pub struct Part {
     /// When it was received.
     pub at: Time,
-    /// Number of the part, from 0.
+    /// Number of the part, counted from 0.
     pub part: u16,
-    /// Parts, less one.
+    /// Number of the last part.
     pub further: u16,
-    /// Requests that come to the sender, a second.
+    /// Requests a second that the sender receives.
     pub demand: f64,
-    /// Requests by replica.
+    /// Requests in progress by replica.
     pub loads: Vec<Load>,
 }
 
-/// The last report of each of several others.
+/// The last report of each sender.
 #[derive(Clone, Debug)]
 pub struct RemoteLoads<K> {
     reports: HashMap<K, HashMap<u16, Part>>,
@@ -48,19 +49,19 @@
 }
 
 impl<K: Eq + Hash> RemoteLoads<K> {
-    /// Takes in a part of the report of `who`.
+    /// Stores a part of the report of `who`.
     pub fn receive(&mut self, who: K, part: Part) {
         let parts = self.reports.entry(who).or_default();
         parts.retain(|number, it| *number <= part.further && it.further == part.further);
         parts.insert(part.part, part);
     }
 
-    /// Drops the reports of those for whom `keep` does not hold.
+    /// Drops the reports of the senders for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&K) -> bool) {
         self.reports.retain(|who, _| keep(who));
     }
 
-    /// Drops what was received before a time.
+    /// Drops the parts that were received before a time.
     pub fn expire(&mut self, before: Time) {
         for parts in self.reports.values_mut() {
             parts.retain(|_, it| before <= it.at);
@@ -76,35 +77,35 @@
         self.reports.contains_key(who)
     }
 
-    /// How many others have reported.
+    /// Returns the number of senders with a report.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether nobody has reported.
+    /// Whether there is no report.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Mean age of the reports.
+    /// Returns the mean age of the parts.
     pub fn age(&self, now: Time) -> Duration {
         let ages = self.parts().map(|it| now.since(it.at));
         let sum: Duration = ages.sum();
         sum / self.parts().count().max(1) as u32
     }
 
-    /// Requests that come to one of them, a second.
+    /// Returns the requests a second that a sender receives, by its latest part.
     pub fn demand_of(&self, who: &K) -> f64 {
         let parts = self.reports.get(who).into_iter().flat_map(|it| it.values());
         parts.max_by_key(|it| it.at).map_or(0.0, |it| it.demand)
     }
 
-    /// Requests that come to all of them, a second.
+    /// Returns the requests a second that all senders receive together.
     pub fn demand(&self) -> f64 {
         self.reports.keys().map(|it| self.demand_of(it)).sum()
     }
 
-    /// Adds what they have at each replica to `sums`.
+    /// Adds the reported requests at each replica to `sums`.
     pub fn add_to(&self, sums: &mut HashMap<u32, Load>) {
         for load in self.parts().flat_map(|it| &it.loads) {
             add(sums, *load);
@@ -116,7 +117,7 @@
     }
 }
 
-/// Adds requests at a replica to `sums`.
+/// Adds the requests at one replica to `sums`.
 pub fn add(sums: &mut HashMap<u32, Load>, load: Load) {
     let sum = sums.entry(load.replica).or_insert(Load {
         replica: load.replica,
--- a/crates/gradeloft_policy/src/process/replica_starts.rs
+++ b/crates/gradeloft_policy/src/process/replica_starts.rs
@@ -1,30 +1,30 @@
-//! Which start of a replica something was said of.
+//! Assigns messages about a replica to its starts.
 //!
-//! A replica may start again under the id that it had, and then knows nothing of before. Each start says
-//! when it began, by its instance's clock, which may have been set back meanwhile.
+//! A replica may restart under the same id, and loses its state. Each start reports its time by the
+//! clock of its instance, which may have been set back in the meantime.
 
-/// How what was said relates to the start that is known.
+/// Relation of a message to the known start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartOrder {
-    /// Of a start that has ended.
+    /// The message concerns a start that has ended.
     Ended,
-    /// Of a start that is not known yet.
+    /// The message concerns a start that was not known.
     Newer,
-    /// Of the start that is known, or of one that can't be told from it.
+    /// The message concerns the known start, or one that can't be distinguished from it.
     Same,
 }
 
 /// The starts of one replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Starts {
-    /// Unix millisecond of the one that is known.
+    /// The known start, as a Unix time in milliseconds.
     now: Option<u64>,
-    /// Of the one before it.
+    /// The start before it.
     ended: Option<u64>,
 }
 
 impl Starts {
-    /// The first that is known.
+    /// Creates the state for the first known start.
     pub fn new(born: Option<u64>) -> Starts {
         Starts {
             now: born,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes in what the platform's table says, whose records are read in order.
+    /// Applies a record of the platform's table, whose records are read in order.
     ///
     /// ```
     /// use gradeloft_policy::process::replica_starts::{StartOrder, Starts};
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Takes in what a message says that may be late: an earlier start, or the one that ended last, is
-    /// no news.
+    /// Applies a message that may be delayed: one about an earlier start, or about the one that
+    /// ended last, changes nothing.
     pub fn received(&mut self, born: Option<u64>) -> StartOrder {
         match (self.now, born) {
             (Some(now), Some(born)) if born < now || self.ended == Some(born) => StartOrder::Ended,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Unix millisecond of the start that is known.
+    /// Returns the known start as a Unix time in milliseconds.
     pub fn born(self) -> Option<u64> {
         self.now
     }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -1,5 +1,5 @@
-//! The replicas of all services: what the platform says of them, joined with what their own agents
-//! say and with what connections to them show.
+//! The replicas of all services, by the platform's listings, the reports of their agents and the
+//! state of connections.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -20,75 +20,77 @@
     request::forecast::{Queue, Slowness},
 };
 
-/// First pause after a failure, in milliseconds; doubles with each further failure in a row.
+/// First pause after a failure, in milliseconds; doubles with each further consecutive failure.
 const FIRST_PAUSE_MS: u64 = 300;
-/// Longest pause, in milliseconds: about the platform's own time to notice that a replica is gone.
+/// Longest pause, in milliseconds; about the time within which the platform notices that a replica
+/// is gone.
 const MAX_PAUSE_MS: u64 = 4_000;
-/// Age at which an agent's word is no longer used, in milliseconds: three of its usual pauses.
+/// Age at which an agent's report expires, in milliseconds: three of its usual intervals.
 const REPORT_MS: u64 = 3_000;
 
-/// Time without a byte after which a replica with requests counts as silent, in milliseconds: ten of
-/// an engine's passes at full load.
+/// Time without data after which a replica with requests counts as silent, in milliseconds: ten
+/// passes of an engine at full load.
 const SILENCE_MS: u64 = 600;
 
 new_key_type! {
-    /// Names a replica.
+    /// Key of one start of a replica.
     pub struct ReplicaKey;
 }
 
-/// What the platform says of a replica.
+/// The platform's listing of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// Id of the replica; a request can be pinned to it.
+    /// Id of the replica, by which a request can be pinned to it.
     pub id: Rc<str>,
-    /// Unix millisecond of its start, where it says so. It may start again under the same id.
+    /// Start of the replica as a Unix time in milliseconds, if it is reported. A replica may
+    /// restart under the same id.
     pub born: Option<u64>,
     /// Service that it belongs to.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is being drained.
     pub draining: bool,
-    /// Whether it is a model's replica, which can answer only with weights.
+    /// Whether it runs a model, and therefore needs weights to answer.
     pub has_model: bool,
-    /// Version of the weights that it holds in full; `None` without them.
+    /// Version of the weights that it holds in full; `None` without weights.
     pub version: Option<u64>,
-    /// How much longer it is cold, in milliseconds, from when it wrote this.
+    /// Time that it stays cold from the writing of this listing on, in milliseconds.
     pub warmup_left_ms: u64,
 }
 
-/// What a replica's agent says of it.
+/// Report of a replica's agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// Unix millisecond of the replica's start, where it says so.
+    /// Start of the replica as a Unix time in milliseconds, if it is reported.
     pub born: Option<u64>,
     /// Version of the weights that it holds in full.
     pub version: Option<u64>,
-    /// Whether it takes no work now because weights are about to be loaded.
+    /// Whether it accepts no work because weights are about to be loaded.
     pub loading: bool,
-    /// Whether its instance's link is full.
+    /// Whether the link of its instance is saturated.
     pub congested: bool,
-    /// When the report came.
+    /// When the report was received.
     pub at: Time,
 }
 
 /// Whether a removal may be an error of the platform's store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreTrust {
-    /// The store was out of reach a moment ago and may have dropped replicas that live; those are back
-    /// by then.
+    /// The store was unreachable recently and may have dropped live replicas, which reappear by
+    /// this time.
     Doubtful(Time),
-    /// The store has been well.
+    /// The store was available throughout.
     Sound,
 }
 
 impl StoreTrust {
-    /// Of a removal that was written at `written`: whoever is dropped in error is back so many milliseconds
-    /// after it, however late it is read.
+    /// Returns the trust in a removal that was written at `written`: a replica that was dropped in
+    /// error reappears within `back_ms` of it, however late the removal is read.
     pub fn of_written(self, written: Time, back_ms: u64) -> StoreTrust {
         match self {
             StoreTrust::Doubtful(until) => {
@@ -102,47 +104,49 @@
 /// A replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// What the platform says.
+    /// Listing by the platform.
     pub listing: Listing,
-    /// What its agent says.
+    /// Last report of its agent.
     pub report: Option<Report>,
-    /// Requests of this entry that it works on.
+    /// Requests of this entry in progress there.
     pub own_requests: u32,
-    /// Of those, requests whose answer has not begun.
+    /// Of these, requests whose answer has not begun.
     pub own_waiting: u32,
-    /// Prompt tokens of those.
+    /// Prompt tokens of the requests in `own_waiting`.
     pub own_waiting_tokens: f64,
-    /// Requests of other entries that it works on, as they said last.
+    /// Requests of other entries in progress there, by their last reports.
     pub other_requests: u32,
-    /// Of those, requests whose answer has not begun.
+    /// Of these, requests whose answer has not begun.
     pub others_waiting: u32,
-    /// Slots of it that this entry fills without regard to others.
+    /// Slots assigned to this entry, which it fills without regard to other entries.
     pub own_slots: u32,
     /// Whether it is in this entry's region.
     pub near: bool,
-    /// How much later than the operator publishes its answers begin.
+    /// Delay of the start of its answers beyond the speed that the operator publishes.
     pub slowness: Slowness,
-    /// When it sent something last, or was given the only request that it has from this entry.
+    /// When data was last received from it, or when this entry's only request in progress was sent
+    /// to it.
     pub silent_since: Time,
-    /// When it sent something last.
+    /// When data was last received from it.
     pub last_received: Time,
     /// Whether its availability zone is evacuated.
     pub evacuated: bool,
-    /// Least time between two requests of this entry while it is cold; `None` if this entry sends it none.
+    /// Shortest interval between this entry's requests while it is cold; `None` if this entry sends
+    /// it none.
     pub cold_pause: Option<Duration>,
-    /// Until when it is cold.
+    /// End of its warm-up.
     cold_until: Time,
-    /// When this entry sent it a request last.
+    /// When this entry last sent it a request.
     sent: Option<Time>,
     failures: u32,
     paused_until: Time,
-    /// Set while a removal waits.
+    /// Time of its scheduled removal, if there is one.
     gone_at: Option<Time>,
     starts: Starts,
 }
 
 impl Replica {
-    /// A replica of which nothing is known but what the platform says.
+    /// Creates a replica of which only the platform's listing is known.
     fn new(listing: Listing, starts: Starts) -> Replica {
         Replica {
             listing,
@@ -168,15 +172,17 @@
         }
     }
 
-    /// Names this start of it to other processes, in few bytes. Two of 2,300 replicas have the same name in
-    /// one fleet of 1,600, and then count as busier than they are.
+    /// Returns a short identifier of this start for messages to other processes. Among 2,300
+    /// replicas, one fleet in 1,600 has two with the same identifier, which then count as busier
+    /// than they are.
     pub fn hash(&self) -> u32 {
         let id = rendezvous::hash(self.listing.id.as_bytes());
         let start = self.starts.born().map(|it| rendezvous::score(id, it));
         start.unwrap_or(id) as u32
     }
 
-    /// Version of the weights that it holds in full, by the newer of both sources.
+    /// Returns the version of the weights that it holds in full, by the newer of listing and
+    /// report.
     pub fn version(&self, now: Time) -> Option<u64> {
         let reported = self.fresh(now).and_then(|it| it.version);
         reported.max(self.listing.version)
@@ -187,19 +193,20 @@
         !self.evacuated && self.serves(now)
     }
 
-    /// Whether it takes new work, be its availability zone evacuated or not.
+    /// Whether it accepts new work, whether or not its availability zone is evacuated.
     pub fn serves(&self, now: Time) -> bool {
         let loading = self.fresh(now).is_some_and(|it| it.loading);
         let filled = !self.listing.has_model || self.version(now).is_some();
         !self.listing.draining && !loading && filled
     }
 
-    /// Whether it is cold.
+    /// Whether it is still warming up.
     pub fn cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
-    /// Sets how much longer it is cold. It may have turned cold again, and an older message may say that it is warm.
+    /// Sets the remaining time of its warm-up. A warm replica can become cold again, and an older
+    /// message can report that it is warm.
     pub fn set_warmup_left(&mut self, left_ms: u64, now: Time) {
         self.cold_until = match left_ms {
             0 => Time::ZERO,
@@ -207,7 +214,7 @@
         };
     }
 
-    /// Whether this entry may send it a request now, as far as its being cold goes.
+    /// Whether its warm-up allows this entry to send it a request now.
     pub fn warmup_allows(&self, now: Time) -> bool {
         if !self.cold(now) {
             return true;
@@ -218,7 +225,7 @@
         self.sent.is_none_or(|it| it.after(pause) <= now)
     }
 
-    /// Notes that this entry sends it a request.
+    /// Records that this entry sends it a request.
     pub fn note_sent(&mut self, now: Time) {
         self.sent = Some(now);
     }
@@ -228,39 +235,40 @@
         0 < self.own_requests && self.silent_since.after_ms(SILENCE_MS) <= now
     }
 
-    /// Whether requests wait before its instance's link, as its agent sees it.
+    /// Whether requests queue at the link of its instance, as reported by its agent.
     pub fn congested(&self, now: Time) -> bool {
         self.fresh(now).is_some_and(|it| it.congested)
     }
 
-    /// Whether it failed a moment ago.
+    /// Whether it failed recently.
     pub fn suspect(&self, now: Time) -> bool {
         now < self.paused_until
     }
 
-    /// Requests that it works on, as far as this entry knows.
+    /// Returns the number of requests in progress, as far as this entry knows.
     pub fn load(&self) -> u32 {
         self.own_requests + self.other_requests
     }
 
-    /// Requests whose answer has not begun, as far as this entry knows.
+    /// Returns the number of requests whose answer has not begun, as far as this entry knows.
     pub fn waiting(&self) -> u32 {
         self.own_waiting + self.others_waiting
     }
 
-    /// Whether a slot of this entry's part is free.
+    /// Whether a slot that is assigned to this entry is free.
     pub fn has_free_own_slot(&self) -> bool {
         self.own_requests < self.own_slots
     }
 
-    /// Slots that are free as far as this entry knows, where so many more requests may have come.
+    /// Returns the number of free slots as far as this entry knows, less `unseen` requests that
+    /// others may have sent.
     pub fn spare(&self, unseen: f64) -> f64 {
         (f64::from(self.listing.slots) - f64::from(self.load()) - unseen).max(0.0)
     }
 
-    /// What a request finds at it, as far as this entry knows. How long the prompts are that other
-    /// entries sent is not told. Where this entry has a free slot of its own, others can't have taken it,
-    /// whatever they told some time ago.
+    /// Returns the queue that a new request meets, as far as this entry knows. The prompt lengths
+    /// of other entries' requests are not reported. While a slot assigned to this entry is free,
+    /// others can't have taken it, whatever they reported some time ago.
     pub fn queue(&self, speed: &Speed) -> Queue {
         let slots = self.listing.slots;
         let others = if self.has_free_own_slot() {
@@ -295,28 +303,28 @@
 }
 
 impl Replicas {
-    /// A replica, unless it is gone.
+    /// Returns a replica, if it still exists.
     pub fn get(&self, key: ReplicaKey) -> Option<&Replica> {
         self.arena.get(key)
     }
 
-    /// A replica, to change.
+    /// Returns a replica for modification.
     pub fn get_mut(&mut self, key: ReplicaKey) -> Option<&mut Replica> {
         self.arena.get_mut(key)
     }
 
-    /// The replicas of a service.
+    /// Iterates over the replicas of a service.
     pub fn of(&self, service: &str) -> impl Iterator<Item = (ReplicaKey, &Replica)> + Clone {
         let keys = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         keys.iter().map(|it| (*it, &self.arena[*it]))
     }
 
-    /// All replicas.
+    /// Iterates over all replicas.
     pub fn iter(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         self.arena.iter()
     }
 
-    /// The replicas that listen at an address.
+    /// Returns the replicas that listen on an address.
     pub fn at(&self, address: SocketAddr) -> Vec<ReplicaKey> {
         let at = self
             .arena
@@ -325,17 +333,17 @@
         at.map(|(key, _)| key).collect()
     }
 
-    /// How many there are.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.arena.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
 
-    /// Takes over what the platform says of a replica. One that started again gets another key.
+    /// Applies a listing of a replica. A replica that restarted gets a new key.
     pub fn list(&mut self, listing: Listing) -> ReplicaKey {
         let Some(&key) = self.by_id.get(&listing.id) else {
             let starts = Starts::new(listing.born);
@@ -357,7 +365,7 @@
         key
     }
 
-    /// Key of the replica with an id.
+    /// Returns the key of a replica by its id.
     pub fn key(&self, id: &str) -> Option<ReplicaKey> {
         self.by_id.get(id).copied()
     }
@@ -372,14 +380,14 @@
         key
     }
 
-    /// Puts a new start of a replica in the place of the one before it, of which nothing holds any more.
+    /// Replaces a replica by its new start, dropping all state of the previous one.
     fn restart(&mut self, ended: ReplicaKey, listing: Listing) -> ReplicaKey {
         let starts = self.arena[ended].starts;
         self.remove(ended);
         self.insert(Replica::new(listing, starts))
     }
 
-    /// The platform no longer lists a replica.
+    /// Applies the removal of a replica from the platform's list.
     pub fn unlist(&mut self, id: &str, trust: StoreTrust) {
         let Some(&key) = self.by_id.get(id) else {
             return;
@@ -390,7 +398,7 @@
         }
     }
 
-    /// Removes the replicas whose removal has waited long enough; gives their ids.
+    /// Removes the replicas whose scheduled removal is due and returns their ids.
     pub fn expire(&mut self, now: Time) -> Vec<Rc<str>> {
         let due = |it: &Replica| it.gone_at.is_some_and(|at| at <= now);
         let gone: Vec<ReplicaKey> = self
@@ -407,8 +415,9 @@
         ids
     }
 
-    /// Takes over what the agent beside the replica at `address` says of it; gives the keys of starts that
-    /// have ended by that. What is older than what is known, or said of a start that has ended, changes nothing.
+    /// Applies the report of the agent of the replica at `address`; returns the keys of starts that
+    /// have ended according to it. A report that is older than the known one, or concerns an ended
+    /// start, changes nothing.
     pub fn report_at(&mut self, address: SocketAddr, report: Report) -> Vec<ReplicaKey> {
         let keys = self.at(address);
         let mut ended = Vec::new();
@@ -417,7 +426,7 @@
             match replica.starts.received(report.born) {
                 StartOrder::Ended => {}
                 StartOrder::Newer => {
-                    // The platform's word is of the start that ended.
+                    // The known listing concerns the start that ended.
                     let listing = Listing {
                         born: report.born,
                         draining: false,
@@ -438,16 +447,16 @@
         ended
     }
 
-    /// Takes over how many requests of other entries each replica works on, and how many of those
-    /// have not begun.
+    /// Sets the requests of other entries at each replica, as a pair of those in progress and those
+    /// of them whose answer has not begun.
     pub fn set_others(&mut self, others: impl Fn(&Replica) -> (u32, u32)) {
         for replica in self.arena.values_mut() {
             (replica.other_requests, replica.others_waiting) = others(replica);
         }
     }
 
-    /// Sends nothing more to the replicas of an availability zone, or takes that back; gives whether that changes
-    /// anything.
+    /// Stops or resumes sending requests to the replicas of an availability zone; returns whether
+    /// this changed anything.
     pub fn evacuate(&mut self, zone: &str, evacuated: bool) -> bool {
         let changed = match evacuated {
             true => self.evacuated.insert(zone.to_owned()),
@@ -466,7 +475,8 @@
         self.evacuated.iter().map(String::as_str)
     }
 
-    /// Sets the pause between this entry's requests to each replica that is cold; gives how many are.
+    /// Sets the interval between this entry's requests to each cold replica; returns the number of
+    /// cold replicas.
     pub fn set_cold_pauses(
         &mut self,
         pause: impl Fn(&Replica) -> Option<Duration>,
@@ -480,20 +490,21 @@
         cold
     }
 
-    /// Takes over which replicas are in this entry's region, by their availability zone.
+    /// Sets which replicas are in this entry's region, by their availability zone.
     pub fn set_near(&mut self, near: impl Fn(&str) -> bool) {
         for replica in self.arena.values_mut() {
             replica.near = near(&replica.listing.zone);
         }
     }
 
-    /// Whether a replica is listed as draining, and the version of the weights listed for it.
+    /// Returns whether a replica is listed as draining, and the version of the weights listed for
+    /// it.
     pub fn state(&self, id: &str) -> Option<(bool, Option<u64>)> {
         let listing = &self.arena.get(*self.by_id.get(id)?)?.listing;
         Some((listing.draining, listing.version))
     }
 
-    /// A replica sent something.
+    /// Records that a replica sent data.
     pub fn received(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.arena.get_mut(key) {
             replica.silent_since = now;
@@ -501,7 +512,7 @@
         }
     }
 
-    /// A request to a replica came back as it should.
+    /// Records that a request to a replica succeeded.
     pub fn succeeded(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.arena.get_mut(key) {
             replica.last_received = now;
@@ -510,7 +521,7 @@
         }
     }
 
-    /// A request to a replica failed in a way that may be the replica's fault.
+    /// Records that a request to a replica failed, possibly through the replica's fault.
     pub fn failed(&mut self, key: ReplicaKey, now: Time) {
         if let Some(replica) = self.arena.get_mut(key) {
             let pause = FIRST_PAUSE_MS << replica.failures.min(8);
@@ -519,7 +530,7 @@
         }
     }
 
-    /// The replica's address is another's now.
+    /// Removes a replica whose address now belongs to another one.
     pub fn replaced(&mut self, key: ReplicaKey) {
         if self.arena.contains_key(key) {
             self.remove(key);
--- a/crates/gradeloft_policy/src/process/retry_budget.rs
+++ b/crates/gradeloft_policy/src/process/retry_budget.rs
@@ -1,25 +1,26 @@
-//! How many times more a service's replicas may be asked than there are requests for it.
+//! Limits the number of repeated requests to the replicas of a service.
 //!
-//! All entries together may send a ratio of the requests, and some more, again in any span of the
-//! window's length. Each entry spends at most its ratio of the requests that it saw itself and its
-//! part of the rest, so the sum holds without talking: also when entries come, go or can't see
-//! each other, since the part is of all entries that were ever known at once. What a process spent is
-//! forgotten when it ends; the one that starts in its place takes it for all that was allowed.
+//! In any window, all entries together may repeat a fixed ratio of the requests, plus a fixed
+//! number. Each entry spends at most that ratio of the requests that it received itself, plus its
+//! share of the fixed number, so the limit holds without coordination. It also holds while entries
+//! join, leave or can't reach each other, since the share is based on the highest number of entries
+//! ever known at once. A process loses its record of past repeats when it ends; its successor
+//! assumes that all of them were used.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Buckets of a window. One bucket more is kept, so that a span which straddles buckets is covered.
+/// Number of buckets in a window. One more is kept to cover a window that straddles buckets.
 const BUCKETS: u64 = 20;
-/// Part of the allowance that is used. The rest is for a process that starts again within the window: the one before it
-/// may have spent its part.
-const USED: f64 = 0.8;
+/// Share of the allowance that is used. The rest is for a process that restarts within the window,
+/// since its predecessor may have used its share.
+const USED_SHARE: f64 = 0.8;
 
-/// Bounds of all entries together.
+/// Limits for all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Repeats for each request.
+    /// Repeats per request.
     pub ratio: f64,
     /// Repeats beyond the ratio in one window.
     pub slack: f64,
@@ -34,7 +35,7 @@
     repeats: u64,
 }
 
-/// What one entry has sent to one service in the last window.
+/// Requests and repeats of one entry to one service in the last window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
@@ -46,16 +47,16 @@
         self.bucket(bounds, now).requests += 1;
     }
 
-    /// Takes one repeat out of the budget, as one of `entries` entries, at a time since the process started; `false` if none is
-    /// left. While it is not
-    /// known how many there are, none takes a part of what is beyond the ratio.
+    /// Takes one repeat from the budget, as one of `entries` entries; returns `false` if none is
+    /// left. `now` counts from the start of the process. While the number of entries is unknown,
+    /// only the ratio applies.
     pub fn repeat(&mut self, bounds: Bounds, entries: Option<usize>, now: Time) -> bool {
         self.bucket(bounds, now);
         let requests: u64 = self.buckets.iter().map(|it| it.requests).sum();
         let repeats: u64 = self.buckets.iter().map(|it| it.repeats).sum();
         let part = entries.map_or(0.0, |it| bounds.slack / it.max(1) as f64);
         let begun = Time::ZERO.after_ms(bounds.window_ms) <= now;
-        let used = if begun { USED } else { 1.0 - USED };
+        let used = if begun { USED_SHARE } else { 1.0 - USED_SHARE };
         let allowed = used * (bounds.ratio * requests as f64 + part);
         if allowed < (repeats + 1) as f64 {
             return false;
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -1,4 +1,4 @@
-//! The entries that callers may be sent to, by the status that each of them sends.
+//! The entries that callers can be sent to, by the status that each of them sends.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -7,41 +7,43 @@
 
 use crate::{clock::Time, rendezvous};
 
-/// Least silence after which an entry is no longer named to callers, in milliseconds.
+/// Silence after which an entry is no longer offered to callers, in milliseconds.
 const SILENCE_MS: u64 = 1_300;
-/// The same for entries that are known through others, in milliseconds: three pauses between a region's lists of its
-/// members, and the silence after which another entry sends them.
+/// The same for entries whose status is relayed by others, in milliseconds: three intervals between
+/// the member lists of a region, plus the silence after which another entry sends them.
 const RELAYED_SILENCE_MS: u64 = 4_000;
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
-/// Entries named in one answer at most; the platform reads no more.
+/// Most entries in one answer; the platform reads no more.
 const MAX_NAMED: usize = 64;
-/// Entries of the caller's availability zone from which on few others are named. Callers draw from what is
-/// named, so each of these takes its part of what the zone asks for; and a request that enters elsewhere
-/// crosses a link twice that requests and weights share.
+/// Number of entries in the caller's availability zone that are enough to offer few others. Callers
+/// choose at random among the offered entries, so each of these gets its share of the zone's
+/// requests. A request through another zone crosses twice a link that requests and weights share.
 const ENOUGH_NEAR: usize = 8;
-/// Others that are named all the same: callers reach them at once should the whole zone go dark.
+/// Number of entries of other zones that are offered in any case, so that callers can reach them at
+/// once if the whole zone fails.
 const FALLBACKS: usize = 2;
 
-/// How well an entry knows which others there are.
+/// How many of the other entries an entry knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Discovery {
-    /// It has not read the table of entries.
+    /// It has not read the table of entries yet.
     None,
-    /// It has, within a window of its start: of many entries it knows only that they are listed.
+    /// It has read the table, but started less than a window ago: it knows many entries only by
+    /// their listing.
     Listed,
-    /// It has met those that there are.
+    /// It has met the entries that exist.
     Complete,
 }
 
-/// Whether an entry takes callers.
+/// Whether an entry accepts callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It finishes what runs and takes nothing new.
+    /// It finishes the requests in progress and accepts no new ones.
     Leaving,
-    /// It takes callers.
+    /// It accepts callers.
     Ready,
-    /// It does not know enough, or others know more.
+    /// It lacks state that it needs, or that others have.
     Starting,
 }
 
@@ -50,28 +52,28 @@
     zone: String,
     state: State,
     incarnation: u64,
-    /// Whether the platform's store serves it, by its last status.
+    /// Whether it has access to the platform's store, by its last status.
     served: bool,
-    /// How far its copy of the operator's table goes, by its last status.
+    /// End of its copy of the operator's table, by its last status.
     end: u64,
-    /// When it was known to be alive last.
+    /// When it was last known to be alive.
     seen: Option<Time>,
-    /// Until when it counts as alive.
+    /// Time until which it counts as alive.
     alive_until: Time,
 }
 
-/// What an entry sends of itself.
+/// Status that an entry sends about itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Status<'a> {
-    /// Names this start of it; later starts have higher numbers.
+    /// Number of its current start; later starts have higher numbers.
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: &'a str,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub state: State,
-    /// Whether the platform's store serves it.
+    /// Whether it has access to the platform's store.
     pub served: bool,
-    /// How far its copy of the operator's table goes.
+    /// End of its copy of the operator's table.
     pub end: u64,
 }
 
@@ -79,12 +81,12 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     entries: HashMap<Ipv4Addr, Entry>,
-    /// Most entries that were known at once, the own one included.
+    /// Highest number of entries known at once, including this one.
     peak: usize,
 }
 
 impl Roster {
-    /// Learns that there may be an entry at an address, and its availability zone if that is known.
+    /// Records that there may be an entry at an address, and its availability zone if known.
     pub fn learn(&mut self, address: Ipv4Addr, zone: Option<&str>) {
         let entry = self.entries.entry(address).or_insert(Entry {
             zone: String::new(),
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Takes in the status of an entry, unless it is of an earlier start of it.
+    /// Applies the status of an entry, unless it is from an earlier start of it.
     pub fn receive(&mut self, address: Ipv4Addr, status: Status<'_>, now: Time) {
         self.take_in(address, status, SILENCE_MS, now);
     }
 
-    /// The same, through another entry.
+    /// Applies the status of an entry that another entry relayed.
     pub fn receive_relayed(&mut self, address: Ipv4Addr, status: Status<'_>, now: Time) {
         self.take_in(address, status, RELAYED_SILENCE_MS, now);
     }
@@ -129,7 +131,7 @@
         self.peak = self.peak.max(known.count() + 1);
     }
 
-    /// Those whose availability zone is known and fits.
+    /// Iterates over the entries whose availability zone is known and accepted by `fits`.
     pub fn addresses_in(&self, fits: impl Fn(&str) -> bool) -> impl Iterator<Item = Ipv4Addr> {
         let entries = self.entries.iter();
         entries
@@ -137,7 +139,7 @@
             .map(|(address, _)| *address)
     }
 
-    /// Those of which nothing is known but the address.
+    /// Iterates over the entries of which only the address is known.
     pub fn unidentified(&self) -> impl Iterator<Item = Ipv4Addr> {
         let entries = self.entries.iter();
         entries
@@ -145,13 +147,13 @@
             .map(|(address, _)| *address)
     }
 
-    /// Availability zones of all that are known.
+    /// Returns the availability zones of all known entries.
     pub fn zones(&self) -> BTreeSet<&str> {
         let zones = self.entries.values().map(|it| it.zone.as_str());
         zones.filter(|it| !it.is_empty()).collect()
     }
 
-    /// Entries that are alive, in availability zones that fit.
+    /// Iterates over the live entries in availability zones accepted by `fits`.
     pub fn alive_in(
         &self,
         fits: impl Fn(&str) -> bool,
@@ -163,7 +165,7 @@
             .map(|(address, _)| *address)
     }
 
-    /// The last status of the entries that are alive in availability zones that fit.
+    /// Iterates over the last status of the live entries in availability zones accepted by `fits`.
     pub fn statuses(
         &self,
         fits: impl Fn(&str) -> bool,
@@ -174,14 +176,15 @@
         alive.map(|(address, it)| (*address, it.status()))
     }
 
-    /// Most entries that were known at once, the own one included.
+    /// Returns the highest number of entries known at once, including this one.
     pub fn peak_size(&self) -> usize {
         self.peak.max(1)
     }
 
-    /// Among how many entries that is split which all may spend together; `None` while nobody knows. An entry that
-    /// has just started has met few others. Where many start at once, each would else take most of it: of seven, six
-    /// that were killed together each took a half or all, and all of them more than there was.
+    /// Returns the number of entries among which a common budget is split, or `None` while it is
+    /// unknown. An entry that has just started has met few others. If many start at once, each
+    /// would otherwise take most of the budget: of seven entries, six restarted together would each
+    /// take half of it or all, and together more than there is.
     pub fn budget_sharers(&self, acquaintance: Discovery) -> Option<usize> {
         match acquaintance {
             Discovery::None => None,
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Entries that are alive and served by the platform's store, in availability zones that fit.
+    /// Iterates over the live entries with access to the platform's store, in availability zones
+    /// accepted by `fits`.
     pub fn served(&self, fits: impl Fn(&str) -> bool, now: Time) -> impl Iterator<Item = Ipv4Addr> {
         let entries = self.entries.iter();
         entries
@@ -198,7 +202,7 @@
             .map(|(address, _)| *address)
     }
 
-    /// Entries that take callers, in availability zones that fit.
+    /// Iterates over the entries that accept callers, in availability zones accepted by `fits`.
     pub fn serving(
         &self,
         fits: impl Fn(&str) -> bool,
@@ -210,8 +214,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// Whether most entries, the own one included, take callers and have more of the operator's table than
-    /// up to `end`. Those that are leaving count for nothing.
+    /// Whether a majority of entries, including this one, accept callers and hold more of the
+    /// operator's table than up to `end`. Leaving entries don't count.
     pub fn majority_beyond(&self, end: u64, now: Time) -> bool {
         let staying = |it: &&Entry| it.alive(now) && it.state != State::Leaving;
         let others = self.entries.values().filter(staying);
@@ -226,9 +230,9 @@
         self.entries.get(&address).is_some_and(|it| it.alive(now))
     }
 
-    /// Entries to name to callers in `zone`, the one at `own` left out: those of the zone first, and of the
-    /// others as many as are needed, drawn for `own`, so that all of them are named alike. Only those in availability
-    /// zones that `allow` lets through.
+    /// Returns the entries to offer to callers in `zone`, without the one at `own`: those of the
+    /// zone first, then as many others as needed, selected by `own` so that all of them are offered
+    /// equally often. Only availability zones accepted by `allow` are used.
     pub fn ready(
         &self,
         own: Ipv4Addr,
@@ -247,7 +251,7 @@
         near
     }
 
-    /// Forgets entries that have been silent for long; `keep` says which are never forgotten.
+    /// Forgets entries that have been silent for long, unless `keep` returns `true`.
     pub fn forget(&mut self, keep: impl Fn(Ipv4Addr) -> bool, now: Time) {
         self.entries.retain(|address, it| {
             let recent = it.seen.is_some_and(|at| now < at.after_ms(FORGET_MS));
@@ -256,7 +260,7 @@
     }
 }
 
-/// Hash of an entry's address, by which duties are drawn.
+/// Returns the hash of an entry's address, by which duties are assigned.
 pub fn hash(address: &Ipv4Addr) -> u64 {
     rendezvous::hash(&address.octets())
 }
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -1,24 +1,26 @@
-//! How the slots of replicas are split among entries.
+//! Splits the slots of replicas among entries.
 //!
-//! An entry learns late what others send. While slots are scarce, all entries would see the same one
-//! become free and send to it, and a replica that seems to have room would get several times what it has
-//! room for. So each slot is the part of one entry, which fills it without asking. What another entry
-//! leaves free may be used while it is seen to be much.
+//! An entry learns of the requests of others with a delay. While slots are scarce, all entries
+//! would see the same slot become free, and a replica with seemingly free slots would get several
+//! times as many requests as it can run. Therefore each slot is assigned to one entry, which fills
+//! it without coordination. Free slots of other entries may be used while there seem to be many.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Slots of one replica in one entry's part, as far as there are enough. Many small parts differ less in
-/// what is free in each than few large ones.
-const PART: usize = 2;
-/// Requests a second of all entries below which what comes says nothing of where more will come.
-const LEAST_DEMAND: f64 = 5.0;
-/// Time over which requests are counted, in seconds: some twenty requests of a busy entry.
-const MEMORY_S: f64 = 1.0;
+/// Slots of one replica per entry, as far as there are enough. Many small shares differ less in
+/// their free slots than a few large ones.
+const SLOTS_PER_ENTRY: usize = 2;
+/// Requests a second over all entries below which current demand doesn't show where further
+/// requests will arrive.
+const MIN_DEMAND: f64 = 5.0;
+/// Time over which requests are counted, in seconds: about twenty requests of a busy entry.
+const WINDOW_S: f64 = 1.0;
 
-/// Slots of each replica that are the part of the entry at position `own` of `entries`, for replicas with
-/// these slots. Both lists are in the same order at every entry.
+/// Returns the number of slots of each replica that are assigned to the entry at position `own` of
+/// `entries`, where `slots` are the slots of each replica. Both lists have the same order at each
+/// entry.
 ///
 /// ```
 /// use gradeloft_policy::process::slot_split::parts;
@@ -29,17 +31,18 @@
 /// ```
 pub fn parts(own: usize, entries: usize, slots: &[u32]) -> Vec<u32> {
     let entries = entries.max(1);
-    // For every entry to hold some of a replica.
+    // So that each entry is assigned slots of some replica.
     let needed = entries.div_ceil(slots.len().max(1));
     let mut first = 0;
     let mut parts = Vec::with_capacity(slots.len());
     for slots in slots.iter().map(|it| *it as usize) {
-        let holders = (slots / PART).max(needed).clamp(1, slots.max(1));
+        let holders = (slots / SLOTS_PER_ENTRY).max(needed).clamp(1, slots.max(1));
         let holders = holders.min(entries);
-        // The holders follow each other around the circle of entries.
+        // The holders are consecutive in the circle of entries.
         let after = (own + entries - first) % entries;
         parts.push(part_of(slots, holders, after) as u32);
-        // Where all hold some, whoever comes after those that got one more is the first to get one more next.
+        // If all entries hold slots, the next extra slot goes to the entry after those that got
+        // one.
         let served = if holders == entries {
             slots % holders
         } else {
@@ -57,22 +60,24 @@
     slots / holders + usize::from(after < slots % holders)
 }
 
-/// What a region has to split.
+/// Entries, demand and slots of a region.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegionSlots {
-    /// Entries that take callers.
+    /// Entries that accept callers.
     pub entries: usize,
-    /// Requests that come to them, a second.
+    /// Requests a second that they receive.
     pub demand: f64,
-    /// Slots of each replica that takes requests, in the same order at every entry.
+    /// Slots of each replica that accepts requests, in the same order at each entry.
     pub slots: Vec<u32>,
 }
 
-/// Slots of each replica of each region that are the part of the entry at position `own` in the region `home`.
+/// Returns the number of slots of each replica of each region that are assigned to the entry at
+/// position `own` in the region `home`.
 ///
-/// A region's slots are its own entries' as far as they need them, by their part of all demand: a request that
-/// is served near costs no bytes between regions, and near entries know each other's requests best. What a
-/// region has beyond that is lent, evenly from all its replicas, to the entries of regions that have too few.
+/// The entries of a region keep its slots as far as they need them by their share of the total
+/// demand: a request that is served in its own region costs no bytes between regions, and entries
+/// of one region know each other's requests best. The surplus is lent, evenly from all replicas of
+/// the region, to the entries of regions with a shortage.
 ///
 /// ```
 /// use gradeloft_policy::process::slot_split::{RegionSlots, parts_by_region};
@@ -108,7 +113,7 @@
     area.slots.iter().sum()
 }
 
-/// Slots that each region needs, by its part of all demand.
+/// Returns the number of slots that each region needs, by its share of the total demand.
 fn needs(areas: &[RegionSlots]) -> Vec<f64> {
     let serving = |it: &&RegionSlots| 0 < it.entries;
     let slots: u32 = areas.iter().map(total).sum();
@@ -116,14 +121,14 @@
     let entries: usize = areas.iter().map(|it| it.entries).sum();
     let part = |area: &RegionSlots| match area.entries {
         0 => 0.0,
-        // Nothing comes yet: callers choose among entries.
-        entries_here if demand < LEAST_DEMAND => entries_here as f64 / entries.max(1) as f64,
+        // Too few requests yet; callers choose among entries.
+        entries_here if demand < MIN_DEMAND => entries_here as f64 / entries.max(1) as f64,
         _ => area.demand / demand,
     };
     areas.iter().map(|it| f64::from(slots) * part(it)).collect()
 }
 
-/// Slots that each region lends.
+/// Returns the number of slots that each region lends.
 fn lent(areas: &[RegionSlots]) -> Vec<u32> {
     let needs = needs(areas);
     let surplus = areas.iter().zip(&needs);
@@ -132,7 +137,7 @@
         .collect()
 }
 
-/// So many slots, spread over replicas with these.
+/// Spreads a number of lent slots over replicas.
 fn spread(slots: &[u32], lent: u32) -> Vec<u32> {
     let all: u32 = slots.iter().sum();
     let mut seen = 0;
@@ -147,22 +152,22 @@
     spread
 }
 
-/// Slots of each replica of each region that are lent to the entry at position `own` of the region `home`. All
-/// lent slots follow each other in a row, of which each region gets a stretch by what it lacks; in it they go
-/// to its entries by turns.
+/// Returns the number of slots of each replica of each region that are lent to the entry at
+/// position `own` of the region `home`. All lent slots form one sequence, of which each region gets
+/// a range by its shortage; within the range the slots alternate between its entries.
 fn borrowed(areas: &[RegionSlots], lent: &[u32], home: usize, own: usize) -> Vec<Vec<u32>> {
     let needs = needs(areas);
-    let lacks: Vec<f64> = areas
+    let shortages: Vec<f64> = areas
         .iter()
         .zip(&needs)
         .map(|(area, need)| (need - f64::from(total(area))).max(0.0))
         .collect();
     let all: u32 = lent.iter().sum();
-    let lack: f64 = lacks.iter().sum();
-    let before: f64 = lacks[..home].iter().sum();
-    let at = |lacked: f64| (lacked / lack.max(f64::MIN_POSITIVE) * f64::from(all)).round() as u32;
-    let stretch = at(before)..at(before + lacks[home]);
-    // Goes on where the split of the region's own slots ended.
+    let shortage: f64 = shortages.iter().sum();
+    let before: f64 = shortages[..home].iter().sum();
+    let at = |up_to: f64| (up_to / shortage.max(f64::MIN_POSITIVE) * f64::from(all)).round() as u32;
+    let range = at(before)..at(before + shortages[home]);
+    // Continues where the split of the region's own slots ended.
     let turn = own as u32 + areas[home].entries as u32
         - (total(&areas[home]) % areas[home].entries.max(1) as u32);
     let entries = areas[home].entries.max(1) as u32;
@@ -170,9 +175,9 @@
     let mut mine = |slots: u32| {
         let numbers = number..number + slots;
         number += slots;
-        let stretch = stretch.clone();
+        let range = range.clone();
         let mine = numbers
-            .filter(|it| stretch.contains(it) && (it - stretch.start) % entries == turn % entries);
+            .filter(|it| range.contains(it) && (it - range.start) % entries == turn % entries);
         mine.count() as u32
     };
     let regions = areas.iter().zip(lent);
@@ -184,55 +189,58 @@
         .collect()
 }
 
-/// Requests of one kind that come to an entry in a second, lately.
+/// Recent rate of requests of one kind at an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRate {
-    memory_s: f64,
+    window_s: f64,
     rate: f64,
     at: Time,
 }
 
 impl Default for RequestRate {
     fn default() -> RequestRate {
-        RequestRate::with_window(MEMORY_S)
+        RequestRate::with_window(WINDOW_S)
     }
 }
 
 impl RequestRate {
-    /// Counts over so many seconds.
-    pub fn with_window(memory_s: f64) -> RequestRate {
+    /// Creates a rate that is averaged over `window_s` seconds.
+    pub fn with_window(window_s: f64) -> RequestRate {
         RequestRate {
-            memory_s,
+            window_s,
             rate: 0.0,
             at: Time::ZERO,
         }
     }
 
-    /// A request comes.
+    /// Counts a request.
     pub fn count(&mut self, now: Time) {
-        self.rate = self.rate(now) + 1.0 / self.memory_s;
+        self.rate = self.rate(now) + 1.0 / self.window_s;
         self.at = now;
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     pub fn rate(&self, now: Time) -> f64 {
-        self.rate * (-now.seconds_since(self.at) / self.memory_s).exp()
+        self.rate * (-now.seconds_since(self.at) / self.window_s).exp()
     }
 }
 
-/// Requests that may have come to a replica since others reported what they have there, `age` ago, where
-/// `rate` come to it in a second: their mean, and a standard deviation more. As many may have ended, but
-/// of slots that are taken twice one request is late, and of one that is free none.
+/// Returns the number of requests that a replica may have received since others reported theirs
+/// `age` ago, at `rate` requests a second: the mean plus one standard deviation. As many may have
+/// ended, but a slot that is used twice delays one request, while an unused slot delays none.
 pub fn unseen_requests(rate: f64, age: Duration) -> f64 {
     let mean = rate * age.as_secs_f64();
     mean + mean.sqrt()
 }
 
-/// Part of its requests beyond its own slots that an entry may send where it sees others' slots free.
+/// Returns the probability with which an entry sends a request beyond its own slots to a free slot
+/// of other entries.
 ///
-/// `free` slots are seen in all, by what the `others` said `age` ago on average. They do the same with as
-/// many requests as this entry has, `rate` a second. The part falls with what they will have sent by now,
-/// so that together they send no more than there are slots before they tell again.
+/// `free` is the total number of such slots, by reports of the `others` that are `age` old on
+/// average. The others are assumed to have as many such requests as this entry, `rate` a second,
+/// and to act alike. The probability falls with the number of requests that they will have sent by
+/// now, so that all of them together send no more requests than there are slots before the next
+/// reports.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -1,9 +1,9 @@
-//! A large value on its way, and the peers that have it.
+//! Fetches a large value from the peers that hold it.
 //!
-//! A record never changes, so what came of its value from one peer goes on from any other. Whoever lacks
-//! it asks one that has it, drawn at random, and keeps what came whatever becomes of that peer; a peer
-//! that gives to as many as it can sends others away, and these come back a moment later, when those it
-//! gave to have it to give.
+//! A record never changes, so a transfer that was begun from one peer can continue from any other.
+//! A process that lacks a value requests it from a random peer that holds it, and keeps the
+//! received part if that peer fails. A peer without a free upload slot refuses the request, and the
+//! process tries again a moment later, when the peers that were served first can serve it.
 
 use std::{collections::HashMap, net::Ipv4Addr, time::Duration};
 
@@ -13,67 +13,70 @@
 
 use crate::{clock::Time, rendezvous};
 
-/// Largest value that is taken from peers, in bytes: on an instance with 128 MB of memory, the value, its
-/// copy in the table and what is read from it fit beside everything else.
+/// Largest value that is fetched from peers, in bytes. On an instance with 128 MB of memory, the
+/// value, its copy in the table and the data parsed from it fit beside everything else.
 pub const MAX_VALUE: u64 = 16 << 20;
-/// Large values that a process gives to entries at once. Few at once are whole sooner, and those that have
-/// them give them on; with one, a peer behind a narrow link would hold up all others.
-const GIVEN_TO_ENTRIES: usize = 2;
-/// Large values that a process gives to agents at once, beside those: an agent's link is a quarter of an
-/// entry's, and agents give to nobody. Where entries and agents shared two slots, a zone's last entry had
-/// 0.9 MB after 3.6 s and not after 1.3 s (in the model of `tests/records.rs`: 14 entries, of which two
-/// have it, and 30 agents).
-const GIVEN_TO_AGENTS: usize = 1;
-/// Processes of a region that ask another region at first: one could be out of that region's reach. Their number doubles
-/// with each turn, so that a link which is full or slow gets no copy for each process.
+/// Large values that a process sends to entries at once. With few, each is complete sooner and can
+/// be sent on; with one, a peer behind a slow link would hold up all others.
+const ENTRY_UPLOADS: usize = 2;
+/// Large values that a process sends to agents at once, in addition to those. An agent's link has a
+/// quarter of the capacity of an entry's, and agents send to nobody. With 14 entries, two of which
+/// hold a value of 0.9 MB, and 30 agents, two slots shared by both roles delay the last entry of a
+/// zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
+const AGENT_UPLOADS: usize = 1;
+/// Processes of a region that fetch from another region in the first turn; with only one, that
+/// region could be unreachable for it. The number doubles with each turn, so a saturated or slow
+/// link does not carry a copy for each process.
 const FAR_AT_ONCE: usize = 2;
-/// Length of a turn, in milliseconds: 0.9 MB cross 30 Mbit/s in 0.24 s, and whoever has them says so within
-/// 0.13 s.
+/// Duration of a turn, in milliseconds. 0.9 MB cross 30 Mbit/s in 0.24 s, and their receiver
+/// announces them within 0.13 s.
 const FAR_TURN_MS: u64 = 500;
-/// Time after which an agent that knows near peers asks another region, in milliseconds.
+/// Time after which an agent that knows peers in its region fetches from another region, in
+/// milliseconds.
 const AGENT_FAR_MS: u64 = 2_000;
-/// Longest pause before a look whether a near peer has it meanwhile.
-const FAR_LOOK: Duration = Duration::from_millis(50);
-/// Peers remembered for each table: a region's entries and more.
+/// Longest pause between checks whether a peer of the own region holds the value.
+const FAR_POLL: Duration = Duration::from_millis(50);
+/// Peers remembered for each table: more than the entries of a region.
 const HOLDERS: usize = 64;
-/// Time after which a peer that said nothing is not asked, in milliseconds: agents and peers of other
-/// regions speak once a second.
+/// Silence after which a peer is not asked, in milliseconds. Agents and peers of other regions send
+/// once a second.
 const SILENCE_MS: u64 = 5_000;
-/// Pause before a peer that gives to others is asked again, in milliseconds: within it, 0.2 to 1.2 MB
-/// cross a link of 40 Mbit/s.
+/// Pause before a busy peer is asked again, in milliseconds. Within it, 0.2 to 1.2 MB cross a link
+/// of 40 Mbit/s.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
-/// Time after which it shows how quickly a peer gives or takes, in milliseconds.
-const JUDGED_MS: u64 = 500;
-/// Time for the rest of a value from which on a peer is slow, in milliseconds: 0.9 MB within it are a quarter of
-/// an agent's link. Where all links carry little, turns cost more than they bring: with 1 s, the last of six
-/// had 0.7 MB over links of 0.5 MB a second after 7 s and not after 5.7 s.
-const REST_MS: u64 = 3_000;
-/// Pause before a peer is asked again that did not answer, or not in good time, in milliseconds.
+/// Time after which the rate of a transfer can be judged, in milliseconds.
+const MIN_SAMPLE_MS: u64 = 500;
+/// Time for the rest of a value above which a peer counts as slow, in milliseconds: 0.9 MB within
+/// it use a quarter of an agent's link. Where all links are slow, switching peers costs more than
+/// it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a second after 7 s
+/// instead of 5.7 s.
+const SLOW_REST_MS: u64 = 3_000;
+/// Pause before a peer that failed to answer in time is asked again, in milliseconds.
 const FAULTY_MS: u64 = 1_000;
 
-/// Who fetches.
+/// A process that fetches a value.
 #[derive(Clone, Copy, Debug)]
 pub struct Fetcher {
-    /// Its instance.
+    /// Address of its instance.
     pub address: Ipv4Addr,
-    /// What it is.
+    /// Role of its instance.
     pub role: Role,
 }
 
-/// A value that is to be fetched.
+/// A value to be fetched.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MissingValue {
     /// Key of its record.
     pub key: String,
-    /// Position of its record in the table.
+    /// Offset of its record in the table.
     pub offset: u64,
-    /// Bytes.
+    /// Length in bytes.
     pub length: u64,
-    /// Of all of it.
+    /// Digest of the whole value.
     pub digest: Digest,
 }
 
-/// Large values that are being given.
+/// Slots for large values that are being sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UploadSlots {
     to_agents: usize,
@@ -83,8 +86,8 @@
 }
 
 impl UploadSlots {
-    /// Takes a slot; gives `false` if none is free. Whoever finds none asks another peer, which is sooner
-    /// than waiting.
+    /// Takes a slot; returns `false` if none is free. A process that gets no slot asks another
+    /// peer, which is faster than waiting.
     pub fn take(&mut self, caller: Role) -> bool {
         let (used, most) = self.of(caller);
         let free = *used < most;
@@ -95,12 +98,12 @@
         free
     }
 
-    /// How often none was free so far.
+    /// Returns how many times no slot was free so far.
     pub fn refused(&mut self, caller: Role) -> u64 {
         *self.refused_mut(caller)
     }
 
-    /// Frees a slot that was taken.
+    /// Returns a slot.
     pub fn free(&mut self, caller: Role) {
         let (used, _) = self.of(caller);
         *used = used.saturating_sub(1);
@@ -108,8 +111,8 @@
 
     fn of(&mut self, caller: Role) -> (&mut usize, usize) {
         match caller {
-            Role::Agent => (&mut self.to_agents, GIVEN_TO_AGENTS),
-            Role::Entry => (&mut self.to_entries, GIVEN_TO_ENTRIES),
+            Role::Agent => (&mut self.to_agents, AGENT_UPLOADS),
+            Role::Entry => (&mut self.to_entries, ENTRY_UPLOADS),
         }
     }
 
@@ -121,7 +124,7 @@
     }
 }
 
-/// How quickly one peer gives, or takes.
+/// Progress of a transfer with one peer, for judging its rate.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::transfer::Pace};
@@ -138,17 +141,17 @@
 }
 
 impl Pace {
-    /// Of what goes on from `start` bytes.
+    /// Creates a pace for a transfer that continues after `start` bytes.
     pub fn new(start: u64, since: Time) -> Pace {
         Pace { start, since }
     }
 
-    /// Whether the rest takes long at this pace: of `length` bytes, `done` are over.
+    /// Whether the rest takes too long at this rate, with `done` of `length` bytes transferred.
     pub fn slow(self, done: u64, length: u64, now: Time) -> bool {
         let passed = now.since(self.since).as_millis() as u64;
         let moved = done.saturating_sub(self.start);
         let rest = length.saturating_sub(done);
-        JUDGED_MS <= passed && moved.saturating_mul(REST_MS) < rest.saturating_mul(passed)
+        MIN_SAMPLE_MS <= passed && moved.saturating_mul(SLOW_REST_MS) < rest.saturating_mul(passed)
     }
 }
 
@@ -157,12 +160,12 @@
     peer: Ipv4Addr,
     /// Whether it is in the own region.
     near: bool,
-    /// Offset up to which its copy goes.
+    /// End of its copy.
     end: u64,
     at: Time,
 }
 
-/// How far the copies of a table go that peers have.
+/// Ends of the copies of a table that peers hold.
 #[derive(Default)]
 pub struct Holders {
     /// At most [`HOLDERS`], one for each peer.
@@ -170,8 +173,8 @@
 }
 
 impl Holders {
-    /// A peer's copy goes up to `end`. `near` says whether the peer is in the own region; `None` leaves
-    /// that as it is known.
+    /// Records that a peer's copy ends at `end`. `near` is whether the peer is in the own region;
+    /// `None` leaves this unchanged.
     pub fn note(&mut self, peer: Ipv4Addr, near: Option<bool>, end: u64, now: Time) {
         if let Some(known) = self.known.iter_mut().find(|it| it.peer == peer) {
             known.near = near.unwrap_or(known.near);
@@ -180,7 +183,7 @@
             return;
         }
         if self.known.len() == HOLDERS {
-            self.forget_one();
+            self.evict();
         }
         self.known.push(Holder {
             peer,
@@ -190,8 +193,9 @@
         });
     }
 
-    /// Forgets the one that is of least use: far rather than near, silent for long rather than heard.
-    fn forget_one(&mut self) {
+    /// Forgets the least useful peer: one of another region first, then the one that has been
+    /// silent longest.
+    fn evict(&mut self) {
         let least = (0..self.known.len()).min_by_key(|it| {
             let holder = &self.known[*it];
             (holder.near, holder.at)
@@ -199,8 +203,8 @@
         least.map(|it| self.known.swap_remove(it));
     }
 
-    /// Time for which a caller leaves it to others of its region to ask another region for what `key` names, in
-    /// milliseconds.
+    /// Returns the time for which a process leaves it to others of its region to fetch what `key`
+    /// identifies from another region, in milliseconds.
     pub fn far_wait_ms(&self, key: u64, caller: Fetcher, now: Time) -> u64 {
         if caller.role == Role::Agent && self.near(now).next().is_some() {
             return AGENT_FAR_MS;
@@ -227,14 +231,14 @@
     rendezvous::hash(&address.octets())
 }
 
-/// Why a peer gave nothing further.
+/// Reason why a peer sent no more of a value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// It gives to others now.
+    /// It has no free upload slot.
     Busy,
-    /// It did not answer, or broke off.
+    /// It did not answer, or the connection broke.
     Faulty,
-    /// It does not have the record, or not as it was announced.
+    /// It does not hold the record as announced.
     NotHeld,
 }
 
@@ -254,86 +258,88 @@
     }
 }
 
-/// What is to be done next.
+/// The next step of a transfer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// Ask this peer.
+    /// Request the value from this peer.
     Ask(Ipv4Addr),
-    /// No peer that speaks has it.
+    /// No peer that has been heard from recently holds it.
     NoHolder,
-    /// Choose again after so long: whoever has it gives to others now.
+    /// Choose again after this time; the peers that hold it are busy, or it is not this process's
+    /// turn.
     Wait(Duration),
-    /// Choose again after so long: whoever has it did not answer.
+    /// Choose again after this time; the peers that hold it did not answer.
     Retry(Duration),
 }
 
-/// What a part brought.
+/// Result of adding received bytes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// There is more to come.
+    /// More bytes are missing.
     More,
-    /// What came is not the value that was announced: it begins anew.
+    /// The received bytes are not the announced value; the transfer starts again.
     Corrupt,
     /// The whole value.
     Complete(Bytes),
 }
 
-/// One value on its way.
+/// Transfer of one value.
 pub struct Transfer {
     want: MissingValue,
     begun: Time,
-    /// Never longer than the value.
-    came: Vec<u8>,
+    /// Received bytes, never more than the length of the value.
+    received: Vec<u8>,
     exclusions: HashMap<Ipv4Addr, Exclusion>,
 }
 
 impl Transfer {
-    /// A transfer of which nothing came yet.
+    /// Creates a transfer without received bytes.
     pub fn new(want: MissingValue, now: Time) -> Transfer {
-        // All at once: growing by doubling would need up to three times as much for a moment.
+        // Allocates the buffer once: growth by doubling would need up to three times the memory for
+        // a moment.
         let room = want.length.min(MAX_VALUE) as usize;
         Transfer {
             want,
             begun: now,
-            came: Vec::with_capacity(room),
+            received: Vec::with_capacity(room),
             exclusions: HashMap::new(),
         }
     }
 
-    /// What is fetched.
+    /// Returns the value that is being fetched.
     pub fn want(&self) -> &MissingValue {
         &self.want
     }
 
-    /// Bytes that came.
+    /// Returns the number of received bytes, at which the transfer continues.
     pub fn start(&self) -> u64 {
-        self.came.len() as u64
+        self.received.len() as u64
     }
 
-    /// Takes in the next bytes.
+    /// Adds received bytes.
     pub fn add(&mut self, part: &[u8]) -> Progress {
         let length = self.start() + part.len() as u64;
         if length <= self.want.length {
-            self.came.extend_from_slice(part);
+            self.received.extend_from_slice(part);
             if length < self.want.length {
                 return Progress::More;
             }
-            if Digest::of(&self.came) == self.want.digest {
-                return Progress::Complete(std::mem::take(&mut self.came).into());
+            if Digest::of(&self.received) == self.want.digest {
+                return Progress::Complete(std::mem::take(&mut self.received).into());
             }
         }
-        self.came.clear();
+        self.received.clear();
         Progress::Corrupt
     }
 
-    /// Forgets who did not have it: it was announced once more.
+    /// Clears the refusals of peers that did not hold the value, since it was announced again.
     pub fn announced(&mut self) {
         self.exclusions.retain(|_, bar| *bar != Exclusion::NotHeld);
     }
 
-    /// Which peer to ask next: any of the own region that has it, and one of another region only where
-    /// none of the own can give it, and where it is the caller's turn: bytes between regions are paid
-    /// for, and the link there is narrow for all processes of a region together.
+    /// Chooses the next peer: any of the own region that holds the value, or one of another region
+    /// if none of the own can send it and it is this process's turn. Bytes between regions cost
+    /// money, and all processes of a region share the narrow link there.
     pub fn choose(
         &self,
         holders: &Holders,
@@ -364,7 +370,7 @@
             if turn <= now {
                 return Choice::Ask(holder.peer);
             }
-            return Choice::Wait(turn.since(now).min(FAR_LOOK));
+            return Choice::Wait(turn.since(now).min(FAR_POLL));
         }
         let soonest = able
             .iter()
@@ -377,8 +383,8 @@
         }
     }
 
-    /// Whether another peer is to be asked now rather than `peer`, which gives slowly. What came goes on
-    /// from there, so that nothing is lost by it.
+    /// Whether to switch from `peer`, which sends slowly, to another peer now. The transfer
+    /// continues there, so no received bytes are lost.
     pub fn should_switch(
         &self,
         peer: Ipv4Addr,
@@ -394,7 +400,7 @@
         matches!(self.choose(&others, caller, now, rng), Choice::Ask(_))
     }
 
-    /// A peer gave nothing further.
+    /// Records that a peer sent no more of the value.
     pub fn refused(&mut self, peer: Ipv4Addr, refusal: Refusal, now: Time, rng: &mut impl Rng) {
         let bar = match refusal {
             Refusal::Busy => Exclusion::Busy(now.after_ms(rng.random_range(BUSY_MS))),
--- a/crates/gradeloft_policy/src/process/warmup.rs
+++ b/crates/gradeloft_policy/src/process/warmup.rs
@@ -1,18 +1,20 @@
-//! How many requests a replica gets while it is cold.
+//! Limits the requests to a cold replica.
 //!
-//! A cold replica crashes under requests that it would bear once it is warm, and nobody counts them for all entries. So a
-//! few entries share its rate, each by a pause of its own, and the others send it nothing.
+//! A cold replica crashes under a load that it tolerates once warm, and no process counts the
+//! requests of all entries. Therefore a few entries share its rate, each with an interval of its
+//! own, and the others send it nothing.
 
 use std::time::Duration;
 
 use crate::rendezvous;
 
-/// Part of a cold replica's rate by which the requests of one second may exceed it: each sender may begin a second with
-/// a request, so this is the number of senders for each request a second.
+/// Fraction of a cold replica's rate by which the requests of one second may exceed it. Each sender
+/// may start a second with a request, so this is the number of senders per request a second.
 const OVERSHOOT: f64 = 0.5;
 
-/// Least time between two requests of the entry `own` to a cold replica that bears `per_s` requests a second; `None` if
-/// the entry is not one of its senders. `others` are the other entries that may send to it.
+/// Returns the shortest interval between two requests of the entry `own` to a cold replica that
+/// tolerates `per_s` requests a second, or `None` if the entry is not one of its senders. `others`
+/// are the other entries that may send to it.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -1,85 +1,89 @@
-//! Since when the records of a table count as written.
+//! Estimates the times at which records of a table were written.
 //!
-//! Nobody says when a record was written. What is read in steady reading was written a moment ago; what is
-//! read after an interruption may have been written at any time since the copy was last whole, and counts
-//! from there; what a peer gives is as old as it is to the peer, or older if this process heard of it
-//! before.
+//! Records carry no time of writing. A record read during steady reading counts as just written. A
+//! record read after an interruption can have been written at any time since the copy was last
+//! complete, and counts as written then. A record received from a peer is as old as it is at the
+//! peer, or older if this process learned of it earlier.
 
 use std::time::Duration;
 
 use super::{earliest_writes::EarliestWrites, latest_writes::LatestWrites};
 use crate::clock::Time;
 
-/// Pause between two good reads from which on reading was interrupted, in milliseconds: the pause between
-/// reads of the operator's table is 50 ms, and the longest after a single failure 150 ms.
+/// Pause between two successful reads above which reading counts as interrupted, in milliseconds:
+/// the pause between reads of the operator's table is 50 ms, and at most 150 ms after a single
+/// failure.
 const STEADY_PAUSE_MS: u64 = 300;
-/// Time after the end of its wait by which a read's answer is here if nothing holds it up, in milliseconds:
-/// entries require new weights early enough for what was learned so late.
-const LATE_MS: u64 = 300;
+/// Time after the end of its wait within which an undelayed read is answered, in milliseconds.
+/// Entries require new weights early enough to allow for records that they learn of this late.
+const DELAYED_MS: u64 = 300;
 
-/// Size of an answer from which on its way here takes time that counts, in bytes: 0.2 s on a link of 1.2 MB a
-/// second, such as that of a store.
+/// Size from which the transfer time of an answer is significant, in bytes: 0.2 s on a link of 1.2
+/// MB a second, such as that of a store.
 const LARGE_BYTES: usize = 256 << 10;
 
-/// How a read of the store went.
+/// Timing and size of a read from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Read {
-    /// When it was asked for.
+    /// When the read was requested.
     pub asked: Time,
-    /// Longest wait at the store for something new.
+    /// Longest time that the store waits for new records.
     pub wait: Duration,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered: Time,
-    /// Bytes of what it brought.
+    /// Size of the records in the answer, in bytes.
     pub bytes: usize,
-    /// Whether the read before it failed, or this process stood still or was cut off meanwhile.
+    /// Whether the previous read failed, or this process was suspended or cut off in the meantime.
     pub disturbed: bool,
 }
 
 impl Read {
-    /// Whether the answer may have begun long before it was here.
+    /// Whether the store may have begun the answer long before it arrived.
     fn is_delayed(self) -> bool {
-        let late = self.asked.after(self.wait).after_ms(LATE_MS) < self.answered;
+        let late = self.asked.after(self.wait).after_ms(DELAYED_MS) < self.answered;
         late || LARGE_BYTES <= self.bytes
     }
 }
 
-/// What is known of the times at which one table's records were written.
+/// Bounds and estimates of the times at which the records of one table were written.
 #[derive(Clone, Debug, Default)]
 pub struct WriteTimes {
-    /// The latest times.
+    /// Upper bounds.
     latest: LatestWrites,
-    /// The times that count: between the earliest and the latest.
+    /// Effective times, between the lower and the upper bounds.
     effective: LatestWrites,
-    /// The earliest times.
+    /// Lower bounds.
     earliest: EarliestWrites,
-    /// Until when the copy was whole by this process's own reads.
+    /// Latest time at which this process's own reads showed the copy to be complete.
     confirmed: Option<Time>,
-    /// When the last good read ended.
+    /// When the last successful read ended.
     read_at: Option<Time>,
-    /// Whether its answer was long on its way: nobody looked at the store meanwhile.
+    /// Whether the answer to the last read was delayed, so that the store went unobserved
+    /// meanwhile.
     read_delayed: bool,
 }
 
 impl WriteTimes {
-    /// A peer's copy goes up to `end` now.
+    /// Records that the copy of a peer reaches up to `end` at `now`.
     pub fn note_peer_end(&mut self, end: u64, now: Time) {
         self.latest.note(end, now);
     }
 
-    /// A peer's copy, which goes up to `end`, was whole `age_ms` before `now`.
+    /// Records that the copy of a peer, which reaches up to `end`, was complete `age_ms` before
+    /// `now`.
     pub fn note_peer_complete(&mut self, end: u64, age_ms: u64, now: Time) {
         self.earliest.note(end, now.before_ms(age_ms));
     }
 
-    /// A peer gave a record on a call that was made at `asked`, and knew it for `age_ms`.
+    /// Records that a peer sent a record that it has known for `age_ms`, in answer to a call made
+    /// at `asked`.
     pub fn note_received(&mut self, offset: u64, age_ms: u64, asked: Time) {
         self.effective.note(offset + 1, asked.before_ms(age_ms));
     }
 
-    /// A read brought the records at `offsets`.
+    /// Records that a read brought the records at `offsets`.
     pub fn read(&mut self, offsets: impl Iterator<Item = u64>, read: Read) {
-        let bound = self.bound(read);
+        let bound = self.lower_bound(read);
         for offset in offsets {
             let earliest = self
                 .earliest
@@ -92,44 +96,50 @@
         self.read_delayed = read.is_delayed();
     }
 
-    /// Before which time nothing was written that a read brought, as the read itself shows.
-    fn bound(&self, read: Read) -> Time {
+    /// Returns the lower bound for the write times of the records of a read, as far as the read
+    /// itself shows it.
+    fn lower_bound(&self, read: Read) -> Time {
         if read.disturbed || read.is_delayed() {
             return Time::ZERO;
         }
         let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
         let looked = !self.read_at.is_none_or(paused) && !self.read_delayed;
-        let waited = read.asked.after_ms(LATE_MS) < read.answered;
+        let waited = read.asked.after_ms(DELAYED_MS) < read.answered;
         match (looked, waited) {
             (true, _) => read.answered,
-            // What was there when it was asked for would have come at once.
+            // The store would have answered at once if the records had been there at the start of
+            // the read.
             (false, true) => read.asked,
             (false, false) => Time::ZERO,
         }
     }
 
-    /// This process's copy, which goes up to `end`, was whole at `at` by its own reading.
+    /// Records that this process's own reads showed its copy, which reaches up to `end`, to be
+    /// complete at `at`.
     pub fn confirm(&mut self, end: u64, at: Time) {
         self.earliest.note(end, at);
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// For how long the copy has not been known to be whole by own reads, in milliseconds, if it ever was.
+    /// Returns the time since this process's own reads last showed the copy to be complete, in
+    /// milliseconds, or `None` if they never did.
     pub fn unconfirmed_ms(&self, now: Time) -> Option<u64> {
         self.confirmed.map(|it| now.since(it).as_millis() as u64)
     }
 
-    /// Until when a copy that goes up to `end` is known to have been whole, by own reads and by peers'.
+    /// Returns the latest time at which a copy that reaches up to `end` is known to have been
+    /// complete, by own reads and by those of peers.
     pub fn complete_until(&self, end: u64) -> Option<Time> {
         self.earliest.unwritten_until(end)
     }
 
-    /// Since when a record is known to be there: it was written then or before.
+    /// Returns the earliest time by which a record is known to have been written.
     pub fn known_since(&self, offset: u64) -> Option<Time> {
         self.latest.known_since(offset)
     }
 
-    /// Since when a record counts as written, where its writer bounds something by time.
+    /// Returns the time at which a record counts as written, from which time limits set by its
+    /// writer are measured.
     pub fn effective_since(&self, offset: u64) -> Option<Time> {
         let (known, counted) = (
             self.latest.known_since(offset),
