--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -112,16 +112,16 @@
     ) -> Decision {
         self.demand.count(now);
         let age = self.patience.age(&asked.route, asked.left, now);
-        let claim = Urgency::of(asked.goal.saturating_sub(age));
+        let urgency = Urgency::of(asked.goal.saturating_sub(age));
         let chosen = match load.scheme {
-            Scheme::Gradeloft => self.place(load, asked, claim, now, rng),
-            baseline => self.baseline(baseline, rng).map(|it| (it, claim)),
+            Scheme::Gradeloft => self.place(load, asked, urgency, now, rng),
+            baseline => self.baseline(baseline, rng).map(|it| (it, urgency)),
         };
         let within = chosen.is_some_and(|(it, _)| self.is_within(it));
         if !within {
             self.beyond.count(now);
         }
-        let Some((replica, claim)) = chosen else {
+        let Some((replica, urgency)) = chosen else {
             return Decision::Refused(match load.scheme {
                 Scheme::Gradeloft => self.shortage.record_refusal(asked.left, now, rng),
                 _ => Duration::from_millis(BASELINE_BACK_MS),
@@ -135,7 +135,7 @@
         Decision::Sent {
             replica,
             rank: match load.scheme {
-                Scheme::Gradeloft => claim.rank(1),
+                Scheme::Gradeloft => urgency.rank(1),
                 _ => 5,
             },
             expected_ms,
@@ -146,7 +146,7 @@
         &self,
         load: &Load,
         asked: &Asked,
-        claim: Urgency,
+        urgency: Urgency,
         now: Time,
         rng: &mut ChaCha8Rng,
     ) -> Option<(usize, Urgency)> {
@@ -154,27 +154,32 @@
         let age = now.since(self.told);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
-        let unseen = slot_split::unseen_requests(rate, age);
-        let spare = open().map(|(_, it)| it.spare(unseen)).sum();
+        let unseen_requests = slot_split::unseen_requests(rate, age);
+        let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
         let wish = Requirements {
             zone: ZONE,
-            oldest: None,
-            same: None,
+            min_version: None,
+            resumed_version: None,
             tried: &[],
-            claim,
+            urgency,
             prompt_tokens: asked.prompt,
             speed: Some(&load.speed),
             near: Uncertainty {
-                chance: slot_split::overflow_probability(spare, others, self.beyond.rate(now), age),
-                unseen,
+                overflow_probability: slot_split::overflow_probability(
+                    spare,
+                    others,
+                    self.beyond.rate(now),
+                    age,
+                ),
+                unseen_requests,
             },
             far: Uncertainty::default(),
         };
-        let claims = [Some(claim), claim.fallback()];
-        claims.into_iter().flatten().find_map(|claim| {
-            let wish = Requirements { claim, ..wish };
+        let urgencies = [Some(urgency), urgency.fallback()];
+        urgencies.into_iter().flatten().find_map(|urgency| {
+            let wish = Requirements { urgency, ..wish };
             let key = placement::choose(self.replicas.of(SERVICE), wish, now, rng)?;
-            Some((self.keys.iter().position(|it| *it == key)?, claim))
+            Some((self.keys.iter().position(|it| *it == key)?, urgency))
         })
     }
 
@@ -208,13 +213,13 @@
     /// Whether it has a free slot of its own at a replica.
     fn is_within(&self, replica: usize) -> bool {
         let replica = self.replicas.get(self.keys[replica]);
-        replica.is_some_and(Replica::has_own_slot)
+        replica.is_some_and(Replica::has_free_own_slot)
     }
 
     /// Counts a request with a prompt as sent to a replica.
     pub fn sent(&mut self, replica: usize, prompt: f64) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.own_waiting_tokens += prompt;
         }
@@ -233,7 +238,7 @@
     /// A request's answer ended.
     pub fn ended(&mut self, replica: usize) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
     }
 
@@ -242,7 +247,7 @@
         let replicas = self.keys.iter().filter_map(|it| self.replicas.get(*it));
         replicas
             .map(|it| Held {
-                running: it.own,
+                running: it.own_requests,
                 waiting: it.own_waiting,
             })
             .collect()
@@ -253,7 +258,7 @@
         self.told = now;
         for (idx, key) in self.keys.iter().enumerate() {
             if let Some(replica) = self.replicas.get_mut(*key) {
-                (replica.others, replica.others_waiting) =
+                (replica.other_requests, replica.others_waiting) =
                     (others[idx].running, others[idx].waiting);
                 replica.listing.draining = !here[idx];
             }
@@ -268,7 +273,7 @@
         let parts = slot_split::parts(self.position, load.entries, &slots);
         for (key, part) in open.into_iter().zip(parts) {
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.part = part;
+                replica.own_slots = part;
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -128,7 +128,7 @@
             for (region, parts) in regions.iter().zip(parts) {
                 for ((_, key, _), part) in region.replicas.iter().zip(parts) {
                     if let Some(replica) = replicas.get_mut(*key) {
-                        replica.part = part;
+                        replica.own_slots = part;
                     }
                 }
             }
