--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Regions to which the operator binds routes and teams.
+//! Tests of the regions to which the operator restricts routes and teams.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 
-fn homes(regions: &[&str]) -> AllowedRegions {
+fn allowed_regions(regions: &[&str]) -> AllowedRegions {
     AllowedRegions::of(regions.iter().map(|it| (*it).to_owned()))
 }
 
@@ -27,7 +27,7 @@
         max_attempts: 1,
         priority: 0,
         public: false,
-        homes: homes(regions),
+        homes: allowed_regions(regions),
     }
 }
 
@@ -37,7 +37,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k".to_owned(), Rc::from("t"))]),
-        homes: HashMap::from([(Rc::from("t"), homes(team))]),
+        homes: HashMap::from([(Rc::from("t"), allowed_regions(team))]),
         limits: CallerLimits {
             head_bytes: 1,
             body_bytes: 1,
@@ -53,30 +53,35 @@
 #[case(&[], &["b"], Some("t"), "b")]
 #[case(&["a", "b"], &["b"], Some("t"), "b")]
 #[case(&["a"], &["b"], Some("t"), "")]
-// Without a key, or with that of a team that is not bound, only the route's hold.
+// Without a key, or with that of an unrestricted team, only the regions of the route apply.
 #[case(&["a"], &["b"], None, "a")]
 #[case(&["a"], &["b"], Some("another"), "a")]
-fn route_and_team_both_bind(
-    #[case] of_route: &[&str],
-    #[case] of_team: &[&str],
+fn allowed_regions_are_those_of_both_route_and_team(
+    #[case] route_regions: &[&str],
+    #[case] team_regions: &[&str],
     #[case] team: Option<&str>,
     #[case] allowed: &str,
 ) {
-    let config = config(vec![route("/r/", of_route)], of_team);
-    let homes = config.allowed_regions(&config.document.routes[0], team);
-    let regions = ["a", "b"].into_iter().filter(|it| homes.allows(it));
+    let config = config(vec![route("/r/", route_regions)], team_regions);
+    let allowed_regions = config.allowed_regions(&config.document.routes[0], team);
+    let regions = ["a", "b"]
+        .into_iter()
+        .filter(|it| allowed_regions.allows(it));
     assert_eq!(regions.collect::<String>(), allowed);
 }
 
 #[test]
-fn a_host_is_at_home_where_all_of_its_routes_are() {
+fn a_region_is_allowed_for_a_host_if_all_of_its_routes_allow_it() {
     let routes = vec![
         route("/r/", &["a", "b"]),
         route("/x/", &["b"]),
         route("/y/", &[]),
     ];
     let config = config(routes, &[]);
-    let homes = config.allowed_regions_of_host("H");
-    assert_eq!(["a", "b"].map(|it| homes.allows(it)), [false, true]);
+    let allowed_regions = config.allowed_regions_of_host("H");
+    assert_eq!(
+        ["a", "b"].map(|it| allowed_regions.allows(it)),
+        [false, true]
+    );
     assert!(config.allowed_regions_of_host("unknown").is_unrestricted());
 }
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -1,4 +1,4 @@
-//! Decisions that live for a version or a process: placement, pins, membership, addresses, pacing.
+//! Tests of decisions about versions and processes: placement, pins, membership, addresses, pacing.
 
 use gradeloft_policy::{
     clock::Time,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_peer_takes_work_while_it_is_connected_and_not_leaving() {
+fn a_peer_accepts_work_while_it_is_connected_and_not_leaving() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
     let keys = membership.apply_list(vec![instance("own", live), instance("a", live)]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_list_can_say_that_a_peer_leaves_before_the_peer_does() {
+fn the_list_can_report_a_leaving_peer_before_the_peer_does() {
     let mut membership = Membership::new("own");
     let keys = membership.apply_list(vec![instance("a", InstanceState::Live)]);
     membership.receive_notice(keys[0], notice(false), Time::ZERO);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_peer_that_the_list_drops_stays_while_its_connection_stands() {
+fn a_peer_missing_from_the_list_stays_while_its_connection_is_up() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
     let keys = membership.apply_list(vec![instance("a", live), instance("bb", live)]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_restarted_peer_at_a_new_address_has_to_prove_itself_again() {
+fn a_peer_at_a_new_address_accepts_no_work_before_its_next_notice() {
     let mut membership = Membership::new("own");
     let live = InstanceState::Live;
     let keys = membership.apply_list(vec![instance("a", live)]);
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn the_list_is_read_at_a_steady_cost() {
+fn the_interval_of_list_reads_grows_with_the_fleet() {
     assert_eq!(list_interval_ms(0), 500);
     assert_eq!(list_interval_ms(20), 500);
     assert_eq!(list_interval_ms(2_710), 67_750);
 }
 
 #[test]
-fn suspicion_grows_with_failures_and_ends_by_itself() {
+fn suspicion_grows_with_failures_and_expires() {
     let mut health = Health::default();
     health.record_failure(Time::ZERO);
     assert!(health.is_suspect(Time::ZERO.after_ms(249)));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn requests_stay_on_the_old_version_until_enough_replicas_serve_the_new_one_and_never_go_back() {
+fn requests_are_pinned_to_the_old_version_until_enough_replicas_serve_the_new_one() {
     let mut pinner = VersionPinner::default();
     pinner.retarget("v1");
     assert_eq!(pinner.pin(&[serving("v1", 4)], 2).as_deref(), Some("v1"));
@@ -146,11 +146,15 @@
     assert_eq!(pinner.pin(&few, 2).as_deref(), Some("v1"));
     let enough = [serving("v1", 4), serving("v2", 2)];
     assert_eq!(pinner.pin(&enough, 2).as_deref(), Some("v2"));
-    assert_eq!(pinner.pin(&few, 2).as_deref(), Some("v2"), "never back");
+    assert_eq!(
+        pinner.pin(&few, 2).as_deref(),
+        Some("v2"),
+        "the pin never reverts"
+    );
 }
 
 #[test]
-fn a_young_entry_pins_to_what_most_replicas_serve_until_the_new_version_is_ready() {
+fn a_new_entry_pins_to_the_most_served_version_until_the_target_is_ready() {
     let mut pinner = VersionPinner::default();
     pinner.retarget("v3");
     let older = [serving("v1", 1), serving("v2", 3)];
@@ -198,7 +202,7 @@
 }
 
 #[test]
-fn one_replica_more_moves_few_others() {
+fn an_additional_replica_moves_few_others() {
     let (before, after) = (placed(14), placed(15));
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     assert!(moved <= 2, "{moved}");
@@ -224,7 +228,7 @@
 }
 
 #[test]
-fn weights_yield_to_live_bytes_and_get_the_link_back() {
+fn weights_yield_to_live_traffic_and_regain_the_link() {
     let mut pacer = Pacer::new(1_000_000);
     assert_eq!(pacer.rate(Time::ZERO), 1_000_000.0);
     for step in 0..50 {
@@ -234,7 +238,7 @@
     let rate = pacer.rate(busy);
     assert!(
         (100_000.0..400_000.0).contains(&rate),
-        "{rate} beside 800,000 live"
+        "{rate} with 800,000 bytes/s of live traffic"
     );
     let quiet = busy.after_ms(5_000);
     assert_eq!(
@@ -244,7 +248,7 @@
 }
 
 #[test]
-fn weights_keep_a_small_share_under_any_live_load() {
+fn weights_keep_a_small_share_under_any_live_traffic() {
     let mut pacer = Pacer::new(1_000_000);
     pacer.record_live(10_000_000, Time::ZERO);
     assert_eq!(pacer.rate(Time::ZERO), 50_000.0);
@@ -263,21 +267,24 @@
     let mut membership = Membership::new("outside");
     membership.apply_list((0..500).map(listed).collect());
     let peers: Vec<_> = membership.iter().map(|(_, it)| it).collect();
-    let draw = |own: u64| -> Vec<u64> {
+    let select = |own: u64| -> Vec<u64> {
         let others: Vec<_> = peers.iter().copied().filter(|it| it.node != own).collect();
         gossip::select_peers(own, &others)
             .iter()
             .map(|it| it.node)
             .collect()
     };
-    let draws: Vec<(u64, Vec<u64>)> = peers.iter().map(|it| (it.node, draw(it.node))).collect();
-    assert!(draws.iter().all(|(_, it)| it.len() <= 6));
-    // A bundle goes from who has it to those that ask, so the draws are followed backwards.
+    let selections: Vec<(u64, Vec<u64>)> =
+        peers.iter().map(|it| (it.node, select(it.node))).collect();
+    assert!(selections.iter().all(|(_, it)| it.len() <= 6));
+    // Bundles are pulled, so they spread from a peer to those that selected it.
     let mut reached = vec![peers[0].node];
     let mut seen = std::collections::BTreeSet::from([peers[0].node]);
     while let Some(node) = reached.pop() {
-        let askers = draws.iter().filter(|(_, drawn)| drawn.contains(&node));
-        reached.extend(askers.map(|it| it.0).filter(|it| seen.insert(*it)));
+        let pullers = selections
+            .iter()
+            .filter(|(_, selected)| selected.contains(&node));
+        reached.extend(pullers.map(|it| it.0).filter(|it| seen.insert(*it)));
     }
     assert_eq!(seen.len(), 500);
 }
--- a/crates/gradeloft_policy/tests/readers.rs
+++ b/crates/gradeloft_policy/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Which agents read a version from the origin.
+//! Tests of the selection of the agents that read a version from the origin.
 
 use gradeloft_policy::version::readers;
 use rstest::rstest;
@@ -6,8 +6,8 @@
 #[rstest]
 #[case::few_agents_all_read(12, 48, 12)]
 #[case::many_agents_share_the_connections(76, 48, 13)]
-#[case::as_many_at_any_size(2_300, 48, 13)]
-#[case::somebody_reads(76, 1, 1)]
+#[case::the_same_number_in_a_large_fleet(2_300, 48, 13)]
+#[case::at_least_one_reads(76, 1, 1)]
 fn readers_fit_the_origins_connections(
     #[case] nodes: u64,
     #[case] connections: u32,
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn agents_that_see_others_in_another_order_choose_the_same_and_versions_differ() {
+fn the_readers_depend_on_the_version_but_not_on_the_order_of_the_agents() {
     let nodes: Vec<u64> = (1..=76).collect();
     let reversed: Vec<u64> = nodes.iter().rev().copied().collect();
     assert_eq!(
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -1,4 +1,4 @@
-//! Copies of tables whose records come from peers, the large ones in parts.
+//! Tests of copies of tables whose records come from peers, large ones in parts.
 
 use std::net::Ipv4Addr;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn want(key: &str, value: &str, offset: u64) -> MissingValue {
+fn missing(key: &str, value: &str, offset: u64) -> MissingValue {
     MissingValue {
         key: key.to_owned(),
         offset,
@@ -36,7 +36,7 @@
     }
 }
 
-fn follows(records: Vec<Record>) -> Update {
+fn update(records: Vec<Record>) -> Update {
     let end = records.last().map_or(0, |it| it.offset + 1);
     Update {
         snapshot: false,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_copy_keeps_few_bytes_of_old_large_records() {
+fn a_copy_retains_a_bounded_size_of_old_large_records() {
     let mut mirror = Mirror::default();
     let megabyte = Bytes::from(vec![0; 1 << 20]);
     for offset in (0..80).step_by(2) {
@@ -71,7 +71,7 @@
             offset,
         };
         let small = record("weights", Some("1"), offset + 1);
-        mirror.apply(follows(vec![large, small]));
+        mirror.apply(update(vec![large, small]));
     }
     let kept = (0..80).filter(|it| {
         mirror
@@ -82,7 +82,7 @@
     assert_eq!(
         kept,
         [74, 76, 78],
-        "three and the small ones are below 4 MiB"
+        "three large records and the small ones fit into 4 MiB"
     );
     let behind = mirror.since(10);
     assert!(behind.snapshot);
@@ -91,21 +91,21 @@
 }
 
 #[test]
-fn a_copy_keeps_its_last_record_however_large() {
+fn a_copy_always_retains_its_last_record() {
     let mut mirror = Mirror::default();
     let huge = Record {
         key: "config".to_owned(),
         value: Some(Bytes::from(vec![0; 8 << 20])),
         offset: 0,
     };
-    mirror.apply(follows(vec![huge.clone()]));
-    assert_eq!(mirror.since(0), follows(vec![huge]));
+    mirror.apply(update(vec![huge.clone()]));
+    assert_eq!(mirror.since(0), update(vec![huge]));
 }
 
 #[test]
-fn what_is_taken_in_ahead_moves_no_end_and_is_told_once() {
+fn records_applied_ahead_do_not_move_the_end_and_are_reported_once() {
     let mut mirror = Mirror::default();
-    mirror.apply(follows(vec![record("a", Some("0"), 0)]));
+    mirror.apply(update(vec![record("a", Some("0"), 0)]));
     let ahead = vec![record("b", Some("2"), 2), record("a", None, 3)];
     assert_eq!(
         mirror.apply_ahead(ahead.clone()),
@@ -113,22 +113,26 @@
     );
     assert_eq!(mirror.end(), 1);
     assert!(mirror.apply_ahead(ahead.clone()).is_empty());
-    assert_eq!(mirror.since(1).end, 1, "peers are told no more than that");
+    assert_eq!(
+        mirror.since(1).end,
+        1,
+        "peers get records up to the end only"
+    );
     let missed = record("c", Some("1"), 1);
     let whole = [vec![missed.clone()], ahead].concat();
-    let changed = mirror.apply(follows(whole));
+    let changed = mirror.apply(update(whole));
     assert_eq!(changed, [missed, record("a", None, 3)]);
     assert_eq!(mirror.end(), 4);
 }
 
 #[test]
-fn an_older_record_does_not_undo_what_was_taken_in_ahead() {
+fn an_older_record_does_not_undo_a_record_applied_ahead() {
     let mut mirror = Mirror::default();
     mirror.apply_ahead(vec![record("a", Some("new"), 5)]);
     let older = (0..5).map(|it| record("a", (it % 2 == 0).then_some("old"), it));
-    assert!(mirror.apply(follows(older.collect())).is_empty());
+    assert!(mirror.apply(update(older.collect())).is_empty());
     assert_eq!(mirror.value("a"), Some(&Bytes::from("new")));
-    // Nor does a snapshot from before it.
+    // An older snapshot doesn't undo it either.
     let snapshot = Update {
         snapshot: true,
         records: Vec::new(),
@@ -145,22 +149,22 @@
 }
 
 #[test]
-fn records_before_a_missing_value_are_ready_and_those_behind_it_ahead() {
+fn records_before_a_missing_value_are_ready_and_later_ones_usable_ahead() {
     let rows = vec![
         Row::Present(record("a", Some("0"), 0)),
-        Row::Missing(want("config", "large", 1)),
+        Row::Missing(missing("config", "large", 1)),
         Row::Present(record("b", Some("2"), 2)),
         Row::Present(record("c", Some("3"), 3)),
         Row::Present(record("b", None, 4)),
     ];
     let mut pending = PendingUpdate::new(false, rows, 5);
     let ready = pending.take_ready(0).unwrap();
-    assert_eq!(ready, follows(vec![record("a", Some("0"), 0)]));
+    assert_eq!(ready, update(vec![record("a", Some("0"), 0)]));
     assert_eq!(pending.take_ready(1), None);
     assert_eq!(
         pending.usable_ahead(),
         [record("c", Some("3"), 3)],
-        "what is deleted is not brought back"
+        "a deleted key is not restored"
     );
     pending.fill(|it| (it.offset == 1).then(|| Bytes::from("large")));
     let ready = pending.take_ready(1).unwrap();
@@ -169,10 +173,10 @@
 }
 
 #[test]
-fn a_snapshot_is_ready_once_it_is_whole() {
+fn a_snapshot_is_ready_once_it_is_complete() {
     let rows = vec![
         Row::Present(record("a", Some("0"), 0)),
-        Row::Missing(want("config", "large", 6)),
+        Row::Missing(missing("config", "large", 6)),
     ];
     let mut pending = PendingUpdate::new(true, rows, 9);
     assert_eq!(pending.take_ready(2), None);
@@ -184,9 +188,9 @@
 }
 
 #[test]
-fn what_the_store_brought_meanwhile_is_not_taken_in_again() {
+fn records_already_read_from_the_store_are_not_applied_again() {
     let rows = vec![
-        Row::Missing(want("config", "large", 1)),
+        Row::Missing(missing("config", "large", 1)),
         Row::Present(record("b", Some("2"), 2)),
     ];
     let mut pending = PendingUpdate::new(false, rows, 3);
@@ -195,20 +199,20 @@
 }
 
 #[test]
-fn values_too_large_for_the_memory_are_refused() {
+fn values_above_the_size_limit_are_refused() {
     let huge = MissingValue {
         length: MAX_VALUE + 1,
-        ..want("config", "", 0)
+        ..missing("config", "", 0)
     };
     assert!(PendingUpdate::new(false, vec![Row::Missing(huge)], 1).oversized());
 }
 
 #[test]
-fn parts_of_several_peers_make_one_value() {
-    let mut transfer = Transfer::new(want("config", "one two", 3), Time::ZERO);
+fn parts_from_several_peers_are_assembled_into_one_value() {
+    let mut transfer = Transfer::new(missing("config", "one two", 3), Time::ZERO);
     assert_eq!(transfer.add(b"one "), Progress::More);
     transfer.refused(peer(1), Refusal::Faulty, Time::ZERO, &mut rng());
-    assert_eq!(transfer.start(), 4, "what came is kept");
+    assert_eq!(transfer.start(), 4, "received bytes are kept");
     assert_eq!(
         transfer.add(b"two"),
         Progress::Complete(Bytes::from("one two"))
@@ -218,18 +222,18 @@
 #[rstest]
 #[case::other_bytes(b"one_two")]
 #[case::too_long(b"one two three")]
-fn a_value_other_than_the_one_announced_is_refused(#[case] came: &[u8]) {
-    let mut transfer = Transfer::new(want("config", "one two", 3), Time::ZERO);
-    assert_eq!(transfer.add(came), Progress::Corrupt);
+fn a_value_that_does_not_match_the_announced_digest_is_refused(#[case] received: &[u8]) {
+    let mut transfer = Transfer::new(missing("config", "one two", 3), Time::ZERO);
+    assert_eq!(transfer.add(received), Progress::Corrupt);
     assert_eq!(transfer.start(), 0);
 }
 
 #[test]
-fn those_that_have_it_are_asked_and_near_ones_first() {
+fn holders_are_chosen_and_near_ones_first() {
     let mut holders = Holders::default();
     holders.note(peer(1), Some(false), 4, Time::ZERO);
     holders.note(peer(2), Some(true), 3, Time::ZERO);
-    let mut transfer = Transfer::new(want("config", "large", 3), Time::ZERO);
+    let mut transfer = Transfer::new(missing("config", "large", 3), Time::ZERO);
     let mut rng = rng();
     let far_only = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
     assert_eq!(far_only, Choice::Ask(peer(1)));
@@ -238,7 +242,7 @@
     let mut asked = [0; 4];
     for _ in 0..40 {
         let Choice::Ask(peer) = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng) else {
-            panic!("three have it");
+            panic!("no holder was chosen");
         };
         asked[usize::from(peer.octets()[3])] += 1;
     }
@@ -261,19 +265,19 @@
 }
 
 #[test]
-fn near_peers_are_remembered_rather_than_far_ones() {
+fn near_holders_are_retained_in_preference_to_far_ones() {
     let mut holders = Holders::default();
     holders.note(peer(0), Some(true), 9, Time::ZERO);
     for last in 1..200 {
         holders.note(peer(last), Some(false), 9, Time::ZERO.after_ms(1));
     }
-    let transfer = Transfer::new(want("config", "large", 3), Time::ZERO);
+    let transfer = Transfer::new(missing("config", "large", 3), Time::ZERO);
     let choice = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(2), &mut rng());
     assert_eq!(choice, Choice::Ask(peer(0)));
 }
 
 #[test]
-fn few_of_a_region_ask_another_region_and_the_others_take_it_from_them() {
+fn few_processes_of_a_region_fetch_from_another_region_at_first() {
     let now = Time::ZERO.after_ms(1);
     let asking = |at: Time| {
         let asks = |own: u8| {
@@ -282,7 +286,7 @@
                 holders.note(peer(near), Some(true), 3, at);
             }
             holders.note(peer(100), Some(false), 4, at);
-            let transfer = Transfer::new(want("config", "large", 3), now);
+            let transfer = Transfer::new(missing("config", "large", 3), now);
             transfer.choose(&holders, entry(own), at, &mut rng()) == Choice::Ask(peer(100))
         };
         (0..14).filter(|it| asks(*it)).count()
@@ -291,26 +295,26 @@
     assert_eq!(
         asking(now.after_ms(500)),
         4,
-        "in case that these two reach nobody"
+        "two more try in case the first two fail"
     );
     assert_eq!(asking(now.after_ms(2_000)), 14);
 }
 
-/// A process in a zone that lacks a record.
+/// Simulated process in an availability zone that lacks a record.
 struct Process {
-    /// Bytes a second, in each direction.
+    /// Bandwidth in each direction, in bytes per second.
     link: f64,
     role: Role,
     slots: UploadSlots,
     transfer: Transfer,
     holders: Holders,
-    /// Bytes that came.
-    came: f64,
-    /// Whom it receives from.
-    giver: Option<usize>,
-    asks_at: Time,
-    /// When it had all.
-    whole_at: Option<Time>,
+    /// Number of bytes received.
+    received: f64,
+    /// Index of the process from which this one receives the record.
+    sender: Option<usize>,
+    next_attempt: Time,
+    /// Time at which the record was complete.
+    complete_at: Option<Time>,
 }
 
 const RECORD: f64 = 900_000.0;
@@ -321,21 +325,21 @@
             link,
             role,
             slots: UploadSlots::default(),
-            transfer: Transfer::new(want("config", "large", 3), Time::ZERO),
+            transfer: Transfer::new(missing("config", "large", 3), Time::ZERO),
             holders: Holders::default(),
-            came: 0.0,
-            giver: None,
-            asks_at: Time::ZERO,
-            whole_at: None,
+            received: 0.0,
+            sender: None,
+            next_attempt: Time::ZERO,
+            complete_at: None,
         }
     }
 
-    fn asks(&self, now: Time) -> bool {
-        self.whole_at.is_none() && self.giver.is_none() && self.asks_at <= now
+    fn is_due(&self, now: Time) -> bool {
+        self.complete_at.is_none() && self.sender.is_none() && self.next_attempt <= now
     }
 }
 
-/// A zone in which `having` entries have a record, step by step.
+/// Step-by-step simulation of an availability zone in which some entries hold a record.
 struct Zone {
     processes: Vec<Process>,
     now: Time,
@@ -345,12 +349,12 @@
 impl Zone {
     const STEP_MS: u64 = 5;
 
-    fn new(entries: usize, agents: usize, having: usize, seed: u64) -> Zone {
+    fn new(entries: usize, agents: usize, holders: usize, seed: u64) -> Zone {
         let entry = (0..entries).map(|_| Process::new(5_000_000.0, Role::Entry));
         let agent = (0..agents).map(|_| Process::new(1_175_000.0, Role::Agent));
         let mut processes: Vec<Process> = entry.chain(agent).collect();
-        for process in &mut processes[..having] {
-            process.whole_at = Some(Time::ZERO);
+        for process in &mut processes[..holders] {
+            process.complete_at = Some(Time::ZERO);
         }
         Zone {
             processes,
@@ -359,31 +363,31 @@
         }
     }
 
-    /// Entries that have it say so to all.
-    fn tell(&mut self) {
-        let has = |it: &Process| it.role == Role::Entry && it.whole_at.is_some();
-        let having: Vec<usize> = (0..self.processes.len())
+    /// Entries that hold the record announce it to all processes.
+    fn announce(&mut self) {
+        let has = |it: &Process| it.role == Role::Entry && it.complete_at.is_some();
+        let holders: Vec<usize> = (0..self.processes.len())
             .filter(|it| has(&self.processes[*it]))
             .collect();
         for process in &mut self.processes {
-            for giver in &having {
+            for sender in &holders {
                 process
                     .holders
-                    .note(peer(*giver as u8), Some(true), 4, self.now);
+                    .note(peer(*sender as u8), Some(true), 4, self.now);
             }
         }
     }
 
-    fn given_by(&self, giver: usize) -> usize {
-        let given = self.processes.iter().filter(|it| it.giver == Some(giver));
-        given.count()
+    fn uploads_of(&self, sender: usize) -> usize {
+        let uploads = self.processes.iter().filter(|it| it.sender == Some(sender));
+        uploads.count()
     }
 
-    fn ask(&mut self) {
+    fn request(&mut self) {
         let first = self.rng.random_range(0..self.processes.len());
         for idx in 0..self.processes.len() {
             let idx = (first + idx) % self.processes.len();
-            if !self.processes[idx].asks(self.now) {
+            if !self.processes[idx].is_due(self.now) {
                 continue;
             }
             let asker = &mut self.processes[idx];
@@ -395,58 +399,60 @@
                 .transfer
                 .choose(&asker.holders, caller, self.now, &mut self.rng)
             {
-                Choice::Ask(peer) => self.ask_one(idx, peer),
-                Choice::Wait(time) | Choice::Retry(time) => asker.asks_at = self.now.after(time),
+                Choice::Ask(peer) => self.request_from(idx, peer),
+                Choice::Wait(time) | Choice::Retry(time) => {
+                    asker.next_attempt = self.now.after(time)
+                }
                 Choice::NoHolder => {}
             }
         }
     }
 
-    fn ask_one(&mut self, idx: usize, peer: Ipv4Addr) {
-        let giver = usize::from(peer.octets()[3]);
+    fn request_from(&mut self, idx: usize, peer: Ipv4Addr) {
+        let sender = usize::from(peer.octets()[3]);
         let role = self.processes[idx].role;
-        if self.processes[giver].slots.take(role) {
-            self.processes[idx].giver = Some(giver);
+        if self.processes[sender].slots.take(role) {
+            self.processes[idx].sender = Some(sender);
             return;
         }
         let transfer = &mut self.processes[idx].transfer;
         transfer.refused(peer, Refusal::Busy, self.now, &mut self.rng);
     }
 
-    /// What shares a link gets equal parts of it.
-    fn carry(&mut self) {
+    /// Transfers that share a link get equal shares of its bandwidth.
+    fn transfer(&mut self) {
         for idx in 0..self.processes.len() {
-            let Some(giver) = self.processes[idx].giver else {
+            let Some(sender) = self.processes[idx].sender else {
                 continue;
             };
-            let out = self.processes[giver].link / self.given_by(giver) as f64;
+            let out = self.processes[sender].link / self.uploads_of(sender) as f64;
             let process = &mut self.processes[idx];
-            process.came += out.min(process.link) * Zone::STEP_MS as f64 / 1_000.0;
-            if RECORD <= process.came {
-                process.giver = None;
-                process.whole_at = Some(self.now);
+            process.received += out.min(process.link) * Zone::STEP_MS as f64 / 1_000.0;
+            if RECORD <= process.received {
+                process.sender = None;
+                process.complete_at = Some(self.now);
                 let role = process.role;
-                self.processes[giver].slots.free(role);
+                self.processes[sender].slots.free(role);
             }
         }
     }
 
-    /// Milliseconds until all entries have it, and all agents.
+    /// Runs the simulation, and returns the times until all entries and all agents hold the record, in milliseconds.
     fn run(&mut self) -> (u128, u128) {
         let mut step = 0;
-        while self.processes.iter().any(|it| it.whole_at.is_none()) {
+        while self.processes.iter().any(|it| it.complete_at.is_none()) {
             if step % 25 == 0 {
-                self.tell();
+                self.announce();
             }
-            self.ask();
-            self.carry();
+            self.request();
+            self.transfer();
             step += 1;
             self.now = self.now.after_ms(Zone::STEP_MS);
-            assert!(step < 10_000, "some never get it");
+            assert!(step < 10_000, "some processes never get the record");
         }
         let last = |role: Role| {
             let these = self.processes.iter().filter(|it| it.role == role);
-            let last = these.filter_map(|it| it.whole_at).max();
+            let last = these.filter_map(|it| it.complete_at).max();
             last.unwrap_or_default().since(Time::ZERO).as_millis()
         };
         (last(Role::Entry), last(Role::Agent))
@@ -456,15 +462,18 @@
 #[rstest]
 #[case::entries_alone(0, 2)]
 #[case::entries_and_agents(30, 2)]
-#[case::entries_and_agents_and_one_that_has_it(30, 1)]
-fn a_zone_that_lacks_a_large_record_has_it_soon(#[case] agents: usize, #[case] having: usize) {
+#[case::entries_and_agents_with_one_holder(30, 1)]
+fn a_large_record_spreads_through_a_zone_in_bounded_time(
+    #[case] agents: usize,
+    #[case] holders: usize,
+) {
     let mut slowest = (0, 0);
     for seed in 0..20 {
-        let (entries, agents) = Zone::new(14, agents, having, seed).run();
+        let (entries, agents) = Zone::new(14, agents, holders, seed).run();
         slowest = (entries.max(slowest.0), agents.max(slowest.1));
     }
     println!(
-        "{agents} agents, {having} have it: entries {} ms, agents {} ms",
+        "{agents} agents, {holders} holders: entries {} ms, agents {} ms",
         slowest.0, slowest.1
     );
     assert!(slowest.0.max(slowest.1) < 4_000, "{slowest:?}");
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -1,4 +1,4 @@
-//! What regions know of each other, and how they share their slots.
+//! Tests of the state that regions share, and of how they split their slots.
 
 use std::{collections::HashMap, net::Ipv4Addr, time::Duration};
 
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn area() -> impl Strategy<Value = RegionSlots> {
+fn region_slots() -> impl Strategy<Value = RegionSlots> {
     let slots = prop::collection::vec(1_u32..17, 0..12);
     (0_usize..9, 0.0..300.0_f64, slots).prop_map(|(entries, demand, slots)| RegionSlots {
         entries,
@@ -26,40 +26,40 @@
     })
 }
 
-fn all_parts(areas: &[RegionSlots]) -> Vec<Vec<Vec<u32>>> {
-    let entries = areas.iter().enumerate();
+fn all_parts(regions: &[RegionSlots]) -> Vec<Vec<Vec<u32>>> {
+    let entries = regions.iter().enumerate();
     entries
-        .flat_map(|(home, area)| (0..area.entries).map(move |own| (home, own)))
-        .map(|(home, own)| slot_split::parts_by_region(areas, home, own))
+        .flat_map(|(home, region_slots)| (0..region_slots.entries).map(move |own| (home, own)))
+        .map(|(home, own)| slot_split::parts_by_region(regions, home, own))
         .collect()
 }
 
 proptest! {
-    /// No slot is two entries' part, and wherever there are entries every slot is one's.
+    /// Each slot is assigned to at most one entry, and if there are entries, nearly every slot is assigned.
     #[test]
-    fn every_slot_is_the_part_of_one_entry(areas in prop::collection::vec(area(), 1..6)) {
-        let parts = all_parts(&areas);
+    fn every_slot_is_assigned_to_one_entry(regions in prop::collection::vec(region_slots(), 1..6)) {
+        let parts = all_parts(&regions);
         let anybody = !parts.is_empty();
-        for (region, area) in areas.iter().enumerate() {
-            for (replica, slots) in area.slots.iter().enumerate() {
+        for (region, region_slots) in regions.iter().enumerate() {
+            for (replica, slots) in region_slots.slots.iter().enumerate() {
                 let given: u32 = parts.iter().map(|it| it[region][replica]).sum();
                 prop_assert!(given <= *slots, "{given} of {slots}");
             }
         }
         let given: u32 = parts.iter().flatten().flatten().sum();
-        let all: u32 = areas.iter().flat_map(|it| &it.slots).sum();
-        // Rounding leaves at most a slot for each region to chance.
-        prop_assert!(!anybody || all - given <= areas.len() as u32, "{given} of {all}");
+        let all: u32 = regions.iter().flat_map(|it| &it.slots).sum();
+        // Rounding leaves at most one slot of each region unassigned.
+        prop_assert!(!anybody || all - given <= regions.len() as u32, "{given} of {all}");
     }
 
-    /// A region that has what it needs borrows nothing, and one that lacks slots lends none.
+    /// A region borrows no slots while it lends some of its own.
     #[test]
-    fn slots_go_only_from_regions_that_have_more_to_those_that_lack(areas in prop::collection::vec(area(), 2..6)) {
-        for (home, area) in areas.iter().enumerate().filter(|(_, it)| 0 < it.entries) {
-            let parts: Vec<_> = (0..area.entries).map(|own| slot_split::parts_by_region(&areas, home, own)).collect();
+    fn no_region_both_lends_and_borrows_slots(regions in prop::collection::vec(region_slots(), 2..6)) {
+        for (home, region_slots) in regions.iter().enumerate().filter(|(_, it)| 0 < it.entries) {
+            let parts: Vec<_> = (0..region_slots.entries).map(|own| slot_split::parts_by_region(&regions, home, own)).collect();
             let of = |region: usize| -> u32 { parts.iter().flat_map(|it| &it[region]).sum() };
-            let own: u32 = area.slots.iter().sum();
-            let borrowed: u32 = (0..areas.len()).filter(|it| *it != home).map(of).sum();
+            let own: u32 = region_slots.slots.iter().sum();
+            let borrowed: u32 = (0..regions.len()).filter(|it| *it != home).map(of).sum();
             prop_assert!(of(home) == own || borrowed == 0, "{} of {own}, and {borrowed}", of(home));
         }
     }
@@ -67,7 +67,7 @@
 
 #[test]
 fn slots_of_a_region_without_entries_are_lent() {
-    let areas = [
+    let regions = [
         RegionSlots {
             entries: 2,
             demand: 10.0,
@@ -80,14 +80,14 @@
         },
     ];
     assert_eq!(
-        slot_split::parts_by_region(&areas, 0, 0),
+        slot_split::parts_by_region(&regions, 0, 0),
         [vec![4], vec![4, 4]]
     );
 }
 
 #[test]
-fn before_any_traffic_each_entry_gets_the_same() {
-    let areas = [
+fn without_traffic_each_entry_gets_the_same_number_of_slots() {
+    let regions = [
         RegionSlots {
             entries: 1,
             demand: 0.0,
@@ -99,7 +99,7 @@
             slots: vec![8, 8],
         },
     ];
-    let parts: Vec<u32> = all_parts(&areas)
+    let parts: Vec<u32> = all_parts(&regions)
         .iter()
         .map(|it| it.iter().flatten().sum())
         .collect();
@@ -111,21 +111,21 @@
 }
 
 #[test]
-fn two_entries_speak_for_a_region_and_others_take_over() {
+fn two_delegates_represent_a_region_and_others_replace_them() {
     let all: Vec<Ipv4Addr> = (1..=30).map(address).collect();
-    let speaking = |alive: &[Ipv4Addr]| -> Vec<Ipv4Addr> {
+    let delegates_of = |alive: &[Ipv4Addr]| -> Vec<Ipv4Addr> {
         let others = |own: &Ipv4Addr| {
             let own = *own;
             alive.iter().copied().filter(move |it| *it != own)
         };
-        let speaking = alive
+        let selected = alive
             .iter()
             .filter(|it| delegates::is_delegate(**it, others(it)));
-        speaking.copied().collect()
+        selected.copied().collect()
     };
-    let first = speaking(&all);
+    let first = delegates_of(&all);
     assert_eq!(first.len(), 2);
-    // Those of other regions draw the same.
+    // Entries of other regions select the same ones.
     let relays: Vec<_> = (0..2)
         .filter_map(|it| delegates::relay_for_turn(&all, it))
         .collect();
@@ -135,7 +135,7 @@
         .copied()
         .filter(|it| !first.contains(it))
         .collect();
-    let second = speaking(&left);
+    let second = delegates_of(&left);
     assert_eq!(second.len(), 2);
     assert_eq!(delegates::relay_for_turn(&[], 3), None);
     assert_eq!(delegates::relay_for_turn(&all[..1], 3), Some(all[0]));
@@ -146,7 +146,7 @@
 #[case(3, 2)]
 #[case(4, 1)]
 #[case(7, 1)]
-fn as_many_entries_of_a_region_read_as_the_fleet_needs(
+fn the_number_of_readers_in_a_region_depends_on_the_number_of_regions(
     #[case] regions: usize,
     #[case] expected: usize,
 ) {
@@ -173,38 +173,38 @@
     }
 }
 
-fn sums(elsewhere: &RemoteLoads<u8>) -> Vec<(u32, u32)> {
+fn running_by_replica(remote_loads: &RemoteLoads<u8>) -> Vec<(u32, u32)> {
     let mut sums = HashMap::new();
-    elsewhere.add_to(&mut sums);
+    remote_loads.add_to(&mut sums);
     let mut sums: Vec<_> = sums.values().map(|it| (it.replica, it.running)).collect();
     sums.sort_unstable();
     sums
 }
 
 #[test]
-fn each_word_replaces_the_one_before_it_and_parts_stand_for_themselves() {
-    let mut elsewhere = RemoteLoads::default();
+fn each_report_replaces_the_previous_one_of_the_same_part() {
+    let mut remote_loads = RemoteLoads::default();
     let now = Time::ZERO.after_ms(1_000);
-    elsewhere.receive(1, report(now, 0, 0, &[(7, 2), (8, 1)]));
-    elsewhere.receive(2, report(now, 0, 0, &[(7, 3)]));
-    assert_eq!(sums(&elsewhere), [(7, 5), (8, 1)]);
-    assert_eq!(elsewhere.demand(), 6.0);
-    elsewhere.receive(1, report(now, 0, 1, &[(8, 4)]));
-    elsewhere.receive(1, report(now, 1, 1, &[(7, 1)]));
-    assert_eq!(sums(&elsewhere), [(7, 4), (8, 4)]);
-    assert_eq!(elsewhere.demand(), 6.0);
-    elsewhere.receive(1, report(now, 0, 1, &[]));
-    assert_eq!(sums(&elsewhere), [(7, 4)]);
-    // Again in one.
-    elsewhere.receive(1, report(now, 0, 0, &[(9, 1)]));
-    assert_eq!(sums(&elsewhere), [(7, 3), (9, 1)]);
-    elsewhere.retain(|it| *it == 1);
-    assert_eq!(sums(&elsewhere), [(9, 1)]);
-    elsewhere.expire(now.after_ms(1));
-    assert!(elsewhere.is_empty());
+    remote_loads.receive(1, report(now, 0, 0, &[(7, 2), (8, 1)]));
+    remote_loads.receive(2, report(now, 0, 0, &[(7, 3)]));
+    assert_eq!(running_by_replica(&remote_loads), [(7, 5), (8, 1)]);
+    assert_eq!(remote_loads.demand(), 6.0);
+    remote_loads.receive(1, report(now, 0, 1, &[(8, 4)]));
+    remote_loads.receive(1, report(now, 1, 1, &[(7, 1)]));
+    assert_eq!(running_by_replica(&remote_loads), [(7, 4), (8, 4)]);
+    assert_eq!(remote_loads.demand(), 6.0);
+    remote_loads.receive(1, report(now, 0, 1, &[]));
+    assert_eq!(running_by_replica(&remote_loads), [(7, 4)]);
+    // The report fits into one part again.
+    remote_loads.receive(1, report(now, 0, 0, &[(9, 1)]));
+    assert_eq!(running_by_replica(&remote_loads), [(7, 3), (9, 1)]);
+    remote_loads.retain(|it| *it == 1);
+    assert_eq!(running_by_replica(&remote_loads), [(9, 1)]);
+    remote_loads.expire(now.after_ms(1));
+    assert!(remote_loads.is_empty());
 }
 
-fn word(zone: &str) -> Status<'_> {
+fn status(zone: &str) -> Status<'_> {
     Status {
         incarnation: 1,
         zone,
@@ -215,14 +215,14 @@
 }
 
 #[test]
-fn callers_are_told_of_their_zone_and_of_few_others_drawn_alike() {
+fn callers_get_all_entries_of_their_zone_and_a_uniform_selection_of_others() {
     let now = Time::ZERO;
     let mut roster = Roster::default();
     for last in 1..=20 {
-        roster.receive(address(last), word("z"), now);
+        roster.receive(address(last), status("z"), now);
     }
     for last in 21..=120 {
-        roster.receive_relayed(address(last), word("elsewhere"), now);
+        roster.receive_relayed(address(last), status("elsewhere"), now);
     }
     let named = |own| roster.ready(Ipv4Addr::new(10, 0, 1, own), "z", |_| true, now);
     let first = named(1);
@@ -234,20 +234,20 @@
             *others.entry(*other).or_insert(0) += 1;
         }
     }
-    // 400 names for 100 entries.
+    // 400 selections of 100 entries.
     assert!(others.values().all(|it| *it < 14), "{others:?}");
     assert!(80 < others.len());
 }
 
 #[test]
-fn a_zone_with_few_entries_names_others_up_to_a_number() {
+fn a_zone_with_few_entries_adds_others_up_to_a_minimum() {
     let now = Time::ZERO;
     let mut roster = Roster::default();
     for last in 1..=3 {
-        roster.receive(address(last), word("z"), now);
+        roster.receive(address(last), status("z"), now);
     }
     for last in 4..=30 {
-        roster.receive_relayed(address(last), word("elsewhere"), now);
+        roster.receive_relayed(address(last), status("elsewhere"), now);
     }
     let named = roster.ready(address(99), "z", |_| true, now);
     assert_eq!(named.len(), 8);
@@ -255,11 +255,11 @@
 }
 
 #[test]
-fn entries_that_others_told_of_live_longer_than_a_pause_of_their_words() {
+fn relayed_entries_expire_later_than_directly_known_ones() {
     let now = Time::ZERO;
     let mut roster = Roster::default();
-    roster.receive(address(1), word("z"), now);
-    roster.receive_relayed(address(2), word("elsewhere"), now);
+    roster.receive(address(1), status("z"), now);
+    roster.receive_relayed(address(2), status("elsewhere"), now);
     let later = now.after_ms(2_000);
     assert!(!roster.alive(address(1), later));
     assert!(roster.alive(address(2), later));
@@ -273,10 +273,10 @@
     assert_eq!(roster.unidentified().collect::<Vec<_>>(), [address(3)]);
 }
 
-/// What a large deployment's regions ask for, in requests a second: each entry's slots follow what its callers ask
-/// for, wherever the slots lie, and most of them are near.
+/// Uses the demand of a large deployment's regions in requests per second. The slots of each entry are
+/// proportional to the demand of its callers, wherever the slots are, and most of them are in its own region.
 #[test]
-fn entries_get_slots_by_what_their_callers_ask_for() {
+fn entries_get_slots_in_proportion_to_their_demand() {
     let asked = [
         (30, 217.0),
         (34, 233.0),
@@ -284,7 +284,7 @@
         (30, 249.0),
         (25, 201.0),
     ];
-    let areas = asked.map(|(entries, demand)| RegionSlots {
+    let regions = asked.map(|(entries, demand)| RegionSlots {
         entries,
         demand,
         slots: vec![8; 24],
@@ -292,10 +292,10 @@
     let mut near = 0;
     for (home, (entries, demand)) in asked.into_iter().enumerate() {
         let parts: Vec<_> = (0..entries)
-            .map(|own| slot_split::parts_by_region(&areas, home, own))
+            .map(|own| slot_split::parts_by_region(&regions, home, own))
             .collect();
         let slots: u32 = parts.iter().flatten().flatten().sum();
-        // 960 slots for 1,069 requests a second.
+        // 960 slots for 1,069 requests per second.
         let per_request = f64::from(slots) / demand;
         assert!(
             (0.89..0.91).contains(&per_request),
@@ -306,21 +306,21 @@
         let (least, most) = (of_entries.clone().min(), of_entries.max());
         assert!(most <= least.map(|it| it + 4), "{least:?} to {most:?}");
     }
-    assert!(900 < near, "{near} of 960 near");
+    assert!(900 < near, "{near} of 960 slots are in the own region");
 }
 
 #[rstest]
 #[case::seeds_read_at_once(0, true, false, false, true)]
-#[case::others_wait_for_them(0, false, false, false, false)]
-#[case::who_hears_of_nobody_that_has_it_reads(200, false, false, false, true)]
-#[case::who_was_told_gets_it_from_there(200, false, true, false, false)]
-#[case::and_reads_if_it_did_not_come(800, false, true, false, true)]
-#[case::what_nobody_needs_at_once_waits(799, false, false, true, false)]
-fn who_reads_a_table_that_it_never_had(
+#[case::others_wait_for_seeds(0, false, false, false, false)]
+#[case::reads_if_no_peer_holds_it(200, false, false, false, true)]
+#[case::waits_if_a_peer_holds_it(200, false, true, false, false)]
+#[case::reads_if_the_peer_did_not_deliver_it(800, false, true, false, true)]
+#[case::optional_tables_wait(799, false, false, true, false)]
+fn the_first_read_of_a_table_depends_on_peers_and_time(
     #[case] ms: u64,
     #[case] seed: bool,
-    #[case] told: bool,
-    #[case] spare: bool,
+    #[case] peer_holds_it: bool,
+    #[case] is_optional: bool,
     #[case] reads: bool,
 ) {
     let since_start = Duration::from_millis(ms);
@@ -328,22 +328,22 @@
         since_start,
         since_contact: Some(since_start),
         seed,
-        held_by_peer: told,
-        optional: spare,
+        held_by_peer: peer_holds_it,
+        optional: is_optional,
         rank: 0,
     };
     assert_eq!(readers::reads_first(first), reads);
 }
 
-/// All entries of a region read whole tables 0.2 s after their start, since those that are known from the settings started
-/// a moment later and nobody had answered yet.
+/// Guards against all entries of a region reading whole tables 0.2 s after their start, because the peers
+/// from the settings start a moment later and have not answered yet.
 #[rstest]
 #[case(0, None, false)]
 #[case(799, None, false)]
 #[case(800, None, true)]
 #[case(1_000, Some(199), false)]
 #[case(1_000, Some(200), true)]
-fn who_has_met_nobody_waits_for_a_contact(
+fn an_entry_without_contact_waits_before_its_first_read(
     #[case] ms: u64,
     #[case] contact_ms: Option<u64>,
     #[case] reads: bool,
@@ -359,15 +359,15 @@
     assert_eq!(readers::reads_first(first), reads);
 }
 
-/// Entries of a region of `size` that read a table which none of them has ever had, after a time; each knows `known` of
-/// the others.
+/// Returns the number of entries in a region of `size` that read a table after `ms`. None of them has had the
+/// table before, and each knows `known` of the others.
 fn first_readers(size: u64, known: usize, ms: u64, is_known: bool) -> usize {
     let names: Vec<u64> = (0..size)
         .map(|it| rendezvous::hash(&it.to_le_bytes()))
         .collect();
     let reads = |own: &u64| {
         let others = names.iter().copied().filter(|it| it != own);
-        // Those that an entry knows are drawn for it.
+        // Each entry knows a different selection of the others.
         let mut others: Vec<u64> = others.collect();
         others.sort_unstable_by_key(|it| rendezvous::score(*own, *it));
         others.truncate(known);
@@ -383,10 +383,11 @@
     names.iter().filter(|it| reads(it)).count()
 }
 
-/// 547 entries started at once, all of them read tables of 85 and 160 KB whole within a second over links of 33 Mbit/s,
-/// gave up and began anew: no entry outside the store's region had a configuration after 23 s.
+/// Guards against a thundering herd: if 547 entries start at once and all read tables of 85 and 160 KB within
+/// a second over links of 33 Mbit/s, the reads time out and start again, and no entry outside the store's
+/// region has a configuration after 23 s.
 #[rstest]
-fn few_entries_of_a_region_read_a_table_first_whatever_its_size(
+fn few_entries_of_a_region_of_any_size_read_a_table_first(
     #[values(2, 11, 110, 400)] size: u64,
     #[values(200, 800, 1_600, 3_200, 20_000)] ms: u64,
     #[values(false, true)] known: bool,
@@ -395,46 +396,49 @@
     let readers = first_readers(size, all, ms, known);
     assert!(readers <= 8, "{readers} of {size}");
     assert!((200 < ms || !known) == (0 < readers));
-    // With a sixth of the others known a few more do.
+    // If each entry knows a sixth of the others, a few more entries read.
     let readers = first_readers(size, all.div_ceil(6), ms, known);
     assert!(readers <= 64, "{readers} of {size}");
 }
 
 #[rstest]
-fn few_entries_send_to_an_agent_at_once_or_in_place_of_those_of_its_region(
+fn few_entries_send_changes_to_an_agent_at_once_or_as_fallback_senders(
     #[values(1, 2, 34, 547, 2_000)] size: u64,
 ) {
     let names: Vec<u64> = (0..size)
         .map(|it| rendezvous::hash(&it.to_le_bytes()))
         .collect();
     for agent in 0..20 {
-        let stands_in = |own: &&u64| {
+        let is_fallback = |own: &&u64| {
             let others = names.iter().copied().filter(|it| it != *own);
             delegates::is_fallback_sender(rendezvous::hash(&[agent]), **own, others)
         };
-        let senders = names.iter().filter(stands_in).count();
+        let senders = names.iter().filter(is_fallback).count();
         assert_eq!(senders, names.len().min(2));
-        let informs = |own: &&u64| {
+        let sends_changes = |own: &&u64| {
             let others = names.iter().copied().filter(|it| it != *own);
             delegates::sends_changes_at_once(rendezvous::hash(&[agent]), **own, others)
         };
-        assert_eq!(names.iter().filter(informs).count(), names.len().min(4));
+        assert_eq!(
+            names.iter().filter(sends_changes).count(),
+            names.len().min(4)
+        );
     }
 }
 
-/// How many processes of a region ask another region within a time, if none of them gets an answer.
+/// The number of processes of a region that fetch from another region within `ms`, if none of them gets an answer.
 #[rstest]
 #[case(0, 2)]
 #[case(500, 4)]
 #[case(1_000, 8)]
 #[case(2_500, 64)]
-fn processes_that_ask_another_region_double_with_each_turn(
+fn the_number_of_processes_that_fetch_from_another_region_doubles_with_each_step(
     #[case] ms: u64,
     #[case] most: usize,
     #[values(11, 60)] size: u8,
 ) {
     let address = |it: u8| Ipv4Addr::new(10, 0, 0, it);
-    let asks = |own: u8| {
+    let fetches = |own: u8| {
         let mut holders = Holders::default();
         for peer in (0..size).filter(|it| *it != own) {
             holders.note(address(peer), Some(true), 0, Time::ZERO);
@@ -445,6 +449,6 @@
         };
         holders.far_wait_ms(1, caller, Time::ZERO) <= ms
     };
-    let asking = (0..size).filter(|it| asks(*it)).count();
-    assert_eq!(asking, most.min(usize::from(size)));
+    let fetching = (0..size).filter(|it| fetches(*it)).count();
+    assert_eq!(fetching, most.min(usize::from(size)));
 }
--- a/crates/gradeloft_policy/tests/restarts.rs
+++ b/crates/gradeloft_policy/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! A replica that starts again under the id that it had.
+//! Tests of replicas that restart with the same id.
 
 mod support;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn nothing_that_was_known_of_the_start_before_holds() {
+fn state_of_the_previous_start_is_discarded() {
     let mut replicas = Replicas::default();
     let before = replicas.list(started(1, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
@@ -52,32 +52,29 @@
     assert_eq!((known.load(), known.waiting(), known.own_slots), (0, 0, 0));
     assert_eq!(known.slowness.factor(), 1.0);
     assert!(!known.suspect(NOW) && !known.open(NOW));
-    // What others have at the old start is not at this one.
+    // Requests that other entries have at the old start don't count for this one.
     assert_ne!(known.hash(), hash);
     assert_eq!(replicas.of("m").count(), 1);
 }
 
 #[test]
-fn an_agent_tells_of_a_restart_before_the_platform_does() {
+fn an_agent_can_report_a_restart_before_the_platform_does() {
     let mut replicas = Replicas::default();
     let before = replicas.list(started(1, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
     assert_eq!(replicas.report_at(address, report(2, None)), [before]);
     let after = replicas.key("a").unwrap();
     assert_eq!(replicas.get(after).unwrap().version(NOW), None);
-    // The platform's word on the new start is no further restart.
+    // The platform's listing of the new start is not another restart.
     assert_eq!(replicas.list(started(2, Some(5))), after);
     assert_eq!(replicas.get(after).unwrap().version(NOW), Some(5));
 }
 
 #[rstest]
-#[case::of_the_start_before(1, None)]
-#[case::of_a_start_long_ago(0, None)]
-#[case::of_this_start(2, Some(9))]
-fn a_late_report_of_the_start_before_changes_nothing(
-    #[case] born: u64,
-    #[case] version: Option<u64>,
-) {
+#[case::from_the_previous_start(1, None)]
+#[case::from_an_earlier_start(0, None)]
+#[case::from_the_current_start(2, Some(9))]
+fn late_reports_from_earlier_starts_are_ignored(#[case] born: u64, #[case] version: Option<u64>) {
     let mut replicas = Replicas::default();
     let key = replicas.list(started(1, Some(3)));
     let address = replicas.get(key).unwrap().listing.address;
@@ -91,7 +88,7 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_hides_no_restart() {
+fn a_restart_is_detected_even_if_the_clock_was_set_back() {
     let mut replicas = Replicas::default();
     let before = replicas.list(started(1_000, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
@@ -108,7 +105,7 @@
 }
 
 #[test]
-fn replicas_that_do_not_say_when_they_started_are_told_apart_by_id_only() {
+fn replicas_without_a_start_time_are_identified_by_id_only() {
     let mut replicas = Replicas::default();
     let key = replicas.list(listing("a", Some(1)));
     assert_eq!(replicas.list(listing("a", Some(2))), key);
@@ -118,7 +115,7 @@
 }
 
 #[test]
-fn a_replica_that_is_listed_for_another_service_leaves_the_one_before() {
+fn a_replica_that_is_listed_for_another_service_leaves_the_previous_one() {
     let mut replicas = Replicas::default();
     let key = replicas.list(listing("a", Some(1)));
     let moved = Listing {
--- a/crates/gradeloft_policy/tests/shares.rs
+++ b/crates/gradeloft_policy/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of a rate between entries.
+//! Tests of the leases by which entries share a rate limit.
 
 use gradeloft_policy::{
     clock::Time,
@@ -17,7 +17,7 @@
     connected: ENTRIES,
 };
 
-fn ask(entry: u64, demand: f64) -> LeaseRequest {
+fn request(entry: u64, demand: f64) -> LeaseRequest {
     LeaseRequest {
         entry,
         demand,
@@ -25,46 +25,46 @@
     }
 }
 
-/// A home that has been one for long.
+/// Returns the lender of a home whose earlier leases have all expired.
 fn lender() -> (Lender, Time) {
     (Lender::new(Time::ZERO), Time::ZERO.after_ms(LEASE_MS))
 }
 
-/// Every entry asks several times with its demand; gives what each is granted in the end.
-fn settled(lender: &mut Lender, demands: &[f64], now: Time) -> Vec<f64> {
+/// Lets every entry request a lease for its demand several times, and returns the final grants.
+fn final_grants(lender: &mut Lender, demands: &[f64], now: Time) -> Vec<f64> {
     let mut granted = vec![0.0; demands.len()];
     for _ in 0..4 {
         for (entry, demand) in demands.iter().enumerate() {
-            granted[entry] = lender.grant(ask(entry as u64, *demand), ALL, now);
+            granted[entry] = lender.grant(request(entry as u64, *demand), ALL, now);
         }
     }
     granted
 }
 
 #[test]
-fn demand_at_one_entry_gets_the_whole_rate_once_all_are_heard() {
+fn demand_at_one_entry_gets_the_whole_rate_once_all_have_reported() {
     let (mut lender, now) = lender();
-    let granted = settled(&mut lender, &[700.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0], now);
+    let granted = final_grants(&mut lender, &[700.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0], now);
     assert!(0.95 * ALLOWED < granted[0], "{granted:?}");
     assert!(granted.iter().sum::<f64>() <= ALLOWED * 1.000_001);
 }
 
 #[test]
-fn more_demand_than_rate_is_filled_evenly_and_small_demands_are_met() {
+fn excess_demand_is_granted_evenly_and_small_demands_are_met() {
     let (mut lender, now) = lender();
-    let granted = settled(&mut lender, &[900.0, 900.0, 10.0, 10.0, 0.0, 0.0, 0.0], now);
+    let granted = final_grants(&mut lender, &[900.0, 900.0, 10.0, 10.0, 0.0, 0.0, 0.0], now);
     assert!((granted[0] - granted[1]).abs() < 1.0, "{granted:?}");
     assert!(10.0 <= granted[2] && 330.0 < granted[0], "{granted:?}");
 }
 
 #[test]
-fn what_entries_may_use_without_a_lease_is_kept_back() {
-    let part = ALLOWED / ENTRIES as f64;
+fn the_rate_usable_without_a_lease_is_reserved() {
+    let share = ALLOWED / ENTRIES as f64;
     let (mut lender, now) = lender();
-    let lent: f64 = settled(&mut lender, &[700.0; 6], now).iter().sum();
+    let lent: f64 = final_grants(&mut lender, &[700.0; 6], now).iter().sum();
     assert!(
-        (lent + part * IDLE_FRACTION - ALLOWED).abs() < 1.0,
-        "{lent} beside a silent one"
+        (lent + share * IDLE_FRACTION - ALLOWED).abs() < 1.0,
+        "{lent} with one silent entry"
     );
 
     let cut_off = FleetView {
@@ -75,21 +75,21 @@
     let mut granted = [0.0; 6];
     for _ in 0..4 {
         for (entry, granted) in granted.iter_mut().enumerate() {
-            *granted = lender.grant(ask(entry as u64, 700.0), cut_off, now);
+            *granted = lender.grant(request(entry as u64, 700.0), cut_off, now);
         }
     }
     let lent: f64 = granted.iter().sum();
     assert!(
-        (lent + part * CUT_OFF_FRACTION - ALLOWED).abs() < 1.0,
-        "{lent} beside a cut-off one"
+        (lent + share * CUT_OFF_FRACTION - ALLOWED).abs() < 1.0,
+        "{lent} with one cut-off entry"
     );
     let alone = Borrower::default();
     let used = alone.rate(ALLOWED, ENTRIES, HomeReach::CutOff, now);
-    assert!((used - part * CUT_OFF_FRACTION).abs() < 1e-9);
+    assert!((used - share * CUT_OFF_FRACTION).abs() < 1e-9);
 }
 
 #[test]
-fn a_lease_counts_from_when_it_was_asked_for() {
+fn a_lease_starts_at_its_request() {
     let mut borrower = Borrower::default();
     borrower.granted(100.0, Time::ZERO);
     assert_eq!(
@@ -120,11 +120,11 @@
         ..ALL
     };
     let least = ALLOWED * IDLE_FRACTION / ENTRIES as f64;
-    assert_eq!(lender.grant(ask(0, 700.0), cut_off, now), least);
+    assert_eq!(lender.grant(request(0, 700.0), cut_off, now), least);
 }
 
 #[test]
-fn a_new_home_lends_nobody_more_than_they_hold_until_old_leases_have_ended() {
+fn a_new_home_does_not_increase_grants_until_old_leases_have_expired() {
     let mut lender = Lender::new(Time::ZERO);
     let held = LeaseRequest {
         entry: 0,
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn demand_is_averaged_and_fades() {
+fn demand_is_averaged_and_decays() {
     let mut demand = Demand::default();
     for ms in 0..6_000 {
         demand.add(0.1, Time::ZERO.after_ms(ms));
@@ -160,20 +160,20 @@
     );
     assert!(
         demand.rate(now.after_ms(500)) < 1.0,
-        "a change shows at once"
+        "demand decays within half a second"
     );
 }
 
 proptest! {
-    /// Whatever entries ask for, in whatever order and with whatever pauses, what is lent together
-    /// with what unheard entries may use never exceeds the rate.
+    /// For any sequence of requests, the sum of the leases and of the rates that entries may use without one never
+    /// exceeds the rate limit.
     #[test]
     fn the_rate_is_never_exceeded(
-        asks in prop::collection::vec((0u64..7, 0.0f64..2_000.0, 0u64..1_500), 1..80),
+        requests in prop::collection::vec((0u64..7, 0.0f64..2_000.0, 0u64..1_500), 1..80),
     ) {
         let (mut lender, mut now) = lender();
         let mut borrowers = [Borrower::default(); ENTRIES];
-        for (entry, demand, wait) in asks {
+        for (entry, demand, wait) in requests {
             now = now.after_ms(wait);
             let held = borrowers[entry as usize].held(now);
             let rate = lender.grant(LeaseRequest { entry, demand, held }, ALL, now);
--- a/crates/gradeloft_policy/tests/support/mod.rs
+++ b/crates/gradeloft_policy/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Replicas for tests of where requests go.
+//! Replicas for tests of request routing.
 
 use gradeloft_policy::process::replicas::Listing;
 
-/// A model's replica with sixteen slots; its address follows from the length of its id.
+/// Returns the listing of a model's replica with sixteen slots, whose address is derived from the length of its id.
 pub(crate) fn listing(id: &str, version: Option<u64>) -> Listing {
     Listing {
         id: id.into(),
--- a/crates/gradeloft_policy/tests/warmup.rs
+++ b/crates/gradeloft_policy/tests/warmup.rs
@@ -1,38 +1,38 @@
-//! What cold replicas get of all entries together.
+//! Tests of the rate at which all entries together send requests to a cold replica.
 
 use std::time::Duration;
 
 use gradeloft_policy::{process::warmup, rendezvous};
 use rstest::rstest;
 
-/// Allowance for requests that are on their way when a second begins.
-const ON_THE_WAY: usize = 5;
+/// Allowance for requests that are in transit at the beginning of a second.
+const IN_TRANSIT: usize = 5;
 
-fn pauses(per_s: f64, entries: usize) -> Vec<Duration> {
+fn intervals(per_s: f64, entries: usize) -> Vec<Duration> {
     let names: Vec<u64> = (0..entries)
         .map(|it| rendezvous::hash(&it.to_le_bytes()))
         .collect();
-    let pause = |own: &u64| {
+    let interval = |own: &u64| {
         let others = names.iter().copied().filter(move |it| it != own);
         warmup::min_interval(per_s, 7, *own, others)
     };
-    names.iter().filter_map(pause).collect()
+    names.iter().filter_map(interval).collect()
 }
 
-/// Requests that one entry sends in a second which begins with one of them.
-fn in_a_second(pause: Duration) -> usize {
-    1 + (Duration::from_secs(1).as_micros() - 1).div_euclid(pause.as_micros()) as usize
+/// Returns the number of requests that one entry sends in a second that begins with a request.
+fn requests_per_second(interval: Duration) -> usize {
+    1 + (Duration::from_secs(1).as_micros() - 1).div_euclid(interval.as_micros()) as usize
 }
 
 #[rstest]
-fn all_entries_together_send_half_more_than_a_cold_replica_bears_at_most(
+fn all_entries_together_exceed_the_rate_of_a_cold_replica_by_at_most_half(
     #[values(1, 2, 6, 34, 547, 2_000)] entries: usize,
     #[values(2.0, 14.0, 18.0, 200.0)] per_s: f64,
 ) {
-    let pauses = pauses(per_s, entries);
-    let worst: usize = pauses.iter().map(|it| in_a_second(*it)).sum();
-    assert!(worst as f64 <= per_s * 1.5 + ON_THE_WAY as f64, "{worst}");
-    let mean: f64 = pauses.iter().map(|it| 1.0 / it.as_secs_f64()).sum();
+    let intervals = intervals(per_s, entries);
+    let worst: usize = intervals.iter().map(|it| requests_per_second(*it)).sum();
+    assert!(worst as f64 <= per_s * 1.5 + IN_TRANSIT as f64, "{worst}");
+    let mean: f64 = intervals.iter().map(|it| 1.0 / it.as_secs_f64()).sum();
     assert!((per_s * 0.99..=per_s * 1.01).contains(&mean), "{mean}");
 }
 
@@ -40,6 +40,6 @@
 #[case(0.0)]
 #[case(-1.0)]
 #[case(f64::NAN)]
-fn a_replica_that_bears_nothing_gets_nothing(#[case] per_s: f64) {
-    assert_eq!(pauses(per_s, 3), []);
+fn a_replica_with_an_invalid_or_zero_rate_gets_no_requests(#[case] per_s: f64) {
+    assert_eq!(intervals(per_s, 3), []);
 }
