--- a/crates/gradeloft_policy/tests/fetch.rs
+++ b/crates/gradeloft_policy/tests/fetch.rs
@@ -181,29 +181,25 @@
     let members = [OWN, 2, 3, 4];
     let mut fetch = fetch(&manifest, &members);
     let peer = fetch.add_source(true);
-    let own_chunks: Vec<usize> = (0..48)
+    let owned: Vec<usize> = (0..48)
         .filter(|it| fetch.owns(manifest.chunks[*it].digest))
         .collect();
-    let mut reading = Vec::new();
+    let mut sent = Vec::new();
     let mut read_twice = Vec::new();
     for number in 0..48_usize {
         let now = Time::ZERO.after_ms(45 * (number as u64 + 1));
-        if !own_chunks.contains(&number) {
+        if !owned.contains(&number) {
             fetch.add_held(peer, std::iter::once(number));
-        } else if let Some(ChunkRequest { idx, from, .. }) = reading.pop() {
+        } else if let Some(ChunkRequest { idx, from, .. }) = sent.pop() {
             fetch.arrived(idx, from, now);
         }
-        for request in requests(&mut fetch, now) {
-            match request.from {
-                Upstream::Owner(_) => {
-                    fetch.failed(request.idx, request.from, Failure::Pending, now)
-                }
-                Upstream::Store | Upstream::Origin if own_chunks.contains(&request.idx) => {
-                    reading.push(request)
-                }
-                Upstream::Store | Upstream::Origin => read_twice.push(request.idx),
+        for next in requests(&mut fetch, now) {
+            match next.from {
+                Upstream::Owner(_) => fetch.failed(next.idx, next.from, Failure::Pending, now),
+                Upstream::Store | Upstream::Origin if owned.contains(&next.idx) => sent.push(next),
+                Upstream::Store | Upstream::Origin => read_twice.push(next.idx),
                 Upstream::Source(_) => {
-                    fetch.arrived(request.idx, request.from, now);
+                    fetch.arrived(next.idx, next.from, now);
                 }
             }
         }
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -312,7 +312,7 @@
     received: f64,
     /// Index of the process from which this one receives the record.
     sender: Option<usize>,
-    next_attempt: Time,
+    retry_at: Time,
     /// Time at which the record was complete.
     complete_at: Option<Time>,
 }
@@ -329,13 +329,13 @@
             holders: Holders::default(),
             received: 0.0,
             sender: None,
-            next_attempt: Time::ZERO,
+            retry_at: Time::ZERO,
             complete_at: None,
         }
     }
 
     fn is_due(&self, now: Time) -> bool {
-        self.complete_at.is_none() && self.sender.is_none() && self.next_attempt <= now
+        self.complete_at.is_none() && self.sender.is_none() && self.retry_at <= now
     }
 }
 
@@ -400,9 +400,7 @@
                 .choose(&asker.holders, caller, self.now, &mut self.rng)
             {
                 Choice::Ask(peer) => self.request_from(idx, peer),
-                Choice::Wait(time) | Choice::Retry(time) => {
-                    asker.next_attempt = self.now.after(time)
-                }
+                Choice::Wait(time) | Choice::Retry(time) => asker.retry_at = self.now.after(time),
                 Choice::NoHolder => {}
             }
         }
