--- a/crates/gradeloft_policy/tests/capacity.rs
+++ b/crates/gradeloft_policy/tests/capacity.rs
@@ -15,15 +15,15 @@
 /// Entries per region, by column.
 const SIZES: [u16; 5] = [6, 11, 33, 110, 220];
 
-fn names(size: u16) -> Vec<u64> {
+fn name_hashes(size: u16) -> Vec<u64> {
     (0..size)
         .map(|it| rendezvous::hash(&it.to_le_bytes()))
         .collect()
 }
 
 /// Counts the entries of a region that act, depending on their own name and the others'.
-fn count(size: u16, does: impl Fn(u64, &[u64]) -> bool) -> usize {
-    let names = names(size);
+fn count(size: u16, acts: impl Fn(u64, &[u64]) -> bool) -> usize {
+    let names = name_hashes(size);
     let others = |own: u64| {
         names
             .iter()
@@ -33,7 +33,7 @@
     };
     names
         .iter()
-        .filter(|own| does(**own, &others(**own)))
+        .filter(|own| acts(**own, &others(**own)))
         .count()
 }
 
@@ -50,7 +50,7 @@
     })
 }
 
-fn far_askers(size: u16, ms: u64) -> usize {
+fn cross_region_askers(size: u16, ms: u64) -> usize {
     let address = |it: u16| Ipv4Addr::from(0x0a00_0000 + u32::from(it));
     let asks = |own: u16| {
         let mut holders = Holders::default();
@@ -94,9 +94,11 @@
     row("the same, 0.8 s after it", &|it| first_readers(it, 800));
     row("the same, at most", &|it| first_readers(it, 60_000));
     row("ask another region for records at first", &|it| {
-        far_askers(it, 0)
+        cross_region_askers(it, 0)
+    });
+    row("the same, a second later", &|it| {
+        cross_region_askers(it, 1_000)
     });
-    row("the same, a second later", &|it| far_askers(it, 1_000));
     row("send to an agent at once what changed", &informers);
     row("send to an agent of a region without entries", &stand_ins);
 }
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -327,23 +327,23 @@
         slack: 102.0,
         window_ms: 10_000,
     };
-    let (trouble_ms, kill_ms, back_ms, end_ms) = (20_000, 24_600, 25_100, 30_000);
+    let (overload_ms, kill_ms, back_ms, end_ms) = (20_000, 24_600, 25_100, 30_000);
     let mut budgets = vec![Budget::default(); 7];
     let (mut requests, mut repeats) = (0, 0);
     // Each entry receives a request every 25 ms and would retry every second one.
     for now_ms in (0..end_ms).step_by(25) {
         for (entry, budget) in budgets.iter_mut().enumerate() {
-            let reborn = entry < killed && kill_ms <= now_ms;
-            if reborn && now_ms < back_ms {
+            let restarted = entry < killed && kill_ms <= now_ms;
+            if restarted && now_ms < back_ms {
                 *budget = Budget::default();
                 continue;
             }
             // A process's clock starts with the process.
-            let now = Time::ZERO.after_ms(if reborn { now_ms - back_ms } else { now_ms });
+            let now = Time::ZERO.after_ms(if restarted { now_ms - back_ms } else { now_ms });
             budget.request(bounds, now);
-            let troubled = trouble_ms <= now_ms;
-            requests += u32::from(troubled);
-            if troubled && now_ms % 50 == 0 && budget.repeat(bounds, Some(7), now) {
+            let overloaded = overload_ms <= now_ms;
+            requests += u32::from(overloaded);
+            if overloaded && now_ms % 50 == 0 && budget.repeat(bounds, Some(7), now) {
                 repeats += 1;
             }
         }
