--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -87,7 +87,7 @@
     /// The entry at a position among all, before the replicas of a load.
     pub fn new(position: usize, load: &Load) -> Entry {
         let mut replicas = Replicas::default();
-        let keys = (0..load.replicas).map(|it| replicas.list(listing(it, load)));
+        let keys = (0..load.replicas).map(|it| replicas.apply_listing(listing(it, load)));
         let keys = keys.collect();
         Entry {
             position,
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -305,7 +305,7 @@
     let now = entry.node.clock.now();
     let mut replicas = entry.replicas.borrow_mut();
     if failure == Failure::Misdirected {
-        replicas.replaced(replica);
+        replicas.remove_replaced(replica);
     } else if failure.implicates_replica() {
         replicas.failed(replica, now);
     }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -326,7 +326,7 @@
         let others = self
             .roster
             .borrow()
-            .ready(settings.address, &settings.zone, fits, now);
+            .offered(settings.address, &settings.zone, fits, now);
         let accepts = self.presence() == Presence::Ready && fits(&settings.zone);
         let own = accepts.then_some(settings.address);
         let all = own.into_iter().chain(others);
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -208,7 +208,7 @@
     }
 
     fn apply_report(&self, address: SocketAddr, report: Report) {
-        let ended = self.replicas.borrow_mut().report_at(address, report);
+        let ended = self.replicas.borrow_mut().apply_report(address, report);
         if !ended.is_empty() {
             self.begin_warmup(address);
         }
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -205,7 +205,7 @@
                 }
                 let near = self.node.near(&listing.zone);
                 let warmup_left_ms = listing.warmup_left_ms;
-                let key = replicas.list(listing);
+                let key = replicas.apply_listing(listing);
                 if let Some(replica) = replicas.get_mut(key) {
                     replica.near = near;
                     replica.set_warmup_left(warmup_left_ms, self.node.clock.now());
--- a/crates/gradeloft_gateway/src/node/ages.rs
+++ b/crates/gradeloft_gateway/src/node/ages.rs
@@ -59,7 +59,10 @@
     /// Looks whether the process stood still a moment ago, or its machine was suspended: before anything is
     /// acted on, as what a process believed before it stood still is old by then.
     pub fn detect_stall(&self) {
-        self.disturbances.borrow_mut().ticks.seen(self.clock.now());
+        self.disturbances
+            .borrow_mut()
+            .ticks
+            .note_event(self.clock.now());
         let suspended = self.timers.look();
         if !suspended.is_zero()
             && let Some(log) = self.logs.line(Topic::State)
@@ -110,8 +113,8 @@
     pub fn receive_ages(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
         let now = self.clock.now();
         let mut disturbances = self.disturbances.borrow_mut();
-        disturbances.ticks.seen(now);
-        disturbances.datagrams.seen(now);
+        disturbances.ticks.note_event(now);
+        disturbances.datagrams.note_event(now);
         let fresh = disturbances.ticks.fresh(now);
         if fresh {
             self.informed_at.set(Some(now));
@@ -146,7 +149,7 @@
         let interrupted = self.reading.borrow()[index(table)] == Reading::Interrupted;
         self.set_after_interruption(table, interrupted);
         let disturbances = self.disturbances.borrow();
-        let gap = |it: &Gaps| it.within(asked, answered);
+        let gap = |it: &Gaps| it.gap_since(asked, answered);
         let disturbed = interrupted || gap(&disturbances.ticks) || gap(&disturbances.datagrams);
         if !disturbed {
             self.informed_at.set(Some(answered));
@@ -159,7 +162,7 @@
             disturbed,
         };
         let offsets = update.records.iter().map(|it| it.offset);
-        self.ages.borrow_mut()[index(table)].read(offsets, read);
+        self.ages.borrow_mut()[index(table)].note_read(offsets, read);
     }
 }
 
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -274,7 +274,7 @@
         routes: Vec::new(),
         services: vec![service("m", None), service("o", Some(replica(1)))],
         keys: HashMap::new(),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 1,
             body_bytes: 1,
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -428,7 +428,7 @@
         {
             let mut replicas = entry.replicas.borrow_mut();
             for idx in 0..BUSY {
-                let key = replicas.list(busy(idx));
+                let key = replicas.apply_listing(busy(idx));
                 replicas.get_mut(key).unwrap().own_requests = 8;
             }
         }
@@ -495,7 +495,7 @@
             version: Some(1),
             warmup_left_ms: 0,
         };
-        let key = entry.replicas.borrow_mut().list(far(5));
+        let key = entry.replicas.borrow_mut().apply_listing(far(5));
         let others = || entry.replicas.borrow().get(key).unwrap().other_requests;
         until(|| async { others() == 8 }).await;
         let hash = entry.replicas.borrow().get(key).unwrap().hash();
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -231,7 +231,7 @@
         max_attempts: shape.max_attempts,
         priority: 1,
         public: false,
-        homes: shape.homes.map_or_else(AllowedRegions::default, |it| {
+        allowed_regions: shape.homes.map_or_else(AllowedRegions::default, |it| {
             AllowedRegions::of([it.to_owned()])
         }),
     };
@@ -248,7 +248,7 @@
             origin: None,
         }],
         keys: HashMap::from([("secret".to_owned(), Rc::from("rangers"))]),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 4 << 10,
             body_bytes: shape.body_bytes,
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -64,7 +64,7 @@
     /// Whether requests need no API key.
     pub public: bool,
     /// Regions in which its requests may be served.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
@@ -164,7 +164,7 @@
     /// Team of each API key. Empty when requests need no key.
     pub keys: HashMap<String, Rc<str>>,
     /// Regions in which requests of a team may be served, for teams with such a restriction.
-    pub homes: HashMap<Rc<str>, AllowedRegions>,
+    pub allowed_regions: HashMap<Rc<str>, AllowedRegions>,
     /// Limits for requests of callers.
     pub limits: CallerLimits,
 }
@@ -235,9 +235,9 @@
 
     /// Returns the regions in which a team's requests on a route may be served.
     pub fn allowed_regions(&self, route: &Route, team: Option<&str>) -> AllowedRegions {
-        match team.and_then(|it| self.document.homes.get(it)) {
-            Some(homes) => route.homes.intersect(homes),
-            None => route.homes.clone(),
+        match team.and_then(|it| self.document.allowed_regions.get(it)) {
+            Some(regions) => route.allowed_regions.intersect(regions),
+            None => route.allowed_regions.clone(),
         }
     }
 
@@ -247,8 +247,8 @@
             return AllowedRegions::default();
         };
         let routes = routes.iter().map(|&idx| &self.document.routes[idx]);
-        routes.fold(AllowedRegions::default(), |homes, it| {
-            homes.intersect(&it.homes)
+        routes.fold(AllowedRegions::default(), |regions, it| {
+            regions.intersect(&it.allowed_regions)
         })
     }
 
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -16,11 +16,11 @@
 /// use gradeloft_policy::{clock::Time, process::gaps::Gaps};
 /// let at = |ms| Time::ZERO.after_ms(ms);
 /// let mut ticks = Gaps::new(1_000);
-/// ticks.seen(at(100));
-/// assert!(!ticks.within(at(90), at(1_100)));
-/// assert!(ticks.within(at(90), at(1_101)), "it may go on");
-/// ticks.seen(at(4_000));
-/// assert!(ticks.within(at(3_990), at(4_010)));
+/// ticks.note_event(at(100));
+/// assert!(!ticks.gap_since(at(90), at(1_100)));
+/// assert!(ticks.gap_since(at(90), at(1_101)), "it may go on");
+/// ticks.note_event(at(4_000));
+/// assert!(ticks.gap_since(at(3_990), at(4_010)));
 /// assert!(ticks.fresh(at(4_250)) && !ticks.fresh(at(4_249)));
 /// assert_eq!(ticks.last_end(at(4_900)), Some(at(4_000)));
 /// assert_eq!(ticks.last_end(at(6_000)), Some(at(6_000)));
@@ -46,8 +46,8 @@
     }
 
     /// Records an event.
-    pub fn seen(&mut self, now: Time) {
-        if self.recognised().is_some_and(|it| it < now) {
+    pub fn note_event(&mut self, now: Time) {
+        if self.gap_start().is_some_and(|it| it < now) {
             self.ended = Some(now);
         }
         self.last = Some(now);
@@ -56,14 +56,14 @@
     /// Whether a gap ended at or after `asked`, or is in progress and was first recognised after
     /// `asked`. A gap that was recognised earlier and still lasts does not count: a process without
     /// peers receives nothing.
-    pub fn within(&self, asked: Time, now: Time) -> bool {
+    pub fn gap_since(&self, asked: Time, now: Time) -> bool {
         let goes_on = |it: Time| asked < it && it < now;
-        self.ended.is_some_and(|it| asked <= it) || self.recognised().is_some_and(goes_on)
+        self.ended.is_some_and(|it| asked <= it) || self.gap_start().is_some_and(goes_on)
     }
 
     /// Returns when the last gap ended, which is `now` while a gap is in progress.
     pub fn last_end(&self, now: Time) -> Option<Time> {
-        let goes_on = self.recognised().is_some_and(|it| it < now);
+        let goes_on = self.gap_start().is_some_and(|it| it < now);
         if goes_on { Some(now) } else { self.ended }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns the time from which on the pause since the last event counts as a gap.
-    fn recognised(&self) -> Option<Time> {
+    fn gap_start(&self) -> Option<Time> {
         self.last.map(|it| it.after_ms(self.limit_ms))
     }
 }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -344,7 +344,7 @@
     }
 
     /// Applies a listing of a replica. A replica that restarted gets a new key.
-    pub fn list(&mut self, listing: Listing) -> ReplicaKey {
+    pub fn apply_listing(&mut self, listing: Listing) -> ReplicaKey {
         let Some(&key) = self.by_id.get(&listing.id) else {
             let starts = Starts::new(listing.born);
             return self.insert(Replica::new(listing, starts));
@@ -418,7 +418,7 @@
     /// Applies the report of the agent of the replica at `address`; returns the keys of starts that
     /// have ended according to it. A report that is older than the known one, or concerns an ended
     /// start, changes nothing.
-    pub fn report_at(&mut self, address: SocketAddr, report: Report) -> Vec<ReplicaKey> {
+    pub fn apply_report(&mut self, address: SocketAddr, report: Report) -> Vec<ReplicaKey> {
         let keys = self.at(address);
         let mut ended = Vec::new();
         for key in keys {
@@ -531,7 +531,7 @@
     }
 
     /// Removes a replica whose address now belongs to another one.
-    pub fn replaced(&mut self, key: ReplicaKey) {
+    pub fn remove_replaced(&mut self, key: ReplicaKey) {
         if self.arena.contains_key(key) {
             self.remove(key);
         }
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -15,7 +15,7 @@
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
 /// Most entries in one answer; the platform reads no more.
-const MAX_NAMED: usize = 64;
+const MAX_OFFERED: usize = 64;
 /// Number of entries in the caller's availability zone that are enough to offer few others. Callers
 /// choose at random among the offered entries, so each of these gets its share of the zone's
 /// requests. A request through another zone crosses twice a link that requests and weights share.
@@ -233,7 +233,7 @@
     /// Returns the entries to offer to callers in `zone`, without the one at `own`: those of the
     /// zone first, then as many others as needed, selected by `own` so that all of them are offered
     /// equally often. Only availability zones accepted by `allow` are used.
-    pub fn ready(
+    pub fn offered(
         &self,
         own: Ipv4Addr,
         zone: &str,
@@ -242,7 +242,7 @@
     ) -> Vec<Ipv4Addr> {
         let mut near: Vec<Ipv4Addr> = self.serving(|it| it == zone && allow(it), now).collect();
         near.sort_unstable();
-        near.truncate(MAX_NAMED - FALLBACKS);
+        near.truncate(MAX_OFFERED - FALLBACKS);
         let others: Vec<Ipv4Addr> = self.serving(|it| it != zone && allow(it), now).collect();
         let hashes: Vec<u64> = others.iter().map(hash).collect();
         let missing = ENOUGH_NEAR.saturating_sub(near.len()).max(FALLBACKS);
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that a read brought the records at `offsets`.
-    pub fn read(&mut self, offsets: impl Iterator<Item = u64>, read: Read) {
+    pub fn note_read(&mut self, offsets: impl Iterator<Item = u64>, read: Read) {
         let bound = self.lower_bound(read);
         for offset in offsets {
             let earliest = self
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -52,7 +52,7 @@
 };
 
 fn listed(replicas: &mut Replicas, id: &str) -> ReplicaKey {
-    replicas.list(listing(id, Some(1)))
+    replicas.apply_listing(listing(id, Some(1)))
 }
 
 fn choose(replicas: &Replicas, wish: Requirements<'_>) -> Option<ReplicaKey> {
--- a/crates/gradeloft_policy/tests/ages.rs
+++ b/crates/gradeloft_policy/tests/ages.rs
@@ -32,7 +32,7 @@
 /// A copy of a table with five records, which was last read whole at one second, and confirmed.
 fn steady() -> WriteTimes {
     let mut ages = WriteTimes::default();
-    ages.read(0..5, read(900, 1_000));
+    ages.note_read(0..5, read(900, 1_000));
     ages.confirm(5, at(900));
     ages
 }
@@ -40,7 +40,7 @@
 #[test]
 fn what_is_read_in_steady_reading_counts_from_the_read() {
     let mut ages = steady();
-    ages.read(5..6, read(1_050, 2_900));
+    ages.note_read(5..6, read(1_050, 2_900));
     assert_eq!(ages.effective_since(5), Some(at(2_900)));
 }
 
@@ -50,7 +50,7 @@
 #[case::disturbed(Read { disturbed: true, ..read(1_050, 1_100) })]
 fn what_is_read_after_an_interruption_counts_from_when_the_copy_was_whole(#[case] read: Read) {
     let mut ages = steady();
-    ages.read(5..6, read);
+    ages.note_read(5..6, read);
     assert_eq!(ages.effective_since(5), Some(at(900)));
     assert_eq!(ages.known_since(5), None, "only what peers say is known");
 }
@@ -64,20 +64,20 @@
     #[case] long: Read,
 ) {
     let mut ages = steady();
-    ages.read(5..6, long);
+    ages.note_read(5..6, long);
     ages.confirm(6, at(1_050));
     assert_eq!(ages.effective_since(5), Some(at(900)));
-    ages.read(6..7, read(2_450, 2_500));
+    ages.note_read(6..7, read(2_450, 2_500));
     ages.confirm(7, at(2_450));
     assert_eq!(ages.effective_since(6), Some(at(1_050)));
-    ages.read(7..8, read(2_550, 3_500));
+    ages.note_read(7..8, read(2_550, 3_500));
     assert_eq!(ages.effective_since(7), Some(at(3_500)));
 }
 
 #[test]
 fn what_a_read_waited_for_was_not_there_when_it_was_asked() {
     let mut ages = steady();
-    ages.read(
+    ages.note_read(
         5..6,
         Read {
             bytes: 900_000,
@@ -85,7 +85,7 @@
         },
     );
     ages.confirm(6, at(1_050));
-    ages.read(6..7, read(2_450, 2_751));
+    ages.note_read(6..7, read(2_450, 2_751));
     assert_eq!(ages.effective_since(6), Some(at(2_450)));
 }
 
@@ -95,7 +95,7 @@
     ages.note_peer_complete(5, 300, at(3_000));
     // This one goes beyond the record, and says nothing of it.
     ages.note_peer_complete(6, 0, at(4_000));
-    ages.read(5..6, read(4_500, 4_600));
+    ages.note_read(5..6, read(4_500, 4_600));
     assert_eq!(ages.effective_since(5), Some(at(2_700)));
     assert_eq!(ages.complete_until(6), Some(at(4_000)));
 }
@@ -103,7 +103,7 @@
 #[test]
 fn a_copy_that_was_never_whole_counts_from_the_read() {
     let mut ages = WriteTimes::default();
-    ages.read(0..1, read(10_000, 10_100));
+    ages.note_read(0..1, read(10_000, 10_100));
     assert_eq!(ages.effective_since(0), Some(at(10_100)));
 }
 
@@ -161,8 +161,8 @@
     #[case] within: bool,
 ) {
     let mut gaps = Gaps::new(1_000);
-    events.iter().for_each(|it| gaps.seen(at(*it)));
-    assert_eq!(gaps.within(at(asked), at(now)), within);
+    events.iter().for_each(|it| gaps.note_event(at(*it)));
+    assert_eq!(gaps.gap_since(at(asked), at(now)), within);
 }
 
 proptest! {
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -35,7 +35,7 @@
         max_attempts: 1,
         priority: 0,
         public,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -45,7 +45,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k1".to_owned(), Rc::from("night-watch"))]),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 1000,
             body_bytes: 1000,
@@ -442,14 +442,14 @@
     roster.receive(near, word(1, "z", State::Ready), now);
     roster.receive(gone, word(1, "z", State::Leaving), now);
     let own = Ipv4Addr::new(10, 0, 0, 9);
-    assert_eq!(roster.ready(own, "z", |_| true, now), vec![near, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, now), vec![near, far]);
     let later = now.after_ms(2_000);
     roster.receive(far, word(1, "y", State::Ready), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![far]);
     // A word from before a restart does not count while the new start speaks.
     roster.receive(gone, word(5, "z", State::Ready), later);
     roster.receive(gone, word(1, "z", State::Leaving), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![gone, far]);
     assert_eq!(roster.peak_size(), 4);
 }
 
--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/homes.rs
@@ -27,7 +27,7 @@
         max_attempts: 1,
         priority: 0,
         public: false,
-        homes: homes(regions),
+        allowed_regions: homes(regions),
     }
 }
 
@@ -37,7 +37,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k".to_owned(), Rc::from("t"))]),
-        homes: HashMap::from([(Rc::from("t"), homes(team))]),
+        allowed_regions: HashMap::from([(Rc::from("t"), homes(team))]),
         limits: CallerLimits {
             head_bytes: 1,
             body_bytes: 1,
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -36,11 +36,11 @@
 #[test]
 fn only_replicas_with_weights_that_are_new_enough_and_not_leaving_get_requests() {
     let mut replicas = Replicas::default();
-    replicas.list(listing("a", None));
-    let old = replicas.list(listing("bb", Some(1)));
+    replicas.apply_listing(listing("a", None));
+    let old = replicas.apply_listing(listing("bb", Some(1)));
     let mut leaving = listing("ccc", Some(2));
     leaving.draining = true;
-    replicas.list(leaving);
+    replicas.apply_listing(leaving);
     let now = Time::ZERO;
     assert_eq!(choose(&replicas, WISH, now), Some(old));
     let strict = Requirements {
@@ -53,7 +53,7 @@
 #[test]
 fn a_replica_that_is_about_to_load_gets_no_requests_until_its_agent_falls_silent() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
+    let key = replicas.apply_listing(listing("a", Some(1)));
     let report = Report {
         born: None,
         version: Some(1),
@@ -62,7 +62,7 @@
         at: Time::ZERO,
     };
     let address = replicas.get(key).unwrap().listing.address;
-    replicas.report_at(address, report);
+    replicas.apply_report(address, report);
     assert_eq!(choose(&replicas, WISH, Time::ZERO), None);
     assert_eq!(
         choose(&replicas, WISH, Time::ZERO.after_ms(4_000)),
@@ -73,7 +73,7 @@
 #[test]
 fn a_replica_behind_a_full_link_gets_requests_only_when_nothing_else_has_room() {
     let mut replicas = Replicas::default();
-    let behind = replicas.list(listing("a", Some(1)));
+    let behind = replicas.apply_listing(listing("a", Some(1)));
     let report = Report {
         born: None,
         version: Some(1),
@@ -81,8 +81,8 @@
         congested: true,
         at: Time::ZERO,
     };
-    replicas.report_at(replicas.get(behind).unwrap().listing.address, report);
-    let busy = replicas.list(Listing {
+    replicas.apply_report(replicas.get(behind).unwrap().listing.address, report);
+    let busy = replicas.apply_listing(Listing {
         address: "10.0.0.9:1".parse().unwrap(),
         ..listing("b", Some(1))
     });
@@ -95,8 +95,8 @@
 #[test]
 fn requests_that_have_not_begun_weigh_more_than_free_slots() {
     let mut replicas = Replicas::default();
-    let busy = replicas.list(listing("a", Some(1)));
-    let fresh = replicas.list(listing("bb", Some(1)));
+    let busy = replicas.apply_listing(listing("a", Some(1)));
+    let fresh = replicas.apply_listing(listing("bb", Some(1)));
     replicas.get_mut(busy).unwrap().own_requests = 6;
     let empty = replicas.get_mut(fresh).unwrap();
     (empty.own_requests, empty.own_waiting) = (4, 4);
@@ -106,8 +106,8 @@
 #[test]
 fn a_stream_goes_on_at_the_version_that_began_it() {
     let mut replicas = Replicas::default();
-    let same = replicas.list(listing("a", Some(1)));
-    replicas.list(listing("bb", Some(2)));
+    let same = replicas.apply_listing(listing("a", Some(1)));
+    replicas.apply_listing(listing("bb", Some(2)));
     replicas.get_mut(same).unwrap().own_requests = 12;
     let wish = Requirements {
         resumed_version: Some(1),
@@ -119,7 +119,7 @@
 #[test]
 fn full_replicas_are_refused_rather_than_queued_at() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
+    let key = replicas.apply_listing(listing("a", Some(1)));
     replicas.get_mut(key).unwrap().own_requests = 18;
     assert_eq!(choose(&replicas, WISH, Time::ZERO), None);
 }
@@ -127,13 +127,13 @@
 #[test]
 fn a_census_says_why_no_replica_gets_a_request() {
     let mut replicas = Replicas::default();
-    let full = replicas.list(listing("a", Some(2)));
+    let full = replicas.apply_listing(listing("a", Some(2)));
     replicas.get_mut(full).unwrap().own_requests = 18;
-    let unbegun = replicas.list(listing("bb", Some(2)));
+    let unbegun = replicas.apply_listing(listing("bb", Some(2)));
     replicas.get_mut(unbegun).unwrap().own_waiting = 8;
-    replicas.list(listing("ccc", Some(1)));
-    replicas.list(listing("dddd", None));
-    let tried = replicas.list(listing("eeeee", Some(2)));
+    replicas.apply_listing(listing("ccc", Some(1)));
+    replicas.apply_listing(listing("dddd", None));
+    let tried = replicas.apply_listing(listing("eeeee", Some(2)));
     let wish = Requirements {
         min_version: Some(2),
         tried: &[tried],
@@ -147,8 +147,8 @@
 #[test]
 fn suspicion_passes_and_never_empties_a_service() {
     let mut replicas = Replicas::default();
-    let one = replicas.list(listing("a", Some(1)));
-    let two = replicas.list(listing("bb", Some(1)));
+    let one = replicas.apply_listing(listing("a", Some(1)));
+    let two = replicas.apply_listing(listing("bb", Some(1)));
     replicas.failed(one, Time::ZERO);
     assert_eq!(choose(&replicas, WISH, Time::ZERO), Some(two));
     replicas.failed(two, Time::ZERO);
@@ -159,15 +159,15 @@
 #[test]
 fn a_removal_after_an_outage_waits_and_is_undone_by_a_new_entry() {
     let mut replicas = Replicas::default();
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     let doubtful = StoreTrust::Doubtful(Time::ZERO.after_ms(2_000));
     replicas.unlist("a", doubtful);
     assert!(replicas.expire(Time::ZERO.after_ms(1_999)).is_empty());
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     assert!(replicas.expire(Time::ZERO.after_ms(9_000)).is_empty());
     replicas.unlist("a", doubtful);
     assert_eq!(replicas.expire(Time::ZERO.after_ms(2_000)).len(), 1);
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     replicas.unlist("a", StoreTrust::Sound);
     assert!(replicas.is_empty());
 }
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -224,7 +224,7 @@
     for last in 21..=120 {
         roster.receive_relayed(address(last), word("elsewhere"), now);
     }
-    let named = |own| roster.ready(Ipv4Addr::new(10, 0, 1, own), "z", |_| true, now);
+    let named = |own| roster.offered(Ipv4Addr::new(10, 0, 1, own), "z", |_| true, now);
     let first = named(1);
     assert_eq!(first[..20], (1..=20).map(address).collect::<Vec<_>>());
     assert_eq!(first.len(), 22);
@@ -249,7 +249,7 @@
     for last in 4..=30 {
         roster.receive_relayed(address(last), word("elsewhere"), now);
     }
-    let named = roster.ready(address(99), "z", |_| true, now);
+    let named = roster.offered(address(99), "z", |_| true, now);
     assert_eq!(named.len(), 8);
     assert_eq!(named[..3], [1, 2, 3].map(address));
 }
--- a/crates/gradeloft_policy/tests/restarts.rs
+++ b/crates/gradeloft_policy/tests/restarts.rs
@@ -31,9 +31,9 @@
 #[test]
 fn nothing_that_was_known_of_the_start_before_holds() {
     let mut replicas = Replicas::default();
-    let before = replicas.list(started(1, Some(3)));
+    let before = replicas.apply_listing(started(1, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
-    replicas.report_at(address, report(1, Some(4)));
+    replicas.apply_report(address, report(1, Some(4)));
     replicas.failed(before, NOW);
     let known = replicas.get_mut(before).unwrap();
     (
@@ -44,7 +44,7 @@
     ) = (5, 2, 7, 4);
     known.slowness.observe(100.0, 400.0);
     let hash = known.hash();
-    let after = replicas.list(started(2, None));
+    let after = replicas.apply_listing(started(2, None));
     assert_ne!(before, after);
     assert!(replicas.get(before).is_none());
     let known = replicas.get(after).unwrap();
@@ -60,13 +60,13 @@
 #[test]
 fn an_agent_tells_of_a_restart_before_the_platform_does() {
     let mut replicas = Replicas::default();
-    let before = replicas.list(started(1, Some(3)));
+    let before = replicas.apply_listing(started(1, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
-    assert_eq!(replicas.report_at(address, report(2, None)), [before]);
+    assert_eq!(replicas.apply_report(address, report(2, None)), [before]);
     let after = replicas.key("a").unwrap();
     assert_eq!(replicas.get(after).unwrap().version(NOW), None);
     // The platform's word on the new start is no further restart.
-    assert_eq!(replicas.list(started(2, Some(5))), after);
+    assert_eq!(replicas.apply_listing(started(2, Some(5))), after);
     assert_eq!(replicas.get(after).unwrap().version(NOW), Some(5));
 }
 
@@ -79,12 +79,12 @@
     #[case] version: Option<u64>,
 ) {
     let mut replicas = Replicas::default();
-    let key = replicas.list(started(1, Some(3)));
+    let key = replicas.apply_listing(started(1, Some(3)));
     let address = replicas.get(key).unwrap().listing.address;
-    let key = replicas.list(started(2, None));
+    let key = replicas.apply_listing(started(2, None));
     assert!(
         replicas
-            .report_at(address, report(born, Some(9)))
+            .apply_report(address, report(born, Some(9)))
             .is_empty()
     );
     assert_eq!(replicas.get(key).unwrap().version(NOW), version);
@@ -93,39 +93,43 @@
 #[test]
 fn a_clock_that_was_set_back_hides_no_restart() {
     let mut replicas = Replicas::default();
-    let before = replicas.list(started(1_000, Some(3)));
+    let before = replicas.apply_listing(started(1_000, Some(3)));
     let address = replicas.get(before).unwrap().listing.address;
-    let after = replicas.list(started(400, None));
+    let after = replicas.apply_listing(started(400, None));
     assert_ne!(before, after);
     assert!(
         replicas
-            .report_at(address, report(1_000, Some(3)))
+            .apply_report(address, report(1_000, Some(3)))
             .is_empty()
     );
     assert_eq!(replicas.get(after).unwrap().version(NOW), None);
-    assert!(replicas.report_at(address, report(400, Some(4))).is_empty());
+    assert!(
+        replicas
+            .apply_report(address, report(400, Some(4)))
+            .is_empty()
+    );
     assert_eq!(replicas.get(after).unwrap().version(NOW), Some(4));
 }
 
 #[test]
 fn replicas_that_do_not_say_when_they_started_are_told_apart_by_id_only() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
-    assert_eq!(replicas.list(listing("a", Some(2))), key);
-    assert_eq!(replicas.list(started(5, Some(2))), key);
-    assert_eq!(replicas.list(listing("a", Some(2))), key);
-    assert_ne!(replicas.list(started(6, None)), key);
+    let key = replicas.apply_listing(listing("a", Some(1)));
+    assert_eq!(replicas.apply_listing(listing("a", Some(2))), key);
+    assert_eq!(replicas.apply_listing(started(5, Some(2))), key);
+    assert_eq!(replicas.apply_listing(listing("a", Some(2))), key);
+    assert_ne!(replicas.apply_listing(started(6, None)), key);
 }
 
 #[test]
 fn a_replica_that_is_listed_for_another_service_leaves_the_one_before() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
+    let key = replicas.apply_listing(listing("a", Some(1)));
     let moved = Listing {
         service: "other".into(),
         ..listing("a", Some(1))
     };
-    assert_eq!(replicas.list(moved), key);
+    assert_eq!(replicas.apply_listing(moved), key);
     assert_eq!(
         (replicas.of("m").count(), replicas.of("other").count()),
         (0, 1)
