--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -32,7 +32,7 @@
     /// Expires old state, and recomputes what depends on other entries' reports.
     pub(super) fn maintain(self: &Rc<Entry>) {
         let now = self.node.clock.now();
-        self.node.show_behind();
+        self.node.update_behind_metric();
         self.log_freshness();
         self.node.log_traffic();
         for id in self.replicas.borrow_mut().expire(now) {
@@ -43,7 +43,7 @@
         let replicas = self.replicas.borrow();
         self.pool.expire(|it| replicas.get(it).is_some());
         drop(replicas);
-        self.forget_starts();
+        self.prune_restart_tokens();
         self.maintain_quarantine(now);
         let seeds = self.node.settings().seeds.clone();
         self.roster
