--- a/crates/gradeloft_gateway/src/entry/abort.rs
+++ b/crates/gradeloft_gateway/src/entry/abort.rs
@@ -86,6 +86,6 @@
     /// Returns for how long this process has been shutting down, in milliseconds; -1 if it is not.
     pub(super) fn leaving_ms(&self) -> i64 {
         let since = |it: Drain| self.node.clock.now().since(it.since).as_millis() as i64;
-        self.leave.get().map_or(-1, since)
+        self.drain.get().map_or(-1, since)
     }
 }
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -140,7 +140,7 @@
 /// Returns the time until which a connection may stay idle.
 fn idle_deadline(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
     let until = since.after_ms(limits.idle_ms);
-    let leave = entry.leave.get();
+    let leave = entry.drain.get();
     leave.map_or(until, |it| until.min(it.idle_until(since)))
 }
 
@@ -173,7 +173,7 @@
                 Ok(_) => {}
             },
             () = entry.node.timers.sleep_until(until) => {}
-            () = entry.leave_started.notified(), if begun.is_none() => {}
+            () = entry.drain_started.notified(), if begun.is_none() => {}
         }
     }
 }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -150,7 +150,7 @@
         Ok((route, team)) => {
             let allowed_regions = config.allowed_regions(&route, team.as_deref());
             let job = new_job(entry, route, team, allowed_regions, received, keep_alive);
-            match entry.leave.get() {
+            match entry.drain.get() {
                 Some(leave) if entry.others_accept_callers() || !leave.accepts(job.deadline) => {
                     Err(Box::new((Refusal::Leaving, job.received)))
                 }
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -113,7 +113,7 @@
             tokio::select! {
                 () = actix_rt::time::sleep(ROUND) => round += 1,
                 // Peers learn of a drain at once.
-                () = self.leave_started.notified() => round = 0,
+                () = self.drain_started.notified() => round = 0,
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -15,8 +15,8 @@
 //! - [`registration`]: rows in the table of entries, by which later entries find their peers.
 //! - [`relay`]: relaying of a replica's response to the caller.
 //! - [`selection`]: selection of a replica, and waiting for capacity.
-//! - [`staleness`]: the uncertainty of load information, and retry times for callers.
 //! - [`table_updates`]: changes of the platform's tables, applied to the entry's state.
+//! - [`uncertainty`]: the uncertainty of load information, and retry times for callers.
 
 pub mod abort;
 pub mod attempt;
@@ -33,8 +33,8 @@
 pub mod registration;
 pub mod relay;
 pub mod selection;
-pub mod staleness;
 pub mod table_updates;
+pub mod uncertainty;
 
 use std::{
     cell::{Cell, RefCell},
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, staleness::Demands};
+use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, uncertainty::Demands};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -134,7 +134,7 @@
     /// Connections to replicas.
     pub pool: Pool,
     /// Notified when the process starts to drain.
-    pub leave_started: Notify,
+    pub drain_started: Notify,
     /// Notified when a replica may have room for one more request.
     pub room_freed: Notify,
     /// Other entries.
@@ -176,7 +176,7 @@
     /// Number of these that only the caller still has to close.
     closing_connections: Cell<usize>,
     /// Set once the entry drains.
-    leave: Cell<Option<Drain>>,
+    drain: Cell<Option<Drain>>,
 }
 
 /// A running entry.
@@ -197,7 +197,7 @@
             node,
             config: RefCell::default(),
             replicas: RefCell::default(),
-            leave_started: Notify::new(),
+            drain_started: Notify::new(),
             room_freed: Notify::new(),
             roster: RefCell::default(),
             weights: RefCell::default(),
@@ -218,7 +218,7 @@
             quarantine: QuarantineState::default(),
             open_connections: Cell::default(),
             closing_connections: Cell::default(),
-            leave: Cell::default(),
+            drain: Cell::default(),
         });
         entry.add_seeds();
         let observing = Rc::downgrade(&entry);
@@ -520,9 +520,9 @@
         let node = &entry.node;
         node.leaving.set(true);
         let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
-        entry.leave.set(Some(leave));
+        entry.drain.set(Some(leave));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
-        entry.leave_started.notify_waiters();
+        entry.drain_started.notify_waiters();
         while !leave.finished(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(DRAIN_POLL).await;
         }
@@ -532,7 +532,7 @@
         cut
     }
 
-    /// The entry.
+    /// Returns the entry's state.
     pub fn entry(&self) -> &Rc<Entry> {
         &self.entry
     }
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -133,7 +133,7 @@
     }
 
     async fn write_suspects(self: Rc<Entry>, requests: Vec<Fingerprint>, records: Vec<Put>) {
-        self.node.count_call(Table::Entries);
+        self.node.count_store_call(Table::Entries);
         let written = self.node.platform.store.write(records).await;
         self.quarantine.write_in_progress.set(false);
         let Err(fault) = written else {
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -92,7 +92,7 @@
     }
 
     async fn write_rows(&self, rows: &[(Ipv4Addr, String)]) -> Result<(), Fault> {
-        self.node.count_call(Table::Entries);
+        self.node.count_store_call(Table::Entries);
         let rows = rows.iter().map(|(address, zone)| Put {
             key: address.to_string(),
             value: Some(Bytes::from(zone.clone())),
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -146,7 +146,7 @@
     speed: Option<&'a Speed>,
     now: Time,
 ) -> Requirements<'a> {
-    let view = entry.staleness(&job.service, now);
+    let view = entry.load_uncertainty(&job.service, now);
     Requirements {
         zone,
         min_version: None,
--- a/crates/gradeloft_gateway/src/entry/staleness.rs
+++ b/crates/gradeloft_gateway/src/entry/uncertainty.rs
@@ -35,7 +35,7 @@
 
 /// Uncertainty about the load of a service's replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Staleness {
+pub struct LoadUncertainty {
     /// Of the entry's own region.
     pub near: Uncertainty,
     /// Of other regions.
@@ -44,10 +44,10 @@
 
 impl Entry {
     /// Returns the uncertainty about the load of a service's replicas.
-    pub fn staleness(&self, service: &str, now: Time) -> Staleness {
+    pub fn load_uncertainty(&self, service: &str, now: Time) -> LoadUncertainty {
         let demands = self.demands.borrow();
         let Some(demand) = demands.get(service) else {
-            return Staleness::default();
+            return LoadUncertainty::default();
         };
         let near_loads = self.near_loads.borrow();
         let near = OtherEntries {
@@ -82,7 +82,7 @@
                 unseen_requests,
             }
         };
-        Staleness {
+        LoadUncertainty {
             near: doubt(true, near),
             far: doubt(false, far),
         }
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -295,7 +295,7 @@
     }
 
     /// Counts a call to the store.
-    pub fn count_call(&self, table: Table) {
+    pub fn count_store_call(&self, table: Table) {
         let reason = unreadable::table_name(table);
         self.metrics
             .store_calls
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -259,7 +259,7 @@
                 actix_rt::time::sleep(STANDBY_PAUSE).await;
                 continue;
             }
-            self.count_call(table);
+            self.count_store_call(table);
             // After a failure, a read without a wait soon shows whether the store is back.
             let wait = if failures == 0 {
                 self.jittered_wait(wait)
@@ -365,7 +365,7 @@
 
     /// Reads a snapshot of a table from the store, once.
     pub async fn read_snapshot(&self, table: Table) {
-        self.count_call(table);
+        self.count_store_call(table);
         let asked = self.clock.now();
         match self.platform.store.snapshot(table).await {
             Ok(update) => {
