--- a/crates/gradeloft_policy/tests/allowed_regions.rs
+++ b/crates/gradeloft_policy/tests/allowed_regions.rs
@@ -27,7 +27,7 @@
         max_attempts: 1,
         priority: 0,
         public: false,
-        homes: allowed_regions(regions),
+        allowed_regions: allowed_regions(regions),
     }
 }
 
@@ -37,7 +37,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k".to_owned(), Rc::from("t"))]),
-        homes: HashMap::from([(Rc::from("t"), allowed_regions(team))]),
+        allowed_regions: HashMap::from([(Rc::from("t"), allowed_regions(team))]),
         limits: CallerLimits {
             head_bytes: 1,
             body_bytes: 1,
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -35,7 +35,7 @@
         max_attempts: 1,
         priority: 0,
         public,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -45,7 +45,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k1".to_owned(), Rc::from("night-watch"))]),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 1000,
             body_bytes: 1000,
@@ -327,23 +327,23 @@
         slack: 102.0,
         window_ms: 10_000,
     };
-    let (trouble_ms, kill_ms, back_ms, end_ms) = (20_000, 24_600, 25_100, 30_000);
+    let (overload_ms, kill_ms, back_ms, end_ms) = (20_000, 24_600, 25_100, 30_000);
     let mut budgets = vec![Budget::default(); 7];
     let (mut requests, mut repeats) = (0, 0);
     // Each entry receives a request every 25 ms and would retry every second one.
     for now_ms in (0..end_ms).step_by(25) {
         for (entry, budget) in budgets.iter_mut().enumerate() {
-            let reborn = entry < killed && kill_ms <= now_ms;
-            if reborn && now_ms < back_ms {
+            let restarted = entry < killed && kill_ms <= now_ms;
+            if restarted && now_ms < back_ms {
                 *budget = Budget::default();
                 continue;
             }
             // A process's clock starts with the process.
-            let now = Time::ZERO.after_ms(if reborn { now_ms - back_ms } else { now_ms });
+            let now = Time::ZERO.after_ms(if restarted { now_ms - back_ms } else { now_ms });
             budget.request(bounds, now);
-            let troubled = trouble_ms <= now_ms;
-            requests += u32::from(troubled);
-            if troubled && now_ms % 50 == 0 && budget.repeat(bounds, Some(7), now) {
+            let overloaded = overload_ms <= now_ms;
+            requests += u32::from(overloaded);
+            if overloaded && now_ms % 50 == 0 && budget.repeat(bounds, Some(7), now) {
                 repeats += 1;
             }
         }
@@ -443,14 +443,14 @@
     roster.receive(near, status(1, "z", State::Ready), now);
     roster.receive(gone, status(1, "z", State::Leaving), now);
     let own = Ipv4Addr::new(10, 0, 0, 9);
-    assert_eq!(roster.ready(own, "z", |_| true, now), vec![near, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, now), vec![near, far]);
     let later = now.after_ms(2_000);
     roster.receive(far, status(1, "y", State::Ready), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![far]);
     // Messages from before a restart are ignored once the new process sends its own.
     roster.receive(gone, status(5, "z", State::Ready), later);
     roster.receive(gone, status(1, "z", State::Leaving), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![gone, far]);
     assert_eq!(roster.peak_size(), 4);
 }
 
--- a/crates/gradeloft_policy/tests/write_times.rs
+++ b/crates/gradeloft_policy/tests/write_times.rs
@@ -33,7 +33,7 @@
 /// answered at one second, is confirmed.
 fn confirmed_copy() -> WriteTimes {
     let mut write_times = WriteTimes::default();
-    write_times.read(0..5, read(900, 1_000));
+    write_times.note_read(0..5, read(900, 1_000));
     write_times.confirm(5, at(900));
     write_times
 }
@@ -41,7 +41,7 @@
 #[test]
 fn a_record_of_a_continuous_read_counts_from_the_read() {
     let mut write_times = confirmed_copy();
-    write_times.read(5..6, read(1_050, 2_900));
+    write_times.note_read(5..6, read(1_050, 2_900));
     assert_eq!(write_times.effective_since(5), Some(at(2_900)));
 }
 
@@ -51,7 +51,7 @@
 #[case::disturbed(Read { disturbed: true, ..read(1_050, 1_100) })]
 fn a_record_read_after_an_interruption_counts_from_the_last_complete_copy(#[case] read: Read) {
     let mut write_times = confirmed_copy();
-    write_times.read(5..6, read);
+    write_times.note_read(5..6, read);
     assert_eq!(write_times.effective_since(5), Some(at(900)));
     assert_eq!(
         write_times.known_since(5),
@@ -68,20 +68,20 @@
 #[case::late(Read { wait: Duration::ZERO, ..read(1_050, 2_400) })]
 fn a_record_read_right_after_a_slow_response_counts_from_before_that_response(#[case] long: Read) {
     let mut write_times = confirmed_copy();
-    write_times.read(5..6, long);
+    write_times.note_read(5..6, long);
     write_times.confirm(6, at(1_050));
     assert_eq!(write_times.effective_since(5), Some(at(900)));
-    write_times.read(6..7, read(2_450, 2_500));
+    write_times.note_read(6..7, read(2_450, 2_500));
     write_times.confirm(7, at(2_450));
     assert_eq!(write_times.effective_since(6), Some(at(1_050)));
-    write_times.read(7..8, read(2_550, 3_500));
+    write_times.note_read(7..8, read(2_550, 3_500));
     assert_eq!(write_times.effective_since(7), Some(at(3_500)));
 }
 
 #[test]
 fn a_record_that_a_read_waited_for_was_written_after_the_request() {
     let mut write_times = confirmed_copy();
-    write_times.read(
+    write_times.note_read(
         5..6,
         Read {
             bytes: 900_000,
@@ -89,7 +89,7 @@
         },
     );
     write_times.confirm(6, at(1_050));
-    write_times.read(6..7, read(2_450, 2_751));
+    write_times.note_read(6..7, read(2_450, 2_751));
     assert_eq!(write_times.effective_since(6), Some(at(2_450)));
 }
 
@@ -99,7 +99,7 @@
     write_times.note_peer_complete(5, 300, at(3_000));
     // The copy of this peer already contains the record, so its report gives no bound.
     write_times.note_peer_complete(6, 0, at(4_000));
-    write_times.read(5..6, read(4_500, 4_600));
+    write_times.note_read(5..6, read(4_500, 4_600));
     assert_eq!(write_times.effective_since(5), Some(at(2_700)));
     assert_eq!(write_times.complete_until(6), Some(at(4_000)));
 }
@@ -107,7 +107,7 @@
 #[test]
 fn a_record_of_a_copy_that_was_never_complete_counts_from_the_read() {
     let mut write_times = WriteTimes::default();
-    write_times.read(0..1, read(10_000, 10_100));
+    write_times.note_read(0..1, read(10_000, 10_100));
     assert_eq!(write_times.effective_since(0), Some(at(10_100)));
 }
 
@@ -165,8 +165,8 @@
     #[case] within: bool,
 ) {
     let mut gaps = Gaps::new(1_000);
-    events.iter().for_each(|it| gaps.seen(at(*it)));
-    assert_eq!(gaps.within(at(asked), at(now)), within);
+    events.iter().for_each(|it| gaps.note_event(at(*it)));
+    assert_eq!(gaps.gap_since(at(asked), at(now)), within);
 }
 
 proptest! {
