--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -134,7 +134,7 @@
         };
         let mut own = HashMap::new();
         self.add_own_loads(&mut own);
-        for loads in split_loads(own, self.demand()) {
+        for loads in split_loads(own, self.model_request_rate()) {
             let sender = self.state(loads, entries.clone(), false);
             self.node
                 .send_state(Purpose::Loads, Reach::Near, sender, near.iter().copied());
@@ -302,7 +302,7 @@
         self.add_own_loads(&mut sums);
         let near = self.near_loads.borrow();
         near.add_to(&mut sums);
-        let demand = self.demand() + near.demand();
+        let demand = self.model_request_rate() + near.demand();
         drop(near);
         split_loads(sums, demand)
     }
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -171,7 +171,7 @@
             region_replicas.slots = if *region == own {
                 RegionSlots {
                     entries: entries_here,
-                    demand: self.demand() + self.near_loads.borrow().demand(),
+                    demand: self.model_request_rate() + self.near_loads.borrow().demand(),
                     slots,
                 }
             } else {
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -74,7 +74,7 @@
 use tokio::{net::TcpListener, sync::Notify};
 use tokio_util::sync::CancellationToken;
 
-use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, uncertainty::Demands};
+use self::{attempt::FirstTokenForecast, quarantine::QuarantineState, uncertainty::ServiceRates};
 use crate::{
     logs::Topic,
     node::{MAX_FRAME, Node},
@@ -102,7 +102,7 @@
 /// Window of the request rate by which slots are split among entries, in seconds. Each entry computes the
 /// split by itself, and less random variation makes them agree better: 200 requests a second vary by 4 %
 /// over this window.
-const DEMAND_WINDOW_S: f64 = 3.0;
+const RATE_WINDOW_S: f64 = 3.0;
 /// Share of a replica's connection limit that all entries together use.
 const CONNECTIONS_SHARE: f64 = 0.85;
 /// Pause between checks whether a draining entry may exit.
@@ -146,11 +146,11 @@
     /// Ages of callers' requests, by route.
     caller_ages: RefCell<TimeBudgets>,
     /// Request rates, by service.
-    demands: RefCell<HashMap<Rc<str>, Demands>>,
+    service_rates: RefCell<HashMap<Rc<str>, ServiceRates>>,
     /// Capacity shortages, by service.
     shortages: RefCell<HashMap<Rc<str>, Shortage>>,
     /// Request rate of all services that run a model.
-    model_demand: RefCell<RequestRate>,
+    model_request_rate: RefCell<RequestRate>,
     /// Requests that other entries of this region have at replicas.
     near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests that entries of other regions have at replicas, by region.
@@ -203,9 +203,9 @@
             weights: RefCell::default(),
             budgets: RefCell::default(),
             caller_ages: RefCell::default(),
-            demands: RefCell::default(),
+            service_rates: RefCell::default(),
             shortages: RefCell::default(),
-            model_demand: RefCell::new(RequestRate::with_window(DEMAND_WINDOW_S)),
+            model_request_rate: RefCell::new(RequestRate::with_window(RATE_WINDOW_S)),
             near_loads: RefCell::default(),
             far_loads: RefCell::default(),
             changed_engines: RefCell::default(),
@@ -404,22 +404,22 @@
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(Rc::clone(service)).or_default();
         budget.request(bounds, now);
-        let mut demands = self.demands.borrow_mut();
-        let demand = demands.entry(Rc::clone(service)).or_default();
-        demand.all.count(now);
-        drop(demands);
+        let mut rates = self.service_rates.borrow_mut();
+        let service_rates = rates.entry(Rc::clone(service)).or_default();
+        service_rates.all.count(now);
+        drop(rates);
         if self.speed(service).is_some() {
-            self.model_demand.borrow_mut().count(now);
+            self.model_request_rate.borrow_mut().count(now);
         }
     }
 
     /// Returns the request rate of all services that run a model, per second.
-    pub fn demand(&self) -> f64 {
-        self.model_demand.borrow().rate(self.node.clock.now())
+    pub fn model_request_rate(&self) -> f64 {
+        self.model_request_rate.borrow().rate(self.node.clock.now())
     }
 
     /// Returns how complete this entry's knowledge of other entries is.
-    fn acquaintance(&self, now: Time) -> Discovery {
+    fn discovery(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
             Discovery::None
@@ -434,7 +434,7 @@
     pub fn take_repeat(&self, service: &Rc<str>) -> bool {
         let bounds = self.node.settings().repeats;
         let now = self.node.clock.now();
-        let entries = self.roster.borrow().budget_sharers(self.acquaintance(now));
+        let entries = self.roster.borrow().budget_sharers(self.discovery(now));
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(Rc::clone(service)).or_default();
         let taken = budget.repeat(bounds, entries, now);
--- a/crates/gradeloft_gateway/src/entry/uncertainty.rs
+++ b/crates/gradeloft_gateway/src/entry/uncertainty.rs
@@ -19,14 +19,14 @@
 struct OtherEntries {
     entries: usize,
     /// Requests per second to all of them.
-    demand: f64,
+    request_rate: f64,
     /// Age of their load reports.
     age: Duration,
 }
 
 /// Request rates of a service.
 #[derive(Default)]
-pub(super) struct Demands {
+pub(super) struct ServiceRates {
     /// All requests.
     pub(super) all: RequestRate,
     /// Requests that don't go to a slot of this entry's share.
@@ -45,31 +45,31 @@
 impl Entry {
     /// Returns the uncertainty about the load of a service's replicas.
     pub fn load_uncertainty(&self, service: &str, now: Time) -> LoadUncertainty {
-        let demands = self.demands.borrow();
-        let Some(demand) = demands.get(service) else {
+        let rates = self.service_rates.borrow();
+        let Some(service_rates) = rates.get(service) else {
             return LoadUncertainty::default();
         };
         let near_loads = self.near_loads.borrow();
         let near = OtherEntries {
             entries: near_loads.len(),
-            demand: near_loads.demand(),
+            request_rate: near_loads.demand(),
             age: near_loads.age(now),
         };
         let far_loads = self.far_loads.borrow();
         let far = OtherEntries {
             entries: self.roster.borrow().serving(|_| true, now).count(),
-            demand: far_loads.demand(),
+            request_rate: far_loads.demand(),
             age: far_loads.age(now) + near.age,
         };
-        let overflow = demand.overflow.rate(now);
+        let overflow = service_rates.overflow.rate(now);
         let replicas = self.replicas.borrow();
-        let doubt = |is_near: bool, others: OtherEntries| {
+        let uncertainty = |is_near: bool, others: OtherEntries| {
             let open = replicas.of(service);
             let open = || {
                 open.clone()
                     .filter(|(_, it)| it.near == is_near && it.open(now))
             };
-            let rate = others.demand / open().count().max(1) as f64;
+            let rate = others.request_rate / open().count().max(1) as f64;
             let unseen_requests = slot_split::unseen_requests(rate, others.age);
             let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
             Uncertainty {
@@ -83,8 +83,8 @@
             }
         };
         LoadUncertainty {
-            near: doubt(true, near),
-            far: doubt(false, far),
+            near: uncertainty(true, near),
+            far: uncertainty(false, far),
         }
     }
 
@@ -96,9 +96,9 @@
             return;
         }
         let now = self.node.clock.now();
-        let mut demands = self.demands.borrow_mut();
-        let demand = demands.entry(Rc::clone(service)).or_default();
-        demand.overflow.count(now);
+        let mut rates = self.service_rates.borrow_mut();
+        let service_rates = rates.entry(Rc::clone(service)).or_default();
+        service_rates.overflow.count(now);
     }
 
     /// Returns whether callers of a service were refused for lack of room a moment ago.
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -64,11 +64,11 @@
         };
         let rest = value.get(request.start as usize..).unwrap_or_default();
         let pace = Pace::new(request.start, self.clock.now());
-        let away = self.uploads.borrow_mut().refused(request.caller);
+        let refused_before = self.uploads.borrow_mut().refused(request.caller);
         let mut done = request.start;
         for part in rest.chunks(PART_BYTES) {
-            let waited_for = self.uploads.borrow_mut().refused(request.caller) != away;
-            if waited_for && pace.slow(done, value.len() as u64, self.clock.now()) {
+            let others_waited = self.uploads.borrow_mut().refused(request.caller) != refused_before;
+            if others_waited && pace.slow(done, value.len() as u64, self.clock.now()) {
                 // A slow receiver would keep all others waiting, so it has to retry after them.
                 outgoing.finish(&Reply::Absent(Absence::Busy)).await;
                 return;
--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -79,19 +79,19 @@
     /// know which records it lacks.
     pub fn stale_after_stall(&self) -> bool {
         let now = self.clock.now();
-        let Some(woke) = self.activity_gaps.borrow().ticks.last_end(now) else {
+        let Some(stall_end) = self.activity_gaps.borrow().ticks.last_end(now) else {
             return false;
         };
-        let informed = self.informed_at.get().is_some_and(|it| woke < it);
-        !informed && now < woke.after_ms(STALE_MS)
+        let informed = self.informed_at.get().is_some_and(|it| stall_end < it);
+        !informed && now < stall_end.after_ms(STALE_MS)
     }
 
     /// Returns the time at which a record counts as written: before the interruption for a record read after one, and
     /// no later than at the peer for a record that a peer sent.
     pub fn written_at(&self, table: Table, record: &Record) -> Time {
         let now = self.clock.now();
-        let counts = self.write_times.borrow()[index(table)].effective_since(record.offset);
-        counts.map_or(now, |it| it.min(now))
+        let effective = self.write_times.borrow()[index(table)].effective_since(record.offset);
+        effective.map_or(now, |it| it.min(now))
     }
 
     /// Returns the times for which this process's copies have not been confirmed complete by its own reads, in
