--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -52,7 +52,7 @@
 };
 
 fn add_replica(replicas: &mut Replicas, id: &str) -> ReplicaKey {
-    replicas.list(listing(id, Some(1)))
+    replicas.apply_listing(listing(id, Some(1)))
 }
 
 fn choose(replicas: &Replicas, requirements: Requirements<'_>) -> Option<ReplicaKey> {
--- a/crates/gradeloft_policy/tests/forwarding.rs
+++ b/crates/gradeloft_policy/tests/forwarding.rs
@@ -35,7 +35,7 @@
         max_attempts: 1,
         priority: 0,
         public,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -45,7 +45,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k1".to_owned(), Rc::from("night-watch"))]),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 1000,
             body_bytes: 1000,
@@ -443,14 +443,14 @@
     roster.receive(near, status(1, "z", State::Ready), now);
     roster.receive(gone, status(1, "z", State::Leaving), now);
     let own = Ipv4Addr::new(10, 0, 0, 9);
-    assert_eq!(roster.ready(own, "z", |_| true, now), vec![near, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, now), vec![near, far]);
     let later = now.after_ms(2_000);
     roster.receive(far, status(1, "y", State::Ready), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![far]);
     // Messages from before a restart are ignored once the new process sends its own.
     roster.receive(gone, status(5, "z", State::Ready), later);
     roster.receive(gone, status(1, "z", State::Leaving), later);
-    assert_eq!(roster.ready(own, "z", |_| true, later), vec![gone, far]);
+    assert_eq!(roster.offered(own, "z", |_| true, later), vec![gone, far]);
     assert_eq!(roster.peak_size(), 4);
 }
 
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -36,11 +36,11 @@
 #[test]
 fn only_replicas_with_new_enough_weights_that_are_not_leaving_get_requests() {
     let mut replicas = Replicas::default();
-    replicas.list(listing("a", None));
-    let old = replicas.list(listing("bb", Some(1)));
+    replicas.apply_listing(listing("a", None));
+    let old = replicas.apply_listing(listing("bb", Some(1)));
     let mut leaving = listing("ccc", Some(2));
     leaving.draining = true;
-    replicas.list(leaving);
+    replicas.apply_listing(leaving);
     let now = Time::ZERO;
     assert_eq!(choose(&replicas, REQUIREMENTS, now), Some(old));
     let strict = Requirements {
@@ -53,7 +53,7 @@
 #[test]
 fn a_replica_about_to_load_gets_no_requests_while_its_agent_reports() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
+    let key = replicas.apply_listing(listing("a", Some(1)));
     let report = Report {
         born: None,
         version: Some(1),
@@ -62,7 +62,7 @@
         at: Time::ZERO,
     };
     let address = replicas.get(key).unwrap().listing.address;
-    replicas.report_at(address, report);
+    replicas.apply_report(address, report);
     assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), None);
     assert_eq!(
         choose(&replicas, REQUIREMENTS, Time::ZERO.after_ms(4_000)),
@@ -73,7 +73,7 @@
 #[test]
 fn a_replica_behind_a_congested_link_is_chosen_last() {
     let mut replicas = Replicas::default();
-    let behind = replicas.list(listing("a", Some(1)));
+    let behind = replicas.apply_listing(listing("a", Some(1)));
     let report = Report {
         born: None,
         version: Some(1),
@@ -81,8 +81,8 @@
         congested: true,
         at: Time::ZERO,
     };
-    replicas.report_at(replicas.get(behind).unwrap().listing.address, report);
-    let busy = replicas.list(Listing {
+    replicas.apply_report(replicas.get(behind).unwrap().listing.address, report);
+    let busy = replicas.apply_listing(Listing {
         address: "10.0.0.9:1".parse().unwrap(),
         ..listing("b", Some(1))
     });
@@ -95,8 +95,8 @@
 #[test]
 fn waiting_prompts_outweigh_free_slots() {
     let mut replicas = Replicas::default();
-    let busy = replicas.list(listing("a", Some(1)));
-    let fresh = replicas.list(listing("bb", Some(1)));
+    let busy = replicas.apply_listing(listing("a", Some(1)));
+    let fresh = replicas.apply_listing(listing("bb", Some(1)));
     replicas.get_mut(busy).unwrap().own_requests = 6;
     let empty = replicas.get_mut(fresh).unwrap();
     (empty.own_requests, empty.own_waiting) = (4, 4);
@@ -106,8 +106,8 @@
 #[test]
 fn a_stream_resumes_at_the_version_that_began_it() {
     let mut replicas = Replicas::default();
-    let same = replicas.list(listing("a", Some(1)));
-    replicas.list(listing("bb", Some(2)));
+    let same = replicas.apply_listing(listing("a", Some(1)));
+    replicas.apply_listing(listing("bb", Some(2)));
     replicas.get_mut(same).unwrap().own_requests = 12;
     let requirements = Requirements {
         resumed_version: Some(1),
@@ -119,7 +119,7 @@
 #[test]
 fn a_full_replica_is_not_chosen() {
     let mut replicas = Replicas::default();
-    let key = replicas.list(listing("a", Some(1)));
+    let key = replicas.apply_listing(listing("a", Some(1)));
     replicas.get_mut(key).unwrap().own_requests = 18;
     assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), None);
 }
@@ -127,13 +127,13 @@
 #[test]
 fn exclusion_counts_tell_why_no_replica_is_chosen() {
     let mut replicas = Replicas::default();
-    let full = replicas.list(listing("a", Some(2)));
+    let full = replicas.apply_listing(listing("a", Some(2)));
     replicas.get_mut(full).unwrap().own_requests = 18;
-    let unbegun = replicas.list(listing("bb", Some(2)));
+    let unbegun = replicas.apply_listing(listing("bb", Some(2)));
     replicas.get_mut(unbegun).unwrap().own_waiting = 8;
-    replicas.list(listing("ccc", Some(1)));
-    replicas.list(listing("dddd", None));
-    let tried = replicas.list(listing("eeeee", Some(2)));
+    replicas.apply_listing(listing("ccc", Some(1)));
+    replicas.apply_listing(listing("dddd", None));
+    let tried = replicas.apply_listing(listing("eeeee", Some(2)));
     let requirements = Requirements {
         min_version: Some(2),
         tried: &[tried],
@@ -147,8 +147,8 @@
 #[test]
 fn suspicion_expires_and_never_excludes_all_replicas() {
     let mut replicas = Replicas::default();
-    let one = replicas.list(listing("a", Some(1)));
-    let two = replicas.list(listing("bb", Some(1)));
+    let one = replicas.apply_listing(listing("a", Some(1)));
+    let two = replicas.apply_listing(listing("bb", Some(1)));
     replicas.failed(one, Time::ZERO);
     assert_eq!(choose(&replicas, REQUIREMENTS, Time::ZERO), Some(two));
     replicas.failed(two, Time::ZERO);
@@ -159,15 +159,15 @@
 #[test]
 fn a_removal_after_an_outage_is_delayed_and_cancelled_by_a_new_listing() {
     let mut replicas = Replicas::default();
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     let doubtful = StoreTrust::Doubtful(Time::ZERO.after_ms(2_000));
     replicas.unlist("a", doubtful);
     assert!(replicas.expire(Time::ZERO.after_ms(1_999)).is_empty());
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     assert!(replicas.expire(Time::ZERO.after_ms(9_000)).is_empty());
     replicas.unlist("a", doubtful);
     assert_eq!(replicas.expire(Time::ZERO.after_ms(2_000)).len(), 1);
-    replicas.list(listing("a", Some(1)));
+    replicas.apply_listing(listing("a", Some(1)));
     replicas.unlist("a", StoreTrust::Sound);
     assert!(replicas.is_empty());
 }
