--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -95,9 +95,9 @@
 /// Pause between reads of the operator's table: well below the two seconds within which its records have to
 /// be in force, and long enough to batch several records into a read, as each read is billed.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between reads of the replicas' table.
+/// Pause between reads of the replicas' table, which is limited in the same way.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between reads of the table of entries.
+/// Pause between reads of the table of entries, which is limited in the same way.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(1);
 /// Window of the request rate by which slots are split among entries, in seconds. Each entry computes the
 /// split by itself, and less random variation makes them agree better: 200 requests a second vary by 4 %
