--- a/crates/gradeloft_gateway/src/lib.rs
+++ b/crates/gradeloft_gateway/src/lib.rs
@@ -1,20 +1,20 @@
-//! gradeloft in front of replicas that speak HTTP: entries that forward requests, and agents that
-//! bring weights to the replicas beside them.
+//! Gateway to replicas that speak HTTP: entries that forward requests, and agents that deliver weights to the replicas
+//! beside them.
 //!
 //! - [`agent`]: the process beside a replica.
 //! - [`entry`]: the process that callers talk to.
-//! - [`events`]: event streams, cut into events.
-//! - [`h1`]: HTTP/1.1 on connections of our own.
-//! - [`logs`]: log lines with a bounded rate.
+//! - [`events`]: parsing of event streams.
+//! - [`h1`]: HTTP/1.1 on top of plain TCP connections.
+//! - [`logs`]: rate-limited logging.
 //! - [`metrics`]: counters and histograms.
 //! - [`node`]: what both processes share: copies of the platform's tables, peers, datagrams.
-//! - [`pool`]: connections to replicas.
-//! - [`settings`]: what a process is told at its start.
-//! - [`suspects`]: what an operator sees and does of requests under which replicas ended.
-//! - [`watch`]: tells when a file has changed.
+//! - [`pool`]: pool of connections to replicas.
+//! - [`settings`]: settings of a process.
+//! - [`suspects`]: operator's access to requests suspected of crashing replicas.
+//! - [`traffic`]: traffic accounting by purpose.
+//! - [`watch`]: detects changes of a file.
 //!
-//! A process runs on one thread: its state is shared by `Rc` and `RefCell`, and no borrow is held
-//! over an await.
+//! A process runs on one thread: its state is shared by `Rc` and `RefCell`, and no borrow is held across an await.
 
 pub mod agent;
 pub mod entry;
@@ -29,7 +29,7 @@
 pub mod traffic;
 pub mod watch;
 
-/// The names that most users of this crate want.
+/// Re-exports of the most commonly used items.
 pub mod prelude {
     pub use crate::{
         agent::Agent,
--- a/crates/gradeloft_gateway/src/logs.rs
+++ b/crates/gradeloft_gateway/src/logs.rs
@@ -1,31 +1,31 @@
-//! Log lines with a bounded rate.
+//! Rate-limited logging.
 //!
-//! Lines of one topic beyond a number a second are left out and counted; the count goes out with
-//! the next second's first line. Writing happens on a thread of its own behind a bounded queue, so
-//! a blocked reader of the log never blocks a request.
+//! Lines of a topic beyond its limit per second are dropped and counted; the count is logged before the first line of
+//! a later second. Lines are written by a separate thread behind a bounded queue, so a blocked reader of the log never
+//! blocks a request.
 
 use std::{cell::RefCell, collections::HashMap};
 
 use gradeloft_daemon::clock::Clock;
 use slog::{Logger, info};
 
-/// What a line is about; each topic has a rate of its own, so that a flood of one hides no other.
+/// Topic of a log line. Each topic has its own rate limit, so that a flood of one does not displace others.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Topic {
-    /// Requests that ended well.
+    /// Requests that were answered.
     Answered,
     /// A dependency was lost or is back.
     Dependency,
-    /// Requests that ended otherwise.
+    /// Requests that failed.
     Failed,
-    /// What the process believes of replicas, peers, configuration.
+    /// State of replicas, peers and the configuration, as seen by the process.
     State,
-    /// Weights.
+    /// Distribution of weights.
     Weights,
 }
 
 impl Topic {
-    /// Lines a second. Requests: about twice what one entry gets at the full rate of today's fleets.
+    /// Returns the limit in lines per second; for requests, about twice the rate of one entry in a fully loaded fleet.
     fn per_second(self) -> u32 {
         match self {
             Topic::Answered | Topic::Failed => 60,
@@ -52,16 +52,16 @@
     left_out: u32,
 }
 
-/// The process's log.
+/// Rate-limited log of a process.
 pub struct Logs {
-    /// Where lines go.
+    /// Underlying logger without a rate limit.
     pub root: Logger,
     clock: Clock,
     seconds: RefCell<HashMap<Topic, Second>>,
 }
 
 impl Logs {
-    /// A log that writes to `root`.
+    /// Creates a log that writes to `root`.
     pub fn new(root: Logger, clock: Clock) -> Logs {
         Logs {
             root,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The logger for one line of a topic; `None` if the line has to be left out.
+    /// Returns the logger for one line of a topic; `None` if the line must be dropped.
     pub fn line(&self, topic: Topic) -> Option<&Logger> {
         let number = self.clock.now().0 / 1_000_000;
         let mut seconds = self.seconds.borrow_mut();
--- a/crates/gradeloft_gateway/src/metrics.rs
+++ b/crates/gradeloft_gateway/src/metrics.rs
@@ -1,7 +1,6 @@
 //! Counters and histograms of a process, in the OpenMetrics text format.
 //!
-//! Labels take their values from the configuration in force and from closed lists, so that what
-//! callers send can't grow them.
+//! Label values come from the configuration in force and from fixed sets, so callers can't increase their number.
 
 use std::{rc::Rc, sync::atomic::AtomicU64, time::Duration};
 
@@ -16,72 +15,72 @@
     registry::Registry,
 };
 
-use crate::traffic::Sent;
+use crate::traffic::TrafficLabels;
 
-/// How a request of a team ended.
+/// Labels of finished requests.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Ending {
+pub struct RequestLabels {
     /// Service; `-` without a route.
     pub service: String,
-    /// From a closed list.
+    /// Outcome, from a fixed set.
     pub outcome: &'static str,
 }
 
-/// A team.
+/// Label of a team.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Team {
     /// Name; `-` for requests without one.
     pub team: String,
 }
 
-/// Why something happened, from a closed list.
+/// Label with a reason from a fixed set.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Reason {
-    /// The reason.
+    /// Reason.
     pub reason: &'static str,
 }
 
-/// Histograms of seconds, one for each team.
+/// Histograms of durations in seconds, one for each team.
 type Timing = Family<Team, Histogram, fn() -> Histogram>;
 
 /// All metrics of a process.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
-    pub requests: Family<Ending, Counter>,
-    /// Requests without a whole answer, by what ended them.
+    /// Requests by outcome.
+    pub requests: Family<RequestLabels, Counter>,
+    /// Requests without a complete response, by the reason of the abort.
     pub cut: Family<Reason, Counter>,
-    /// Connections of callers that ended while bytes of theirs were unread.
+    /// Connections of callers that were closed with unread bytes.
     pub closed_unread: Counter,
-    /// Seconds until an answer begins.
+    /// Seconds until a response begins.
     pub first_byte: Timing,
-    /// Seconds until an answer is whole.
+    /// Seconds until a response is complete.
     pub whole_answer: Timing,
     /// Failed attempts, by failure.
     pub attempts: Family<Reason, Counter>,
-    /// Requests that were sent again.
+    /// Requests that were retried or hedged.
     pub repeats: Counter,
-    /// Connections made to replicas.
+    /// Connections opened to replicas.
     pub connections: Counter,
-    /// Ends of replicas during requests of this entry, by what showed them.
+    /// Ends of replicas during requests of this entry, by evidence.
     pub replica_ends: Family<Reason, Counter>,
-    /// Requests that are shut out, as replicas end under them.
+    /// Requests that are quarantined, as they crash replicas.
     pub quarantined: Gauge,
     /// Calls to the platform's store, by table.
     pub store_calls: Family<Reason, Counter>,
     /// Bytes sent to other processes, replicas and callers.
-    pub sent: Family<Sent, Counter>,
-    /// Datagrams that were too large to be sent.
+    pub sent: Family<TrafficLabels, Counter>,
+    /// Datagrams that were too large to send.
     pub unsent: Counter,
-    /// Calls to the platform's store that failed.
+    /// Failed calls to the platform's store.
     pub store_faults: Counter,
-    /// Bytes of the platform's tables that were read, by source.
+    /// Bytes read of the platform's tables, by source.
     pub records: Family<Reason, Counter>,
-    /// Asks for records that a peer did not answer with them, by reason.
+    /// Failed fetches of records from peers, by reason.
     pub record_fetch_failures: Family<Reason, Counter>,
-    /// Records of other writers that nothing can be made of, by table.
+    /// Records of other writers that can't be parsed, by table.
     pub unreadable_records: Family<Reason, Counter>,
-    /// Seconds for which the operator's table has lacked what peers have; 0 if it lacks nothing.
+    /// Seconds for which the copy of the operator's table has been behind that of peers; 0 if it is not.
     pub behind: Gauge<f64, AtomicU64>,
     /// Version of the configuration in force.
     pub config: Gauge,
@@ -89,14 +88,14 @@
     pub cold: Gauge,
     /// Availability zones that are evacuated.
     pub evacuated: Gauge,
-    /// Version of the weights that the replica beside an agent holds.
+    /// Version of the weights loaded by the replica beside an agent.
     pub weights: Gauge,
     /// Pieces of weights fetched, by source.
     pub pieces: Family<Reason, Counter>,
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates all metrics, at zero.
     pub fn new() -> Rc<Metrics> {
         let mut it = Metrics {
             registry: Registry::with_prefix("gradeloft"),
@@ -128,7 +127,7 @@
         Rc::new(it)
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -136,7 +135,7 @@
         text
     }
 
-    /// Observes a time of a team's request.
+    /// Records a duration of a team's request.
     pub fn observe(family: &Timing, team: Option<&str>, time: Duration) {
         let label = Team {
             team: team.unwrap_or("-").to_owned(),
@@ -146,36 +145,36 @@
 
     fn register(&mut self) {
         let it = &mut self.registry;
-        it.register(
-            "requests",
-            "Requests by how they ended",
-            self.requests.clone(),
-        );
+        it.register("requests", "Requests by outcome", self.requests.clone());
         it.register(
             "cut_requests",
-            "Requests without a whole answer, by what ended them",
+            "Requests without a complete response, by reason",
             self.cut.clone(),
         );
         it.register(
             "connections_closed_unread",
-            "Connections of callers that ended while bytes of theirs were unread",
+            "Connections of callers that were closed with unread bytes",
             self.closed_unread.clone(),
         );
         it.register(
             "first_byte_seconds",
-            "Time until an answer begins",
+            "Time until a response begins",
             self.first_byte.clone(),
         );
         it.register(
             "whole_answer_seconds",
-            "Time until an answer is whole",
+            "Time until a response is complete",
             self.whole_answer.clone(),
         );
         it.register("failed_attempts", "Failed attempts", self.attempts.clone());
-        it.register("repeats", "Requests sent again", self.repeats.clone());
+        it.register(
+            "repeats",
+            "Requests retried or hedged",
+            self.repeats.clone(),
+        );
         it.register(
             "connections",
-            "Connections made to replicas",
+            "Connections opened to replicas",
             self.connections.clone(),
         );
         it.register(
@@ -185,7 +184,7 @@
         );
         it.register(
             "quarantined_requests",
-            "Requests that are shut out",
+            "Requests that are quarantined",
             self.quarantined.clone(),
         );
         it.register(
@@ -196,7 +195,7 @@
         it.register("sent_bytes", "Bytes sent, by purpose", self.sent.clone());
         it.register(
             "unsent_datagrams",
-            "Datagrams that were too large to be sent",
+            "Datagrams that were too large to send",
             self.unsent.clone(),
         );
         it.register(
@@ -211,22 +210,22 @@
         );
         it.register(
             "record_fetch_failures",
-            "Asks for records that a peer did not answer with them",
+            "Failed fetches of records from peers, by reason",
             self.record_fetch_failures.clone(),
         );
         it.register(
             "unreadable_records",
-            "Records that nothing can be made of, by table",
+            "Records that can't be parsed, by table",
             self.unreadable_records.clone(),
         );
         it.register(
             "behind_seconds",
-            "Time for which the operator's table has lacked what peers have",
+            "Time for which the operator's table has been behind that of peers",
             self.behind.clone(),
         );
         it.register(
             "config_version",
-            "Configuration in force",
+            "Version of the configuration in force",
             self.config.clone(),
         );
         it.register("cold_replicas", "Replicas that are cold", self.cold.clone());
@@ -237,7 +236,7 @@
         );
         it.register(
             "weights_version",
-            "Weights held by the replica",
+            "Version of the weights loaded by the replica",
             self.weights.clone(),
         );
         it.register("pieces", "Pieces of weights fetched", self.pieces.clone());
@@ -245,6 +244,6 @@
 }
 
 fn seconds() -> Histogram {
-    // From two milliseconds to eight seconds, beyond every deadline of today.
+    // From two milliseconds to eight seconds, which is beyond all deadlines.
     Histogram::new(exponential_buckets(0.002, 2.0, 13))
 }
--- a/crates/gradeloft_gateway/src/settings.rs
+++ b/crates/gradeloft_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! Settings of a process.
 
 use std::{
     collections::BTreeMap,
@@ -7,63 +7,62 @@
 
 use gradeloft_policy::process::retry_budget;
 
-/// Settings of a process, checked.
+/// Validated settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of the instance.
     pub instance: String,
-    /// The instance's address.
+    /// Address of the instance.
     pub address: Ipv4Addr,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
     /// Region of each availability zone.
     pub regions: BTreeMap<String, String>,
-    /// Port, TCP and UDP, on which gradeloft's processes talk to each other; the same on all
-    /// instances.
+    /// TCP and UDP port on which gradeloft's processes communicate; the same on all instances.
     pub peer_port: u16,
-    /// Port of the metrics.
+    /// Port of the metrics listener.
     pub metrics_port: u16,
     /// Instances that may run an entry.
     pub seeds: Vec<Ipv4Addr>,
-    /// How often requests may be sent again, by all entries together.
+    /// Limits on request retries by all entries together.
     pub repeats: retry_budget::Bounds,
-    /// Time from the confirmation of a configuration until it is in force everywhere, in milliseconds.
+    /// Time from the confirmation of a configuration until it must be in force everywhere, in milliseconds.
     pub apply_ms: u64,
-    /// Time from the naming of new weights until every request begins on them, in milliseconds.
+    /// Time from the announcement of new weights until every new request must run on them, in milliseconds.
     pub version_ms: u64,
     /// Time from SIGTERM until the process is killed, in milliseconds.
     pub grace_ms: u64,
-    /// Longest time for which callers keep the addresses that they are given, in seconds.
+    /// Maximum time for which callers cache looked-up addresses, in seconds.
     pub max_ttl_s: u64,
-    /// Bytes a second that the instance's link carries, each way.
+    /// Bandwidth of the instance's link in each direction, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// Brings weights to a replica.
+    /// Delivers weights to a replica.
     Agent {
-        /// Where the replica listens, on this instance.
+        /// Address of the replica on this instance.
         replica: SocketAddr,
         /// Service that the replica belongs to.
         service: String,
     },
     /// Forwards requests.
     Entry {
-        /// Where callers connect.
+        /// Listen address for callers.
         frontend: SocketAddr,
-        /// Where the platform asks whether the process is ready.
+        /// Listen address for readiness checks of the platform.
         readiness: SocketAddr,
-        /// Where callers ask for addresses.
+        /// Listen address for address lookups by callers.
         directory: SocketAddr,
     },
 }
 
 impl Settings {
-    /// Region of an availability zone; the zone's own name where none is known.
+    /// Returns the region of an availability zone, or the zone's own name if the region is unknown.
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
         self.regions.get(zone).map_or(zone, String::as_str)
     }
--- a/crates/gradeloft_gateway/src/suspects.rs
+++ b/crates/gradeloft_gateway/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What an operator sees and does of requests under which replicas ended, by what the platform's store keeps.
+//! Operator's access to the stored requests that are suspected of crashing replicas.
 
 use bytes::Bytes;
 use gradeloft_platform::{
@@ -13,47 +13,48 @@
     quarantine::{self, Crash, Kept},
 };
 
-/// A request that the store keeps something of.
+/// A suspect request with its record in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Row {
-    /// The request, as log lines name it.
+pub struct StoredSuspect {
+    /// Fingerprint of the request, as in log lines.
     pub request: Fingerprint,
-    /// What is kept of it.
+    /// Stored record.
     pub kept: Kept,
 }
 
-impl Row {
-    fn of(record: &Record) -> Option<Row> {
+impl StoredSuspect {
+    fn of(record: &Record) -> Option<StoredSuspect> {
         let request = quarantine::request(&record.key)?;
         let kept = codec::parse(record.value.as_deref()?).ok()?;
-        Some(Row { request, kept })
+        Some(StoredSuspect { request, kept })
     }
 
-    /// Crashes that speak against the request.
+    /// Returns the number of crashes that count against the request.
     pub fn crashes(&self) -> usize {
         self.kept.crashes.iter().filter(|it| !it.void).count()
     }
 }
 
-/// All requests that the store keeps something of, those with the most crashes first.
-pub async fn list(store: &dyn Store) -> Result<Vec<Row>, Fault> {
+/// Lists all suspects in the store, those with the most crashes first.
+pub async fn list(store: &dyn Store) -> Result<Vec<StoredSuspect>, Fault> {
     let table = store.snapshot(Table::Entries).await?;
-    let mut rows: Vec<Row> = table.records.iter().filter_map(Row::of).collect();
-    rows.sort_by_key(|it| (std::cmp::Reverse(it.crashes()), it.request));
-    Ok(rows)
+    let mut suspects: Vec<StoredSuspect> =
+        table.records.iter().filter_map(StoredSuspect::of).collect();
+    suspects.sort_by_key(|it| (std::cmp::Reverse(it.crashes()), it.request));
+    Ok(suspects)
 }
 
-/// Lets a request go to replicas again: what speaks against it so far counts for nothing any more, at all entries.
-/// Gives `false` where the store keeps nothing of it.
+/// Lifts the quarantine of a request at all entries by voiding its crashes so far. Returns `false` if the store has no
+/// record of it.
 pub async fn lift(store: &dyn Store, request: Fingerprint) -> Result<bool, Fault> {
-    let rows = list(store).await?;
-    let Some(row) = rows.into_iter().find(|it| it.request == request) else {
+    let suspects = list(store).await?;
+    let Some(suspect) = suspects.into_iter().find(|it| it.request == request) else {
         return Ok(false);
     };
     let void = |it: Crash| Crash { void: true, ..it };
     let kept = Kept {
-        crashes: row.kept.crashes.into_iter().map(void).collect(),
-        ..row.kept
+        crashes: suspect.kept.crashes.into_iter().map(void).collect(),
+        ..suspect.kept
     };
     let put = Put {
         key: quarantine::key(request),
--- a/crates/gradeloft_gateway/src/traffic.rs
+++ b/crates/gradeloft_gateway/src/traffic.rs
@@ -1,5 +1,5 @@
-//! What a process sends to others and gets from them, by purpose. Words, requests and records that are given count
-//! where they go out; answers, pieces and records of the store where they come in.
+//! Traffic accounting of a process, by purpose. Messages, requests and records for peers are counted by the sender;
+//! responses, pieces and records of the store by the receiver.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,36 +12,36 @@
 
 use crate::metrics::{Metrics, Reason};
 
-/// Pause between two log lines, in milliseconds: some ten lines of each process in the time for which an
-/// incident is looked at.
-const SHOW_MS: u64 = 5_000;
+/// Interval between two log lines, in milliseconds: about ten lines per process in the period that an investigation of an
+/// incident covers.
+const LOG_INTERVAL_MS: u64 = 5_000;
 
-/// What bytes are sent for. A closed list.
+/// Purpose of transferred bytes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Purpose {
-    /// Words to agents.
+    /// Messages to agents.
     Agents,
-    /// Answers of replicas.
+    /// Responses of replicas.
     Answers,
-    /// What agents said of replicas.
+    /// States of replicas, as reported by agents.
     Engines,
-    /// Requests at replicas.
+    /// Numbers of requests at replicas.
     Loads,
-    /// Which entries there are.
+    /// Membership of entries.
     Members,
     /// Pieces of weights.
     Pieces,
     /// Records of the platform's tables.
     Records,
-    /// Words of other regions, passed on.
+    /// Relayed messages of other regions.
     Relayed,
-    /// Words of agents.
+    /// Reports of agents.
     Reports,
     /// Requests to replicas.
     Requests,
-    /// Records that the platform's store gave.
+    /// Records read from the platform's store.
     Store,
-    /// Requests under which replicas ended.
+    /// Requests suspected of crashing replicas.
     Suspects,
 }
 
@@ -64,17 +64,17 @@
     }
 }
 
-/// Where bytes go, or come from.
+/// Distance to the other end of a transfer.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Reach {
-    /// Another region, or an address of which the region is not known.
+    /// Another region, or an address whose region is unknown.
     Far,
     /// The region of this process.
     Near,
 }
 
 impl Reach {
-    /// By whether it is the sender's own region.
+    /// Returns the reach by whether the other end is in the own region.
     pub fn of(near: bool) -> Reach {
         if near { Reach::Near } else { Reach::Far }
     }
@@ -87,39 +87,39 @@
     }
 }
 
-/// Labels of a count of bytes.
+/// Metric labels of a byte count.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Sent {
-    /// From a closed list.
+pub struct TrafficLabels {
+    /// Name of a [`Purpose`].
     pub purpose: &'static str,
     /// `near` or `far`.
     pub reach: &'static str,
 }
 
-/// Counts of what a process sends.
+/// Byte counts of a process.
 #[derive(Default)]
 pub struct Traffic {
     bytes: RefCell<BTreeMap<(Purpose, Reach), u64>>,
-    shown: Cell<Time>,
+    logged_at: Cell<Time>,
 }
 
 impl Traffic {
-    /// Counts bytes that go out or come in.
+    /// Counts sent or received bytes.
     pub fn count(&self, metrics: &Metrics, purpose: Purpose, reach: Reach, bytes: usize) {
         *self.bytes.borrow_mut().entry((purpose, reach)).or_default() += bytes as u64;
-        let label = Sent {
+        let label = TrafficLabels {
             purpose: purpose.name(),
             reach: reach.name(),
         };
         metrics.sent.get_or_create(&label).inc_by(bytes as u64);
     }
 
-    /// Logs the counts now and then.
+    /// Logs the counts at most once in [`LOG_INTERVAL_MS`].
     pub fn show(&self, log: &Logger, metrics: &Metrics, now: Time) {
-        if now < self.shown.get().after_ms(SHOW_MS) {
+        if now < self.logged_at.get().after_ms(LOG_INTERVAL_MS) {
             return;
         }
-        self.shown.set(now);
+        self.logged_at.set(now);
         let bytes = self.bytes.borrow();
         let rows = bytes.iter().map(|((purpose, reach), bytes)| {
             format!("{}/{}:{bytes}", purpose.name(), reach.name())
--- a/crates/gradeloft_gateway/src/watch.rs
+++ b/crates/gradeloft_gateway/src/watch.rs
@@ -1,51 +1,51 @@
-//! Tells when a file has changed, without the help of the operating system or of a signal.
+//! Detects changes of a file by polling, without file system notifications or signals.
 
 use std::{fs, path::PathBuf, time::Duration};
 
-/// Pause between looks at the file. Settings are a kilobyte, and nothing waits for them.
-const LOOK: Duration = Duration::from_secs(1);
+/// Polling interval. Settings are a kilobyte in size, and nothing waits for their change.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two looks at a file that has just changed: a writer that is at work adds something meanwhile.
-const SETTLING: Duration = Duration::from_millis(100);
-/// Most looks at a file that goes on changing.
-const MAX_SETTLING: u32 = 20;
+/// Polling interval after a change; a writer that is still at work adds something in this time.
+const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of polls of a file that keeps changing.
+const MAX_SETTLE_POLLS: u32 = 20;
 
-/// A file, and what was read from it last.
+/// A watched file and its last content.
 #[derive(Debug)]
 pub struct Watch {
     path: PathBuf,
-    /// `None` if it could not be read.
+    /// Last content; `None` if the file could not be read.
     content: Option<Vec<u8>>,
 }
 
 impl Watch {
-    /// Watches a file, as it is now.
+    /// Starts to watch a file, from its current content.
     pub fn new(path: PathBuf) -> Watch {
         let content = fs::read(&path).ok();
         Watch { path, content }
     }
 
-    /// Looks at the file once; gives whether it changed since the last look. A file that can no longer
-    /// be read has changed, once.
-    pub fn look(&mut self) -> bool {
+    /// Reads the file once; returns whether it has changed since the last poll. A file that becomes unreadable counts as
+    /// one change.
+    pub fn poll(&mut self) -> bool {
         let content = fs::read(&self.path).ok();
         let changed = content != self.content;
         self.content = content;
         changed
     }
 
-    /// Waits until two looks give the same: whoever writes the file may be in the middle of it.
+    /// Waits until two successive polls find the same content, as a write may be in progress.
     pub async fn settle(&mut self) {
-        self.look();
-        for _ in 0..MAX_SETTLING {
-            actix_rt::time::sleep(SETTLING).await;
-            if !self.look() {
+        self.poll();
+        for _ in 0..MAX_SETTLE_POLLS {
+            actix_rt::time::sleep(SETTLE_INTERVAL).await;
+            if !self.poll() {
                 return;
             }
         }
     }
 
-    /// What the last look found; `None` if the file could not be read.
+    /// Returns the content at the last poll; `None` if the file could not be read.
     pub fn content(&self) -> Option<&[u8]> {
         self.content.as_deref()
     }
@@ -53,8 +53,8 @@
     /// Waits until the file has changed.
     pub async fn changed(&mut self) {
         loop {
-            actix_rt::time::sleep(LOOK).await;
-            if self.look() {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
+            if self.poll() {
                 return;
             }
         }
