--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -20,10 +20,10 @@
 use crate::{
     h1::{
         body::{Decoder, Framing, Piece},
-        head::{self, Response, put},
-        wire::{Moved, Wire},
+        head::{self, Response, put_header},
+        wire::{Transfer, Wire},
     },
-    pool::Link,
+    pool::ReplicaConnection,
     traffic::Purpose,
 };
 
@@ -66,7 +66,7 @@
     pub(super) start: Option<ReplicaStart>,
     /// Whether the replica's silence was counted as a failure.
     pub silence_counted: bool,
-    pub(super) link: Link,
+    pub(super) connection: ReplicaConnection,
     pub(super) in_flight: InFlightGuard,
     /// Forecast of the begin of the response; taken once the response begins.
     pub(super) forecast: Option<FirstTokenForecast>,
@@ -108,19 +108,19 @@
             return Err(AttemptOutcome::Failed(Failure::Unsent, None));
         };
         // The caller may have disconnected before its request was read, or during an earlier attempt.
-        if caller.has_gone() {
+        if caller.is_closed() {
             return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft));
         }
         let start = entry.replica_start(replica);
         let forecast = forecast_first_token(entry, job, replica);
         let in_flight = entry.track_in_flight(replica, job.prompt_tokens);
-        let link = connect(entry, caller, job, replica, address).await?;
+        let connection = connect(entry, caller, job, replica, address).await?;
         let now = entry.node.clock.now();
         // This process may have been paused since the connection was established.
         if job.deadline <= now {
             return Err(AttemptOutcome::Failed(Failure::Unsent, None));
         }
-        if caller.has_gone() {
+        if caller.is_closed() {
             return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft));
         }
         let request = encode_request(entry, job, &id);
@@ -129,7 +129,7 @@
             replica,
             start,
             silence_counted: false,
-            link,
+            connection,
             in_flight,
             forecast,
             stage: Stage::AwaitingHead(AwaitingHead {
@@ -159,7 +159,7 @@
             }
             Stage::Relaying(relay) => {
                 let upstream = Upstream {
-                    link: &mut self.link,
+                    connection: &mut self.connection,
                     in_flight: &self.in_flight,
                     forecast: &mut self.forecast,
                 };
@@ -202,7 +202,7 @@
     /// Waits for data from the replica; returns false if the connection ends first.
     pub async fn wait_for_data(&mut self) -> bool {
         tokio::select! {
-            read = self.link.wire.fill() => matches!(read, Ok(1..)),
+            read = self.connection.wire.fill() => matches!(read, Ok(1..)),
             () = self.in_flight.wait_for_restart() => false,
         }
     }
@@ -213,25 +213,25 @@
         entry.replicas.borrow_mut().succeeded(self.replica, now);
         if let Stage::Relaying(relay) = &self.stage
             && relay.connection_reusable()
-            && self.link.wire.buffer.is_empty()
+            && self.connection.wire.buffer.is_empty()
         {
-            entry.pool.keep(self.link, relay.keep_alive_ms());
+            entry.pool.release(self.connection, relay.keep_alive_ms());
         }
     }
 
     /// Aborts the connection, so that the replica stops at once.
-    pub fn abandon(self) {
-        self.link.wire.abandon();
+    pub fn abort(self) {
+        self.connection.wire.abort();
     }
 
     /// Ends the attempt after a failure or an abort; a request without a response head is cancelled at the replica.
     pub fn close(self, entry: &Entry, job: &Job) {
         match &self.stage {
-            Stage::AwaitingHead(_) => self.abandon(),
+            Stage::AwaitingHead(_) => self.abort(),
             Stage::Relaying(_) => {}
             Stage::NotExecuted { head, fully_sent } => {
                 let method = &job.received.head.method;
-                relay::discard(entry, self.link, head, method, *fully_sent);
+                relay::discard(entry, self.connection, head, method, *fully_sent);
             }
         }
     }
@@ -262,7 +262,7 @@
         let Stage::AwaitingHead(awaiting) = &mut self.stage else {
             return Err(AttemptOutcome::Failed(Failure::Broken, None));
         };
-        let link = &mut self.link;
+        let connection = &mut self.connection;
         let now = entry.node.clock.now();
         // After a first silence, each further call waits only for a short time.
         let since = if self.silence_counted {
@@ -276,7 +276,7 @@
         let timer = timers.sleep_until(expiry.map_or(silent_at, |it| it.min(silent_at)));
         tokio::pin!(timer);
         loop {
-            if let Some(head) = head::response(&mut link.wire.buffer)
+            if let Some(head) = head::response(&mut connection.wire.buffer)
                 .map_err(|_| AttemptOutcome::Failed(Failure::Broken, None))?
             {
                 if (100..200).contains(&head.status) {
@@ -287,7 +287,7 @@
                 }
                 awaiting.stale_responses += 1;
                 if MAX_STALE_RESPONSES < awaiting.stale_responses
-                    || !skip_body(entry, caller, link, &head, job.deadline).await
+                    || !skip_body(entry, caller, connection, &head, job.deadline).await
                 {
                     return Err(AttemptOutcome::Failed(Failure::Broken, None));
                 }
@@ -295,22 +295,22 @@
             }
             tokio::select! {
                 biased;
-                () = caller.gone() => return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
-                moved = link.wire.exchange(&awaiting.request[awaiting.sent..]) => match moved {
-                    Ok(Moved::Sent(count)) => awaiting.sent += count,
-                    Ok(Moved::Read(0)) | Err(_) =>
-                        return Err(connection_failure(link, awaiting.sent)),
-                    Ok(Moved::Read(_)) => {}
+                () = caller.closed() => return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
+                transfer = connection.wire.exchange(&awaiting.request[awaiting.sent..]) => match transfer {
+                    Ok(Transfer::Sent(count)) => awaiting.sent += count,
+                    Ok(Transfer::Read(0)) | Err(_) =>
+                        return Err(connection_failure(connection, awaiting.sent)),
+                    Ok(Transfer::Read(_)) => {}
                 },
                 () = self.in_flight.wait_for_restart() =>
-                    return Err(connection_failure(link, awaiting.sent)),
+                    return Err(connection_failure(connection, awaiting.sent)),
                 () = &mut timer => {
                     let now = entry.node.clock.now();
                     if job.deadline <= now {
                         return Err(AttemptOutcome::TimedOut);
                     }
                     // After a pause of this process, timers may fire before data that has arrived is read.
-                    if silent_at <= now && !link.wire.pending() {
+                    if silent_at <= now && !connection.wire.has_pending_data() {
                         return Err(AttemptOutcome::Silent);
                     }
                     if begin_by(entry, job, self.replica).is_some_and(|it| it <= now) {
@@ -331,18 +331,18 @@
     job: &Job,
     replica: ReplicaKey,
     address: SocketAddr,
-) -> Result<Link, AttemptOutcome> {
-    if let Some(link) = entry.pool.take(replica) {
-        return Ok(link);
+) -> Result<ReplicaConnection, AttemptOutcome> {
+    if let Some(connection) = entry.pool.take_idle(replica) {
+        return Ok(connection);
     }
     entry.node.metrics.connections.inc();
     tokio::select! {
         biased;
-        () = caller.gone() => Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
+        () = caller.closed() => Err(AttemptOutcome::Aborted(AbortReason::CallerLeft)),
         () = entry.node.timers.sleep_until(job.deadline) =>
             Err(AttemptOutcome::Failed(Failure::Unsent, None)),
-        link = entry.pool.connect(replica, address) => {
-            link.map_err(|_| AttemptOutcome::Failed(Failure::Unsent, None))
+        connection = entry.pool.connect(replica, address) => {
+            connection.map_err(|_| AttemptOutcome::Failed(Failure::Unsent, None))
         }
     }
 }
@@ -381,8 +381,8 @@
 }
 
 /// Returns the failure for a connection that ended before the response head.
-fn connection_failure(link: &Link, sent: usize) -> AttemptOutcome {
-    let failure = if !link.wire.buffer.is_empty() {
+fn connection_failure(connection: &ReplicaConnection, sent: usize) -> AttemptOutcome {
+    let failure = if !connection.wire.buffer.is_empty() {
         Failure::Broken
     } else if sent == 0 {
         Failure::Unsent
@@ -409,7 +409,7 @@
 async fn skip_body(
     entry: &Entry,
     caller: &mut Wire,
-    link: &mut Link,
+    connection: &mut ReplicaConnection,
     head: &Response,
     deadline: Time,
 ) -> bool {
@@ -420,7 +420,7 @@
     let mut decoder = Decoder::new(framing);
     let mut skipped = 0;
     loop {
-        match decoder.take(&mut link.wire.buffer) {
+        match decoder.take(&mut connection.wire.buffer) {
             Ok(Piece::Data(data)) => {
                 skipped += data.len();
                 if MAX_STALE_BYTES < skipped {
@@ -430,8 +430,8 @@
             Ok(Piece::End) => return true,
             Err(_) => return false,
             Ok(Piece::More) => tokio::select! {
-                read = link.wire.fill() => if !matches!(read, Ok(1..)) { return false },
-                () = caller.gone() => return false,
+                read = connection.wire.fill() => if !matches!(read, Ok(1..)) { return false },
+                () = caller.closed() => return false,
                 () = entry.node.timers.sleep_until(deadline) => return false,
             },
         }
@@ -461,10 +461,10 @@
         drop.push("last-event-id");
     }
     for header in received.head.fields.forwarded(&drop) {
-        put(&mut out, &header.name, &header.value);
+        put_header(&mut out, &header.name, &header.value);
     }
     let left = job.deadline.since(entry.node.clock.now());
-    let mut set = |name: &str, value: &str| put(&mut out, name.as_bytes(), value.as_bytes());
+    let mut set = |name: &str, value: &str| put_header(&mut out, name.as_bytes(), value.as_bytes());
     set(headers.deadline, &left.as_millis().max(1).to_string());
     set(headers.replica, id);
     let rank = job.urgency.rank(job.route.priority);
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -60,12 +60,12 @@
     let _ = entry
         .node
         .timers
-        .timeout(CLOSE_TIMEOUT, wire.finish())
+        .timeout(CLOSE_TIMEOUT, wire.close_gracefully())
         .await;
     entry
         .closing_connections
         .set(entry.closing_connections.get() - 1);
-    if wire.unread() {
+    if wire.has_unread_data() {
         entry.node.metrics.closed_unread.inc();
     }
 }
@@ -84,7 +84,7 @@
         };
         entry.node.detect_stall();
         let at = entry.node.clock.now();
-        let keep_alive = head.keeps();
+        let keep_alive = head.keeps_connection();
         let limits = caller_limits(entry);
         let reading = read_body(wire, &head, limits.body_bytes);
         let body = entry.node.timers.timeout(BODY_TIMEOUT, reading).await;
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -119,7 +119,7 @@
     received: ReceivedRequest,
     keep_alive: bool,
 ) -> ConnectionReuse {
-    let keep_alive = keep_alive && received.head.modern;
+    let keep_alive = keep_alive && received.head.is_http_1_1;
     let job = match prepare(entry, received, keep_alive) {
         Ok(job) => job,
         Err(refused) => {
@@ -411,7 +411,7 @@
 }
 
 fn count(entry: &Entry, service: &str, outcome: &'static str) {
-    let label = metrics::Ending {
+    let label = metrics::RequestLabels {
         service: service.to_owned(),
         outcome,
     };
--- a/crates/gradeloft_gateway/src/entry/hedge.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -83,7 +83,7 @@
                 if let Some(start) = silent.start {
                     entry.record_lost_request(job, start);
                 }
-                silent.abandon();
+                silent.abort();
             }
         }
     }
@@ -176,13 +176,13 @@
         }
         Some(Err(AttemptOutcome::Answered(_) | AttemptOutcome::Silent)) => {
             forward::count_failed_attempt(entry, job, hedge_replica, Failure::Silent);
-            hedge_attempt.abandon();
+            hedge_attempt.abort();
             HedgeOutcome::OriginalResumed
         }
         // The original replica has sent data.
         None => {
             forward::count_failed_attempt(entry, job, hedge_replica, Failure::Withdrawn);
-            hedge_attempt.abandon();
+            hedge_attempt.abort();
             HedgeOutcome::OriginalResumed
         }
     }
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -16,10 +16,10 @@
     events::Splitter,
     h1::{
         body::{Decoder, Framing, LAST_CHUNK, Piece, put_chunk},
-        head::{Response, put},
+        head::{Response, put_header},
         wire::Wire,
     },
-    pool::Link,
+    pool::ReplicaConnection,
     traffic::Purpose,
 };
 
@@ -57,7 +57,7 @@
         put_head(&mut out, &self.head, close);
         if !matches!(self.head.status, 204 | 304) {
             let length = self.body.len().to_string();
-            put(&mut out, b"Content-Length", length.as_bytes());
+            put_header(&mut out, b"Content-Length", length.as_bytes());
         }
         out.put_slice(b"\r\n");
         out.put_slice(&self.body);
@@ -68,7 +68,7 @@
 /// Discards a response that is not relayed, and returns its connection to the pool if the response is complete.
 pub(super) fn discard(
     entry: &Entry,
-    mut link: Link,
+    mut connection: ReplicaConnection,
     head: &Response,
     method: &[u8],
     fully_sent: bool,
@@ -77,9 +77,13 @@
         return;
     };
     let mut decoder = Decoder::new(framing);
-    while let Ok(Piece::Data(_)) = decoder.take(&mut link.wire.buffer) {}
-    if fully_sent && head.keeps() && decoder.done() && link.wire.buffer.is_empty() {
-        entry.pool.keep(link, head.keep_alive_ms());
+    while let Ok(Piece::Data(_)) = decoder.take(&mut connection.wire.buffer) {}
+    if fully_sent
+        && head.keeps_connection()
+        && decoder.is_done()
+        && connection.wire.buffer.is_empty()
+    {
+        entry.pool.release(connection, head.keep_alive_ms());
     }
 }
 
@@ -105,7 +109,7 @@
 /// Source of a relayed response.
 pub(super) struct Upstream<'a> {
     /// Connection to the replica.
-    pub(super) link: &'a mut Link,
+    pub(super) connection: &'a mut ReplicaConnection,
     /// Guard that counts the request as in flight at the replica.
     pub(super) in_flight: &'a InFlightGuard,
     /// Forecast of the begin of the response; taken once the response begins.
@@ -149,7 +153,7 @@
         }
         Ok(Relay {
             decoder: Decoder::new(framing),
-            reusable: fully_sent && head.keeps() && framing != Framing::Close,
+            reusable: fully_sent && head.keeps_connection() && framing != Framing::Close,
             mode: match is_stream {
                 true => RelayMode::Stream(Splitter::default()),
                 false => RelayMode::Buffered(BytesMut::new()),
@@ -160,7 +164,7 @@
 
     /// Returns whether the response is complete and the connection can be reused.
     pub(super) fn connection_reusable(&self) -> bool {
-        self.reusable && self.decoder.done()
+        self.reusable && self.decoder.is_done()
     }
 
     /// Returns the keep-alive timeout that the replica declared, in milliseconds.
@@ -210,29 +214,31 @@
     ) -> ReadOutcome {
         let node = &entry.node;
         let Upstream {
-            link, in_flight, ..
+            connection,
+            in_flight,
+            ..
         } = upstream;
         loop {
-            if let Some(read) = self.buffered_piece(link) {
+            if let Some(read) = self.buffered_piece(connection) {
                 return read;
             }
             let now = node.clock.now();
             let until = silence.map_or(deadline, |it| deadline.min(now.after(it)));
             tokio::select! {
                 biased;
-                read = link.wire.fill() => match read {
-                    Ok(0) if self.decoder.closed() => return ReadOutcome::End,
+                read = connection.wire.fill() => match read {
+                    Ok(0) if self.decoder.finish_at_eof() => return ReadOutcome::End,
                     Ok(0) | Err(_) => return ReadOutcome::Broken,
                     Ok(_) => {}
                 },
-                () = caller.gone() => return ReadOutcome::CallerGone,
+                () = caller.closed() => return ReadOutcome::CallerGone,
                 () = in_flight.wait_for_restart() => return ReadOutcome::Broken,
                 () = node.timers.sleep_until(until) => {
                     if deadline <= node.clock.now() {
                         return ReadOutcome::TimedOut;
                     }
                     // After a pause of this process, timers may fire before data that has arrived is read.
-                    if !link.wire.pending() {
+                    if !connection.wire.has_pending_data() {
                         return ReadOutcome::Silent;
                     }
                 }
@@ -241,8 +247,8 @@
     }
 
     /// Returns the next piece, if it has been received already.
-    fn buffered_piece(&mut self, link: &mut Link) -> Option<ReadOutcome> {
-        match self.decoder.take(&mut link.wire.buffer) {
+    fn buffered_piece(&mut self, connection: &mut ReplicaConnection) -> Option<ReadOutcome> {
+        match self.decoder.take(&mut connection.wire.buffer) {
             Ok(Piece::Data(data)) => Some(ReadOutcome::Data(data)),
             Ok(Piece::End) => Some(ReadOutcome::End),
             Err(_) => Some(ReadOutcome::Broken),
@@ -269,7 +275,7 @@
                 return AttemptOutcome::Failed(Failure::Broken, None);
             };
             let ReadOutcome::Data(data) = read else { break };
-            count_response_bytes(entry, job, upstream.link, data.len());
+            count_response_bytes(entry, job, upstream.connection, data.len());
             body.extend_from_slice(&data);
             if MAX_BUFFERED < body.len() {
                 return self
@@ -335,7 +341,7 @@
                 .await;
             match read {
                 ReadOutcome::Data(data) => {
-                    count_response_bytes(entry, job, upstream.link, data.len());
+                    count_response_bytes(entry, job, upstream.connection, data.len());
                     put_chunk(&mut out, &data);
                 }
                 ReadOutcome::End => break,
@@ -387,14 +393,16 @@
                 splitter.feed(data);
             }
             let complete = matches!(read, ReadOutcome::End);
-            if job.cursor.pass(splitter, &mut out).is_err() || (complete && splitter.partial()) {
+            if job.cursor.relay_events(splitter, &mut out).is_err()
+                || (complete && splitter.has_partial_event())
+            {
                 return AttemptOutcome::Failed(Failure::Broken, None);
             }
             // Events that have been received already are sent together.
             buffered = if complete {
                 None
             } else {
-                self.buffered_piece(upstream.link)
+                self.buffered_piece(upstream.connection)
             };
             if buffered.is_some() {
                 continue;
@@ -404,7 +412,7 @@
                 bytes = chunked_head(entry, job, &self.head);
                 job.head_sent = true;
                 job.first_byte = Some(entry.node.clock.now());
-                job.version = entry.version_of(upstream.link.replica());
+                job.version = entry.version_of(upstream.connection.replica());
             }
             put_chunk(&mut bytes, &out);
             out.clear();
@@ -422,15 +430,20 @@
 }
 
 /// Counts received bytes of a response.
-fn count_response_bytes(entry: &Entry, job: &mut Job, link: &Link, bytes: usize) {
+fn count_response_bytes(
+    entry: &Entry,
+    job: &mut Job,
+    connection: &ReplicaConnection,
+    bytes: usize,
+) {
     job.last_data_at = Some(entry.node.clock.now());
-    entry.count_to_replica(Purpose::Answers, link.replica(), bytes);
+    entry.count_to_replica(Purpose::Answers, connection.replica(), bytes);
 }
 
 /// Records that a stream's replica has sent data.
 fn record_stream_data(entry: &Entry, job: &mut Job, upstream: &mut Upstream<'_>, bytes: usize) {
-    let replica = upstream.link.replica();
-    count_response_bytes(entry, job, upstream.link, bytes);
+    let replica = upstream.connection.replica();
+    count_response_bytes(entry, job, upstream.connection, bytes);
     entry.note_activity(replica);
     upstream.in_flight.response_begun();
     if let Some(forecast) = upstream.forecast.take() {
@@ -448,7 +461,7 @@
     job.close_after_response = entry.closes_after(job);
     let mut out = BytesMut::with_capacity(512);
     put_head(&mut out, head, job.close_after_response);
-    put(&mut out, b"Transfer-Encoding", b"chunked");
+    put_header(&mut out, b"Transfer-Encoding", b"chunked");
     out.put_slice(b"\r\n");
     out
 }
@@ -458,9 +471,9 @@
     out.put_slice(&head.reason);
     out.put_slice(b"\r\n");
     for header in head.fields.forwarded(&["content-length"]) {
-        put(out, &header.name, &header.value);
+        put_header(out, &header.name, &header.value);
     }
     if close {
-        put(out, b"Connection", b"close");
+        put_header(out, b"Connection", b"close");
     }
 }
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -55,7 +55,7 @@
     let retry_at = until.min(now.after_ms(wait::POLL_INTERVAL_MS));
     tokio::select! {
         biased;
-        () = caller.gone() => CapacityWait::CallerGone,
+        () = caller.closed() => CapacityWait::CallerGone,
         () = entry.room_freed.notified() => CapacityWait::Retry,
         () = entry.node.timers.sleep_until(retry_at) => CapacityWait::Retry,
     }
@@ -124,7 +124,7 @@
     let replicas = entry.replicas.borrow();
     let max_connections = entry.max_connections_per_replica(&job.service);
     let candidates = replicas.of(&job.service).filter(|(key, it)| {
-        in_allowed_region(&settings, job, it) && entry.pool.used(*key) < max_connections
+        in_allowed_region(&settings, job, it) && entry.pool.connection_count(*key) < max_connections
     });
     entry
         .node
--- a/crates/gradeloft_gateway/src/events.rs
+++ b/crates/gradeloft_gateway/src/events.rs
@@ -1,24 +1,24 @@
-//! Events of a stream, as far as passing them on whole needs them.
+//! Parsing of event streams, as far as relaying complete events needs it.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, in bytes.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its bytes, the empty line at its end included.
+    /// Bytes of the event, including the empty line at its end.
     pub bytes: Bytes,
-    /// Its id.
+    /// Event id.
     pub id: Option<u64>,
 }
 
-/// An event without end.
+/// Error for an event that exceeds the maximum size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-/// Cuts a stream into events.
+/// Splits a stream into events.
 ///
 /// ```
 /// use gradeloft_gateway::events::Splitter;
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes at the front of `buffer` that hold no end of an event.
+    /// Number of bytes at the front of `buffer` that contain no end of an event.
     searched: usize,
 }
 
@@ -41,28 +41,28 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of an event is left.
-    pub fn partial(&self) -> bool {
+    /// Returns whether an incomplete event is buffered.
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the next whole event out.
-    pub fn take(&mut self) -> Result<Option<Event>, TooLong> {
-        let Some(end) = self.end() else {
-            if MAX_EVENT < self.buffer.len() {
-                return Err(TooLong);
+    /// Takes the next complete event.
+    pub fn take(&mut self) -> Result<Option<Event>, EventTooLong> {
+        let Some(end) = self.event_end() else {
+            if MAX_EVENT_BYTES < self.buffer.len() {
+                return Err(EventTooLong);
             }
             self.searched = self.buffer.len().saturating_sub(3);
             return Ok(None);
         };
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        let id = id(&bytes);
+        let id = event_id(&bytes);
         Ok(Some(Event { bytes, id }))
     }
 
-    /// Position after the first empty line.
-    fn end(&self) -> Option<usize> {
+    /// Returns the position after the first empty line.
+    fn event_end(&self) -> Option<usize> {
         let rest = &self.buffer[self.searched..];
         let mut line_start = None;
         for (idx, byte) in rest.iter().enumerate() {
@@ -79,7 +79,7 @@
     }
 }
 
-/// How far a stream has been passed on, over all replicas that gave part of it.
+/// Position up to which a stream has been relayed, across all replicas that sent part of it.
 ///
 /// ```
 /// use bytes::BytesMut;
@@ -89,7 +89,7 @@
 /// for replica in [&b"id: 1\n\nid: 2\n\nid: 3\nhal"[..], b"id: 2\n\nid: 3\n\n"] {
 ///     let mut splitter = Splitter::default();
 ///     splitter.feed(replica);
-///     cursor.pass(&mut splitter, &mut out).unwrap();
+///     cursor.relay_events(&mut splitter, &mut out).unwrap();
 /// }
 /// assert_eq!(&out[..], b"id: 1\n\nid: 2\n\nid: 3\n\n");
 /// ```
@@ -99,18 +99,22 @@
 }
 
 impl Cursor {
-    /// Id of the last event that was passed on.
+    /// Returns the id of the last relayed event.
     pub fn last(self) -> Option<u64> {
         self.last
     }
 
-    /// Moves whole events to `out`; those that were passed on before are left out.
-    pub fn pass(&mut self, splitter: &mut Splitter, out: &mut BytesMut) -> Result<(), TooLong> {
+    /// Moves complete events to `out`, without those that were relayed before.
+    pub fn relay_events(
+        &mut self,
+        splitter: &mut Splitter,
+        out: &mut BytesMut,
+    ) -> Result<(), EventTooLong> {
         while let Some(event) = splitter.take()? {
-            let had = event
+            let already_sent = event
                 .id
                 .is_some_and(|id| self.last.is_some_and(|it| id <= it));
-            if had {
+            if already_sent {
                 continue;
             }
             self.last = event.id.or(self.last);
@@ -120,7 +124,7 @@
     }
 }
 
-fn id(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|it| *it == b'\n');
     let value = lines
         .filter_map(|it| it.strip_prefix(b"id:"))
--- a/crates/gradeloft_gateway/src/h1/body.rs
+++ b/crates/gradeloft_gateway/src/h1/body.rs
@@ -1,4 +1,4 @@
-//! Where a body ends.
+//! Framing of request and response bodies.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -7,25 +7,25 @@
     head::{Fields, Request, Response},
 };
 
-/// Longest line that gives the size of a chunk, or trailer, in bytes.
-const MAX_LINE: usize = 4096;
+/// Maximum length of a chunk-size line or trailer line, in bytes.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// How a body is delimited.
+/// Framing of a body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// In chunks, of which an empty one is the last.
+    /// Chunked coding, ended by an empty chunk.
     Chunked,
-    /// By the end of the connection. A reset is no end.
+    /// The body ends with an orderly close of the connection; a reset does not end it.
     Close,
-    /// So many bytes.
+    /// The body has a fixed length in bytes.
     Length(u64),
 }
 
 impl Framing {
-    /// Of a request's body. One that can be read in two ways is malformed.
+    /// Returns the framing of a request body. An ambiguous one is malformed.
     pub fn of_request(head: &Request) -> Result<Framing, Malformed> {
-        let chunked = chunked(&head.fields)?;
-        let length = length(&head.fields)?;
+        let chunked = is_chunked(&head.fields)?;
+        let length = content_length(&head.fields)?;
         match (chunked, length) {
             (true, Some(_)) => Err(Malformed),
             (true, None) => Ok(Framing::Chunked),
@@ -33,21 +33,21 @@
         }
     }
 
-    /// Of an answer's body.
+    /// Returns the framing of a response body.
     pub fn of_response(head: &Response, method: &[u8]) -> Result<Framing, Malformed> {
         let empty = matches!(head.status, 100..200 | 204 | 304);
         if empty || method.eq_ignore_ascii_case(b"HEAD") {
             return Ok(Framing::Length(0));
         }
-        if chunked(&head.fields)? {
+        if is_chunked(&head.fields)? {
             return Ok(Framing::Chunked);
         }
-        let length = length(&head.fields)?;
+        let length = content_length(&head.fields)?;
         Ok(length.map_or(Framing::Close, Framing::Length))
     }
 }
 
-fn chunked(fields: &Fields) -> Result<bool, Malformed> {
+fn is_chunked(fields: &Fields) -> Result<bool, Malformed> {
     let mut codings = fields.all("transfer-encoding");
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
@@ -56,7 +56,7 @@
     }
 }
 
-fn length(fields: &Fields) -> Result<Option<u64>, Malformed> {
+fn content_length(fields: &Fields) -> Result<Option<u64>, Malformed> {
     let mut found = None;
     for value in fields.all("content-length") {
         let digits = value.trim_ascii();
@@ -73,31 +73,31 @@
     Ok(found)
 }
 
-/// What the next bytes of a body are.
+/// Next piece of a body.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Piece {
-    /// Some of the body.
+    /// Part of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// More has to be read first.
+    /// More bytes must be received first.
     More,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    /// In the line that gives a chunk's size.
+    /// In a chunk-size line.
     Size,
-    /// So many bytes of data are left.
+    /// In data, with this number of bytes left.
     Data(u64),
     /// At the line end after a chunk's data.
     DataEnd,
-    /// In the lines after the last chunk.
+    /// In the trailer lines after the last chunk.
     Trailer,
     Done,
 }
 
-/// Reads a body piece by piece.
+/// Decodes a body piece by piece.
 ///
 /// ```
 /// use bytes::BytesMut;
@@ -115,7 +115,7 @@
 }
 
 impl Decoder {
-    /// At the front of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Decoder {
         let state = match framing {
             Framing::Chunked => State::Size,
@@ -126,20 +126,20 @@
         Decoder { framing, state }
     }
 
-    /// Whether all of the body has been read.
-    pub fn done(&self) -> bool {
+    /// Returns whether the body has been read completely.
+    pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// The connection ended in order. Gives whether that was the body's end.
-    pub fn closed(&mut self) -> bool {
+    /// Handles an orderly close of the connection; returns whether the body is complete.
+    pub fn finish_at_eof(&mut self) -> bool {
         if self.framing == Framing::Close {
             self.state = State::Done;
         }
-        self.done()
+        self.is_done()
     }
 
-    /// Takes the next piece off the front of `buffer`.
+    /// Takes the next piece from the front of `buffer`.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Piece, Malformed> {
         loop {
             match self.state {
@@ -162,16 +162,16 @@
                     self.state = State::Size;
                 }
                 State::Size => {
-                    let Some(line) = line(buffer)? else {
+                    let Some(line) = take_line(buffer)? else {
                         return Ok(Piece::More);
                     };
-                    self.state = match size(&line)? {
+                    self.state = match parse_chunk_size(&line)? {
                         0 => State::Trailer,
                         size => State::Data(size),
                     };
                 }
                 State::Trailer => {
-                    let Some(line) = line(buffer)? else {
+                    let Some(line) = take_line(buffer)? else {
                         return Ok(Piece::More);
                     };
                     if line.is_empty() {
@@ -192,8 +192,8 @@
     }
 }
 
-/// Takes a line off the front, without its end.
-fn line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
+/// Takes a line from the front of `buffer`, without its line end.
+fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
     let end = buffer.windows(2).position(|it| it == b"\r\n");
     match end {
         Some(end) => {
@@ -201,12 +201,12 @@
             let _ = buffer.split_to(2);
             Ok(Some(line))
         }
-        None if MAX_LINE < buffer.len() => Err(Malformed),
+        None if MAX_LINE_BYTES < buffer.len() => Err(Malformed),
         None => Ok(None),
     }
 }
 
-fn size(line: &[u8]) -> Result<u64, Malformed> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Malformed> {
     let digits = line.split(|it| *it == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits.trim_ascii()).map_err(|_| Malformed)?;
     if text.is_empty() || 15 < text.len() || !text.bytes().all(|it| it.is_ascii_hexdigit()) {
@@ -215,7 +215,7 @@
     u64::from_str_radix(text, 16).map_err(|_| Malformed)
 }
 
-/// Writes a chunk.
+/// Appends a chunk; an empty one is left out, as it would end the body.
 pub fn put_chunk(out: &mut BytesMut, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -225,5 +225,5 @@
     out.put_slice(b"\r\n");
 }
 
-/// The end of a body in chunks.
+/// End of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/gradeloft_gateway/src/h1/head.rs
+++ b/crates/gradeloft_gateway/src/h1/head.rs
@@ -1,13 +1,13 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
 use super::Malformed;
 
-/// Most headers in one head.
+/// Maximum number of headers in one head.
 const MAX_HEADERS: usize = 96;
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which are never forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -22,48 +22,47 @@
 /// A header as it was received.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// Name, in the sender's case.
+    /// Name, in the sender's spelling.
     pub name: Bytes,
     /// Value.
     pub value: Bytes,
 }
 
-/// Headers in the order in which they came.
+/// Headers in the order in which they were received.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Fields(pub Vec<Header>);
 
 impl Fields {
-    /// Value of the first header with this name.
+    /// Returns the value of the first header with this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         let named = |it: &&Header| it.name.eq_ignore_ascii_case(name.as_bytes());
         let found = self.0.iter().find(named)?;
         std::str::from_utf8(&found.value).ok()
     }
 
-    /// Values of all headers with this name.
+    /// Returns the values of all headers with this name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = move |it: &&Header| it.name.eq_ignore_ascii_case(name.as_bytes());
         self.0.iter().filter(named).map(|it| &it.value[..])
     }
 
-    /// Whether a comma-separated header holds a word.
-    pub fn has_word(&self, name: &str, word: &str) -> bool {
+    /// Returns whether a comma-separated header contains a token.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
-            let mut words = value.split(|it| *it == b',');
-            words.any(|it| it.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            let mut tokens = value.split(|it| *it == b',');
+            tokens.any(|it| it.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
         })
     }
 
-    /// The headers to pass on: those that concern one connection are left out, and so are those
-    /// that `drop` names.
+    /// Returns the headers to forward: all but the hop-by-hop headers and those named in `drop`.
     pub fn forwarded<'a>(&'a self, drop: &'a [&str]) -> impl Iterator<Item = &'a Header> {
         self.0.iter().filter(move |it| {
             let is = |name: &str| it.name.eq_ignore_ascii_case(name.as_bytes());
-            let hop = HOP_BY_HOP.iter().any(|name| is(name));
+            let hop_by_hop = HOP_BY_HOP.iter().any(|name| is(name));
             let listed = || {
-                std::str::from_utf8(&it.name).is_ok_and(|name| self.has_word("connection", name))
+                std::str::from_utf8(&it.name).is_ok_and(|name| self.has_token("connection", name))
             };
-            !hop && !drop.iter().any(|name| is(name)) && !listed()
+            !hop_by_hop && !drop.iter().any(|name| is(name)) && !listed()
         })
     }
 }
@@ -76,45 +75,45 @@
     /// Path and query.
     pub target: Bytes,
     /// Whether it is HTTP/1.1 rather than 1.0.
-    pub modern: bool,
+    pub is_http_1_1: bool,
     /// Headers.
     pub fields: Fields,
 }
 
 impl Request {
-    /// Path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         let end = self.target.iter().position(|it| *it == b'?');
         let path = &self.target[..end.unwrap_or(self.target.len())];
         std::str::from_utf8(path).unwrap_or_default()
     }
 
-    /// Whether the connection may carry another request after this one.
-    pub fn keeps(&self) -> bool {
-        keeps(self.modern, &self.fields)
+    /// Returns whether the connection may carry another request after this one.
+    pub fn keeps_connection(&self) -> bool {
+        keeps_connection(self.is_http_1_1, &self.fields)
     }
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Response {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Reason phrase.
     pub reason: Bytes,
     /// Whether it is HTTP/1.1 rather than 1.0.
-    pub modern: bool,
+    pub is_http_1_1: bool,
     /// Headers.
     pub fields: Fields,
 }
 
 impl Response {
-    /// Whether the connection may carry another request after this answer.
-    pub fn keeps(&self) -> bool {
-        keeps(self.modern, &self.fields)
+    /// Returns whether the connection may carry another request after this response.
+    pub fn keeps_connection(&self) -> bool {
+        keeps_connection(self.is_http_1_1, &self.fields)
     }
 
-    /// How long the other side keeps the connection open without a request, in milliseconds.
+    /// Returns the time for which the peer keeps an idle connection open, in milliseconds.
     pub fn keep_alive_ms(&self) -> Option<u64> {
         let value = self.fields.get("keep-alive")?;
         let timeout = value
@@ -124,15 +123,15 @@
     }
 }
 
-fn keeps(modern: bool, fields: &Fields) -> bool {
-    if modern {
-        !fields.has_word("connection", "close")
+fn keeps_connection(is_http_1_1: bool, fields: &Fields) -> bool {
+    if is_http_1_1 {
+        !fields.has_token("connection", "close")
     } else {
-        fields.has_word("connection", "keep-alive")
+        fields.has_token("connection", "keep-alive")
     }
 }
 
-/// Takes the head of a request off the front of `buffer`; `None` while it is not whole.
+/// Takes the head of a request from the front of `buffer`; returns `None` while it is incomplete.
 pub fn request(buffer: &mut BytesMut) -> Result<Option<Request>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -142,18 +141,18 @@
     };
     let method = span(buffer, parsed.method.unwrap_or_default().as_bytes());
     let target = span(buffer, parsed.path.unwrap_or_default().as_bytes());
-    let modern = parsed.version == Some(1);
+    let is_http_1_1 = parsed.version == Some(1);
     let spans = spans(buffer, parsed.headers);
     let bytes = buffer.split_to(length).freeze();
     Ok(Some(Request {
         method: bytes.slice(method),
         target: bytes.slice(target),
-        modern,
+        is_http_1_1,
         fields: fields(&bytes, spans),
     }))
 }
 
-/// Takes the head of an answer off the front of `buffer`; `None` while it is not whole.
+/// Takes the head of a response from the front of `buffer`; returns `None` while it is incomplete.
 pub fn response(buffer: &mut BytesMut) -> Result<Option<Response>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -162,33 +161,33 @@
         httparse::Status::Partial => return Ok(None),
     };
     let reason = span(buffer, parsed.reason.unwrap_or_default().as_bytes());
-    let modern = parsed.version == Some(1);
+    let is_http_1_1 = parsed.version == Some(1);
     let status = parsed.code.unwrap_or_default();
     let spans = spans(buffer, parsed.headers);
     let bytes = buffer.split_to(length).freeze();
     Ok(Some(Response {
         status,
         reason: bytes.slice(reason),
-        modern,
+        is_http_1_1,
         fields: fields(&bytes, spans),
     }))
 }
 
 type Span = std::ops::Range<usize>;
 
-/// Where `part` lies in `whole`; an empty part lies at the front.
-fn span(whole: &[u8], part: &[u8]) -> Span {
+/// Returns the range of `part` in `buffer`; an empty part lies at the front.
+fn span(buffer: &[u8], part: &[u8]) -> Span {
     if part.is_empty() {
         return 0..0;
     }
-    let start = part.as_ptr() as usize - whole.as_ptr() as usize;
+    let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + part.len()
 }
 
-fn spans(whole: &[u8], headers: &[httparse::Header<'_>]) -> Vec<(Span, Span)> {
+fn spans(buffer: &[u8], headers: &[httparse::Header<'_>]) -> Vec<(Span, Span)> {
     let headers = headers.iter();
     headers
-        .map(|it| (span(whole, it.name.as_bytes()), span(whole, it.value)))
+        .map(|it| (span(buffer, it.name.as_bytes()), span(buffer, it.value)))
         .collect()
 }
 
@@ -201,8 +200,8 @@
     Fields(headers.collect())
 }
 
-/// Writes a header.
-pub fn put(out: &mut BytesMut, name: &[u8], value: &[u8]) {
+/// Appends a header.
+pub fn put_header(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     out.put_slice(name);
     out.put_slice(b": ");
     out.put_slice(value);
--- a/crates/gradeloft_gateway/src/h1/mod.rs
+++ b/crates/gradeloft_gateway/src/h1/mod.rs
@@ -1,17 +1,16 @@
-//! HTTP/1.1 on connections of our own.
+//! HTTP/1.1 on top of plain TCP connections.
 //!
-//! Whether a request may have run depends on which bytes went out and how an answer ended, so the
-//! connections are handled here byte by byte. Heads are parsed by `httparse`, the parser under
-//! `actix-http`.
+//! Whether a request may have been executed depends on which bytes were sent and how the response ended, so
+//! connections are handled here byte by byte. Heads are parsed by `httparse`, the parser that `actix-http` uses.
 //!
-//! - [`body`]: where a body ends.
-//! - [`head`]: heads of requests and answers.
-//! - [`wire`]: a connection and what has been read from it.
+//! - [`body`]: framing of bodies.
+//! - [`head`]: heads of requests and responses.
+//! - [`wire`]: a connection and its read buffer.
 
 pub mod body;
 pub mod head;
 pub mod wire;
 
-/// Bytes that are no HTTP.
+/// Error for bytes that are not valid HTTP.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
--- a/crates/gradeloft_gateway/src/h1/wire.rs
+++ b/crates/gradeloft_gateway/src/h1/wire.rs
@@ -1,4 +1,4 @@
-//! A connection and what has been read from it.
+//! A connection and its read buffer.
 
 use std::{io, mem::MaybeUninit, net::SocketAddr, time::Duration};
 
@@ -9,50 +9,50 @@
     net::{TcpSocket, TcpStream},
 };
 
-/// Bytes read at once.
-const READ_BYTES: usize = 8 << 10;
-/// Bytes kept from a caller that sends ahead of its answers.
-const MAX_AHEAD: usize = 64 << 10;
-/// Time after which data that a replica's machine does not acknowledge ends a connection to it.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
-/// The same for callers: longer than any request lasts. A caller that stands still does not acknowledge either, and
-/// takes its answer once it goes on; whether it still can is told by its request's time.
-const UNACKNOWLEDGED_BY_CALLER: Duration = Duration::from_secs(15);
-
-/// A connection and what has been read from it but not used.
+/// Buffer space reserved for each read, in bytes.
+const READ_CHUNK_BYTES: usize = 8 << 10;
+/// Size of the read buffer from which a caller that pipelines requests is no longer read, in bytes.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// Time after which a connection to a replica fails if its instance does not acknowledge sent data.
+const REPLICA_ACK_TIMEOUT: Duration = Duration::from_secs(4);
+/// The same for callers, longer than any request lasts: a paused caller does not acknowledge data either, and reads its
+/// response when it resumes. The request's deadline bounds that wait.
+const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// A connection and its read buffer.
 #[derive(Debug)]
 pub struct Wire {
     stream: TcpStream,
-    /// Received and not used.
+    /// Bytes that were received and not consumed yet.
     pub buffer: BytesMut,
 }
 
 impl Wire {
-    /// Takes a caller's connection over.
+    /// Wraps an accepted connection of a caller.
     pub fn accepted(stream: TcpStream) -> Wire {
-        Wire::new(stream, UNACKNOWLEDGED_BY_CALLER)
+        Wire::new(stream, CALLER_ACK_TIMEOUT)
     }
 
-    fn new(stream: TcpStream, unacknowledged: Duration) -> Wire {
-        // Both only make failures show sooner; a connection without them still works.
+    fn new(stream: TcpStream, ack_timeout: Duration) -> Wire {
+        // A connection works without these options, which reduce delays and detect failures earlier.
         let _ = stream.set_nodelay(true);
-        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(unacknowledged));
+        let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(ack_timeout));
         Wire {
             stream,
             buffer: BytesMut::new(),
         }
     }
 
-    /// Connects.
+    /// Connects to a replica.
     pub async fn connect(address: SocketAddr) -> io::Result<Wire> {
         let socket = TcpSocket::new_v4()?;
         let stream = socket.connect(address).await?;
-        Ok(Wire::new(stream, UNACKNOWLEDGED))
+        Ok(Wire::new(stream, REPLICA_ACK_TIMEOUT))
     }
 
-    /// Reads what comes next into the buffer; 0 at the connection's end.
+    /// Reads available bytes into the buffer; returns 0 at the end of the connection.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_CHUNK_BYTES);
         self.stream.read_buf(&mut self.buffer).await
     }
 
@@ -61,9 +61,9 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the connection in order: what was sent arrives, also where the other side sends on. A close over unread bytes is
-    /// a reset, with which the kernel drops what has not been delivered. Waits until the other side has ended as well.
-    pub async fn finish(&mut self) {
+    /// Closes the connection gracefully, so that all sent bytes are delivered, and waits until the peer has closed it too.
+    /// Received bytes are drained: a close with unread bytes is a reset, on which the kernel drops undelivered data.
+    pub async fn close_gracefully(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Gives the connection up: it ends with a reset, and what was sent and still waits before a full link goes
-    /// nowhere. A close in order would deliver it first, after whoever asked has left.
-    pub fn abandon(&self) {
-        // Without it the other side only learns later.
+    /// Makes the connection end with a reset when it is dropped, which discards sent bytes that still wait for a congested
+    /// link. An orderly close would deliver them first, although the caller has left.
+    pub fn abort(&self) {
+        // On failure the peer only notices later.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Waits until the other side has gone; what it sends meanwhile is kept.
-    pub async fn gone(&mut self) {
+    /// Waits until the peer has closed the connection; bytes that it sends in the meantime are buffered.
+    pub async fn closed(&mut self) {
         loop {
-            if MAX_AHEAD < self.buffer.len() {
+            if MAX_PIPELINED_BYTES < self.buffer.len() {
                 return std::future::pending().await;
             }
             match self.fill().await {
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Whether the other side has gone, as far as can be told without waiting. The socket itself is
-    /// asked, as the runtime learns of a close only when it next looks for events.
-    pub fn has_gone(&self) -> bool {
+    /// Returns whether the peer is known to have closed the connection, without waiting. Peeks at the socket, as the
+    /// runtime notices a close only when it next polls for events.
+    pub fn is_closed(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         match SockRef::from(&self.stream).peek(&mut byte) {
             Ok(read) => read == 0,
@@ -105,24 +105,23 @@
         }
     }
 
-    /// Whether something waits to be read, or the connection has ended, as far as can be told without waiting. The socket
-    /// itself is asked, as the runtime learns of it only when it next looks for events.
-    pub fn pending(&self) -> bool {
+    /// Returns whether the socket has data to read or the connection has ended, without waiting. Peeks at the socket, as
+    /// the runtime notices either only when it next polls for events.
+    pub fn has_pending_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         peeked.map_or_else(|error| error.kind() != io::ErrorKind::WouldBlock, |_| true)
     }
 
-    /// Whether the other side sent something that nobody has read: a close would reset the connection.
-    pub fn unread(&self) -> bool {
+    /// Returns whether received bytes have not been consumed, so that a close would reset the connection.
+    pub fn has_unread_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         !self.buffer.is_empty() || matches!(peeked, Ok(1..))
     }
 
-    /// Whether nothing came since the last answer and the connection is open, as far as can be told
-    /// without waiting.
-    pub fn quiet(&mut self) -> bool {
+    /// Returns whether the connection is open and nothing was received since the last response, without waiting.
+    pub fn is_idle(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
@@ -131,9 +130,8 @@
         read.is_err_and(|it| it.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Makes progress in either direction: sends some of `pending`, or reads some. Gives how many
-    /// bytes were sent, or how many were read.
-    pub async fn exchange(&mut self, pending: &[u8]) -> io::Result<Moved> {
+    /// Makes progress in either direction: sends part of `pending`, or reads available bytes.
+    pub async fn exchange(&mut self, pending: &[u8]) -> io::Result<Transfer> {
         let interest = if pending.is_empty() {
             Interest::READABLE
         } else {
@@ -142,14 +140,14 @@
         loop {
             if !pending.is_empty() {
                 match self.stream.try_write(pending) {
-                    Ok(sent) => return Ok(Moved::Sent(sent)),
+                    Ok(sent) => return Ok(Transfer::Sent(sent)),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     Err(error) => return Err(error),
                 }
             }
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_CHUNK_BYTES);
             match self.stream.try_read_buf(&mut self.buffer) {
-                Ok(read) => return Ok(Moved::Read(read)),
+                Ok(read) => return Ok(Transfer::Read(read)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
             }
@@ -158,11 +156,11 @@
     }
 }
 
-/// What [`Wire::exchange`] did.
+/// Progress made by [`Wire::exchange`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Moved {
-    /// Read so many bytes; 0 at the connection's end.
+pub enum Transfer {
+    /// Number of bytes read; 0 at the end of the connection.
     Read(usize),
-    /// Sent so many bytes.
+    /// Number of bytes sent.
     Sent(usize),
 }
--- a/crates/gradeloft_gateway/src/pool.rs
+++ b/crates/gradeloft_gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas, kept for the next request.
+//! Pool of connections to replicas.
 
 use std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -8,44 +8,45 @@
 
 use crate::h1::wire::Wire;
 
-/// Longest time to connect. Links take a few milliseconds; a lost opening packet is sent again only
-/// after a second, by which another replica has answered.
-const CONNECT: Duration = Duration::from_millis(350);
-/// Time for which a connection is kept if the replica does not say, in milliseconds. Timeouts are
-/// told in whole seconds, so one that is not told may be under a second.
-const UNTOLD_MS: u64 = 500;
-/// Part of the told time for which a connection is kept, so that a request does not cross its end.
-const KEPT: f64 = 0.75;
+/// Connect timeout. A round trip takes a few milliseconds; a lost SYN packet is retransmitted only after a second, in
+/// which time another replica can respond.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time for which an idle connection is kept if the replica declares no keep-alive timeout, in milliseconds. Timeouts
+/// are declared in whole seconds, so an undeclared one may be shorter than a second.
+const DEFAULT_KEEP_ALIVE_MS: u64 = 500;
+/// Fraction of the declared keep-alive timeout for which an idle connection is kept, so that no request is sent while the
+/// replica closes it.
+const KEEP_ALIVE_FRACTION: f64 = 0.75;
 
 struct Idle {
     wire: Wire,
     until: Time,
 }
 
-/// Connections to replicas.
+/// Pool of connections to replicas.
 pub struct Pool {
     clock: Clock,
     idle: RefCell<HashMap<ReplicaKey, Vec<Idle>>>,
     open: Rc<RefCell<HashMap<ReplicaKey, usize>>>,
 }
 
-/// A connection in use.
-pub struct Link {
+/// A connection to a replica, in use by a request.
+pub struct ReplicaConnection {
     /// The connection.
     pub wire: Wire,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub reused: bool,
     key: ReplicaKey,
-    counted: Counted,
+    counter: ConnectionCounter,
 }
 
 /// Counts an open connection until it is dropped.
-struct Counted {
+struct ConnectionCounter {
     key: ReplicaKey,
     open: Rc<RefCell<HashMap<ReplicaKey, usize>>>,
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCounter {
     fn drop(&mut self) {
         let mut open = self.open.borrow_mut();
         if let Some(count) = open.get_mut(&self.key) {
@@ -58,7 +59,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(clock: Clock) -> Pool {
         Pool {
             clock,
@@ -67,71 +68,78 @@
         }
     }
 
-    /// A kept connection to a replica.
-    pub fn take(&self, key: ReplicaKey) -> Option<Link> {
+    /// Takes an idle connection to a replica out of the pool.
+    pub fn take_idle(&self, key: ReplicaKey) -> Option<ReplicaConnection> {
         let now = self.clock.now();
         loop {
-            let mut kept = self.idle.borrow_mut().get_mut(&key)?.pop()?;
-            if now < kept.until && kept.wire.quiet() {
-                return Some(Link {
-                    wire: kept.wire,
+            let mut connection = self.idle.borrow_mut().get_mut(&key)?.pop()?;
+            if now < connection.until && connection.wire.is_idle() {
+                return Some(ReplicaConnection {
+                    wire: connection.wire,
                     reused: true,
                     key,
-                    counted: self.count(key),
+                    counter: self.count(key),
                 });
             }
         }
     }
 
-    /// A new connection to a replica.
-    pub async fn connect(&self, key: ReplicaKey, address: SocketAddr) -> io::Result<Link> {
-        let counted = self.count(key);
-        let connected = timeout(CONNECT, Wire::connect(address)).await;
+    /// Opens a new connection to a replica.
+    pub async fn connect(
+        &self,
+        key: ReplicaKey,
+        address: SocketAddr,
+    ) -> io::Result<ReplicaConnection> {
+        let counter = self.count(key);
+        let connected = timeout(CONNECT_TIMEOUT, Wire::connect(address)).await;
         let wire = connected.map_err(|_| io::ErrorKind::TimedOut)??;
-        Ok(Link {
+        Ok(ReplicaConnection {
             wire,
             reused: false,
             key,
-            counted,
+            counter,
         })
     }
 
-    /// Connections in use at a replica.
-    pub fn used(&self, key: ReplicaKey) -> usize {
+    /// Returns the number of connections in use at a replica.
+    pub fn connection_count(&self, key: ReplicaKey) -> usize {
         self.open.borrow().get(&key).copied().unwrap_or_default()
     }
 
-    /// Keeps a connection whose answer is whole; `keep_alive_ms` as the replica told it.
-    pub fn keep(&self, link: Link, keep_alive_ms: Option<u64>) {
-        let Link { wire, key, .. } = link;
-        let kept_ms = keep_alive_ms.map_or(UNTOLD_MS, |it| (it as f64 * KEPT) as u64);
-        let until = self.clock.now().after_ms(kept_ms);
+    /// Returns a connection to the pool after a complete response; `keep_alive_ms` is the timeout that the replica
+    /// declared.
+    pub fn release(&self, link: ReplicaConnection, keep_alive_ms: Option<u64>) {
+        let ReplicaConnection { wire, key, .. } = link;
+        let keep_ms = keep_alive_ms.map_or(DEFAULT_KEEP_ALIVE_MS, |it| {
+            (it as f64 * KEEP_ALIVE_FRACTION) as u64
+        });
+        let until = self.clock.now().after_ms(keep_ms);
         let mut idle = self.idle.borrow_mut();
         idle.entry(key).or_default().push(Idle { wire, until });
     }
 
-    /// Closes connections that have been kept long enough, and those to replicas that are gone.
-    pub fn expire(&self, known: impl Fn(ReplicaKey) -> bool) {
+    /// Closes idle connections whose keep-alive time is over, and those to replicas that are no longer listed.
+    pub fn expire(&self, is_listed: impl Fn(ReplicaKey) -> bool) {
         let now = self.clock.now();
-        self.idle.borrow_mut().retain(|key, kept| {
-            kept.retain(|it| now < it.until);
-            !kept.is_empty() && known(*key)
+        self.idle.borrow_mut().retain(|key, idle_connections| {
+            idle_connections.retain(|it| now < it.until);
+            !idle_connections.is_empty() && is_listed(*key)
         });
     }
 
-    fn count(&self, key: ReplicaKey) -> Counted {
+    fn count(&self, key: ReplicaKey) -> ConnectionCounter {
         *self.open.borrow_mut().entry(key).or_default() += 1;
-        Counted {
+        ConnectionCounter {
             key,
             open: Rc::clone(&self.open),
         }
     }
 }
 
-impl Link {
-    /// The replica that it leads to.
+impl ReplicaConnection {
+    /// Returns the replica at the other end.
     pub fn replica(&self) -> ReplicaKey {
-        debug_assert_eq!(self.key, self.counted.key);
+        debug_assert_eq!(self.key, self.counter.key);
         self.key
     }
 }
--- a/crates/gradeloft_gateway/tests/framing.rs
+++ b/crates/gradeloft_gateway/tests/framing.rs
@@ -66,7 +66,7 @@
             }
         }
         prop_assert_eq!(ids, vec![Some(1), Some(2), Some(3)]);
-        prop_assert!(splitter.partial());
+        prop_assert!(splitter.has_partial_event());
     }
 }
 
@@ -86,9 +86,9 @@
     let mut buffer = BytesMut::from(&b"part"[..]);
     assert!(matches!(decoder.take(&mut buffer), Ok(Piece::Data(_))));
     assert_eq!(decoder.take(&mut buffer), Ok(Piece::More));
-    assert!(decoder.closed());
+    assert!(decoder.finish_at_eof());
     let mut short = Decoder::new(Framing::Length(9));
-    assert!(!short.closed());
+    assert!(!short.finish_at_eof());
 }
 
 /// The bytes of a stream's events from number `from` on.
@@ -116,7 +116,7 @@
             let mut splitter = Splitter::default();
             for part in run.chunks(part) {
                 splitter.feed(part);
-                cursor.pass(&mut splitter, &mut out).unwrap();
+                cursor.relay_events(&mut splitter, &mut out).unwrap();
             }
         }
         prop_assert_eq!(&out[..], &events(1, count)[..]);
--- a/crates/gradeloft_gateway/tests/wire.rs
+++ b/crates/gradeloft_gateway/tests/wire.rs
@@ -17,10 +17,10 @@
         let (stream, _) = listener.accept().unwrap();
         stream.set_nonblocking(true).unwrap();
         let wire = Wire::accepted(tokio::net::TcpStream::from_std(stream).unwrap());
-        assert!(!wire.pending() && !wire.has_gone());
+        assert!(!wire.has_pending_data() && !wire.is_closed());
         other.write_all(b"x").unwrap();
-        assert!(wire.pending() && wire.unread() && !wire.has_gone());
+        assert!(wire.has_pending_data() && wire.has_unread_data() && !wire.is_closed());
         drop(other);
-        assert!(wire.pending());
+        assert!(wire.has_pending_data());
     });
 }
