--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -61,7 +61,10 @@
     /// Checks whether the process was stalled a moment ago, or its machine suspended. Called before the process acts on
     /// its state, which is outdated after a stall.
     pub fn detect_stall(&self) {
-        self.activity_gaps.borrow_mut().ticks.seen(self.clock.now());
+        self.activity_gaps
+            .borrow_mut()
+            .ticks
+            .note_event(self.clock.now());
         let suspended = self.timers.look();
         if !suspended.is_zero()
             && let Some(log) = self.logs.line(Topic::State)
@@ -114,8 +117,8 @@
     pub fn note_peer_copies(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
         let now = self.clock.now();
         let mut activity_gaps = self.activity_gaps.borrow_mut();
-        activity_gaps.ticks.seen(now);
-        activity_gaps.datagrams.seen(now);
+        activity_gaps.ticks.note_event(now);
+        activity_gaps.datagrams.note_event(now);
         let fresh = activity_gaps.ticks.fresh(now);
         if fresh {
             self.informed_at.set(Some(now));
@@ -150,7 +153,7 @@
         let interrupted = self.read_states.borrow()[index(table)] == ReadState::Interrupted;
         self.set_after_interruption(table, interrupted);
         let activity_gaps = self.activity_gaps.borrow();
-        let gap = |it: &Gaps| it.within(asked, answered);
+        let gap = |it: &Gaps| it.gap_since(asked, answered);
         let disturbed = interrupted || gap(&activity_gaps.ticks) || gap(&activity_gaps.datagrams);
         if !disturbed {
             self.informed_at.set(Some(answered));
@@ -163,7 +166,7 @@
             disturbed,
         };
         let offsets = update.records.iter().map(|it| it.offset);
-        self.write_times.borrow_mut()[index(table)].read(offsets, read);
+        self.write_times.borrow_mut()[index(table)].note_read(offsets, read);
     }
 }
 
