--- a/crates/gradeloft_policy/src/version/outside_sources.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -51,8 +51,7 @@
 
 impl OutsideSources {
     /// Returns the source to read from now, if there is one. After `share` chunks, requests to the origin are
-    /// spaced by [`BEYOND_SHARE_INTERVAL_MS`], so that a chunk that no other agent reads is delayed rather than missing
-    /// forever.
+    /// spaced out, so that a chunk that no other agent reads is delayed rather than missing forever.
     pub fn source(&self, share: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
             return Some(Upstream::Store);
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns the time for which the replica gets no requests after an order for a superseded version, in
-    /// milliseconds: until [`FOLLOWERS`] other replicas have been ordered to load it.
+    /// milliseconds: until some other replicas have been ordered to load it.
     pub fn closed_ms(self, version_ms: u64) -> u64 {
         if self.all < self.rank + 1 + FOLLOWERS as usize {
             return LAST_CLOSED_MS;
