--- a/crates/gradeloft_gateway/tests/framing.rs
+++ b/crates/gradeloft_gateway/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Where bodies and events end.
+//! Framing of bodies and events.
 
 use bytes::BytesMut;
 use gradeloft_gateway::{
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// The body, whether it is whole, and what follows it.
+/// Returns the body, whether it is complete, and the bytes after it.
 fn decode(framing: Framing, parts: &[&[u8]]) -> Result<(Vec<u8>, bool, Vec<u8>), ()> {
     let mut decoder = Decoder::new(framing);
     let mut buffer = BytesMut::new();
@@ -34,14 +34,14 @@
 
 proptest! {
     #[test]
-    fn a_body_in_chunks_may_be_cut_anywhere(cut in 0..38usize) {
+    fn chunked_body_may_be_split_anywhere(cut in 0..38usize) {
         let bytes = b"5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nT: v\r\n\r\nnext";
         let decoded = decode(Framing::Chunked, &[&bytes[..cut], &bytes[cut..]]);
         prop_assert_eq!(decoded, Ok((b"hello world".to_vec(), true, b"next".to_vec())));
     }
 
     #[test]
-    fn arbitrary_bytes_are_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(Framing::Chunked, &[&bytes]);
         let _ = head::request(&mut BytesMut::from(&bytes[..]));
         let _ = head::response(&mut BytesMut::from(&bytes[..]));
@@ -51,7 +51,7 @@
     }
 
     #[test]
-    fn events_come_out_whole_however_they_arrive(cuts in prop::collection::vec(0..60usize, 0..6)) {
+    fn events_are_complete_for_any_split_of_the_stream(cuts in prop::collection::vec(0..60usize, 0..6)) {
         let bytes: &[u8] = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\nid: 4";
         let mut cuts: Vec<usize> = cuts.into_iter().map(|it| it.min(bytes.len())).collect();
         cuts.sort_unstable();
@@ -76,12 +76,12 @@
 #[case(b"\r\n")]
 #[case(b"1\r\nab\r\n")]
 #[case(b"fffffffffffffffff\r\n")]
-fn chunks_that_are_none_are_refused(#[case] bytes: &[u8]) {
+fn invalid_chunks_are_rejected(#[case] bytes: &[u8]) {
     assert_eq!(decode(Framing::Chunked, &[bytes]), Err(()));
 }
 
 #[test]
-fn a_body_without_a_length_ends_only_with_its_connection() {
+fn body_without_length_ends_only_with_its_connection() {
     let mut decoder = Decoder::new(Framing::Close);
     let mut buffer = BytesMut::from(&b"part"[..]);
     assert!(matches!(decoder.take(&mut buffer), Ok(Piece::Data(_))));
@@ -91,18 +91,17 @@
     assert!(!short.finish_at_eof());
 }
 
-/// The bytes of a stream's events from number `from` on.
+/// Returns the bytes of a stream's events from number `from` to `to`.
 fn events(from: u64, to: u64) -> Vec<u8> {
     let event = |it: u64| format!("id: {it}\ndata: {}\n\n", "x".repeat(it as usize % 5));
     (from..=to).map(event).collect::<String>().into_bytes()
 }
 
 proptest! {
-    /// Replicas break off anywhere, and those that go on repeat some events, or all: the caller gets
-    /// each event once and in order. Fails if events that the caller has are not left out, or if half
-    /// an event is passed on.
+    /// Replicas fail anywhere in a stream, and those that continue it repeat some or all events. The caller must get
+    /// each event once and in order. Fails if repeated events are not left out, or if an incomplete event is relayed.
     #[test]
-    fn a_stream_over_any_replicas_has_each_event_once(
+    fn stream_resumed_across_replicas_has_each_event_once(
         runs in prop::collection::vec((0..8u64, 0..200usize, 1..40usize), 0..6),
         count in 1..20u64,
     ) {
--- a/crates/gradeloft_gateway/tests/wire.rs
+++ b/crates/gradeloft_gateway/tests/wire.rs
@@ -1,4 +1,4 @@
-//! A connection as its runtime sees it, and as it is.
+//! State of a connection as read from the socket itself.
 
 use std::{
     io::Write,
@@ -7,10 +7,10 @@
 
 use gradeloft_gateway::h1::wire::Wire;
 
-/// A process that stood still knows that a time is over before its runtime tells what came meanwhile, so silence is
-/// judged by the socket itself.
+/// After a pause of the process, timers fire before the runtime reports data that arrived during the pause, so silence
+/// is judged by the socket itself.
 #[test]
-fn what_the_runtime_has_not_told_yet_is_pending() {
+fn pending_data_is_detected_before_the_runtime_reports_it() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut other = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
