--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -104,15 +104,15 @@
 
     /// Applies the status of an entry, unless it is from an earlier start of it.
     pub fn receive(&mut self, address: Ipv4Addr, status: Status<'_>, now: Time) {
-        self.take_in(address, status, SILENCE_MS, now);
+        self.apply_status(address, status, SILENCE_MS, now);
     }
 
     /// Applies the status of an entry that another entry relayed.
     pub fn receive_relayed(&mut self, address: Ipv4Addr, status: Status<'_>, now: Time) {
-        self.take_in(address, status, RELAYED_SILENCE_MS, now);
+        self.apply_status(address, status, RELAYED_SILENCE_MS, now);
     }
 
-    fn take_in(&mut self, address: Ipv4Addr, status: Status<'_>, silence_ms: u64, now: Time) {
+    fn apply_status(&mut self, address: Ipv4Addr, status: Status<'_>, silence_ms: u64, now: Time) {
         self.learn(address, Some(status.zone));
         let Some(entry) = self.entries.get_mut(&address) else {
             return;
@@ -185,8 +185,8 @@
     /// unknown. An entry that has just started has met few others. If many start at once, each
     /// would otherwise take most of the budget: of seven entries, six restarted together would each
     /// take half of it or all, and together more than there is.
-    pub fn budget_sharers(&self, acquaintance: Discovery) -> Option<usize> {
-        match acquaintance {
+    pub fn budget_sharers(&self, discovery: Discovery) -> Option<usize> {
+        match discovery {
             Discovery::None => None,
             Discovery::Listed => Some(self.peak_size().max(self.entries.len() + 1)),
             Discovery::Complete => Some(self.peak_size()),
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -172,19 +172,19 @@
         - (total(&areas[home]) % areas[home].entries.max(1) as u32);
     let entries = areas[home].entries.max(1) as u32;
     let mut number = 0;
-    let mut mine = |slots: u32| {
+    let mut own_slots = |slots: u32| {
         let numbers = number..number + slots;
         number += slots;
         let range = range.clone();
-        let mine = numbers
+        let own_slots = numbers
             .filter(|it| range.contains(it) && (it - range.start) % entries == turn % entries);
-        mine.count() as u32
+        own_slots.count() as u32
     };
     let regions = areas.iter().zip(lent);
     regions
         .map(|(area, lent)| {
             let spread = spread(&area.slots, *lent).into_iter();
-            spread.map(&mut mine).collect()
+            spread.map(&mut own_slots).collect()
         })
         .collect()
 }
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -205,25 +205,25 @@
 
     /// Returns the time for which a process leaves it to others of its region to fetch what `key`
     /// identifies from another region, in milliseconds.
-    pub fn far_wait_ms(&self, key: u64, caller: Fetcher, now: Time) -> u64 {
-        if caller.role == Role::Agent && self.near(now).next().is_some() {
+    pub fn far_wait_ms(&self, key: u64, fetcher: Fetcher, now: Time) -> u64 {
+        if fetcher.role == Role::Agent && self.near(now).next().is_some() {
             return AGENT_FAR_MS;
         }
         let near = self.near(now).map(|it| node_hash(it.peer));
-        let rank = rendezvous::rank(key, node_hash(caller.address), near);
+        let rank = rendezvous::rank(key, node_hash(fetcher.address), near);
         let turn = (rank / FAR_AT_ONCE).checked_ilog2().map_or(0, |it| it + 1);
         u64::from(turn) * FAR_TURN_MS
     }
 
     fn near(&self, now: Time) -> impl Iterator<Item = &Holder> {
-        let speaks = move |it: &&Holder| now < it.at.after_ms(SILENCE_MS);
-        self.known.iter().filter(|it| it.near).filter(speaks)
+        let is_recent = move |it: &&Holder| now < it.at.after_ms(SILENCE_MS);
+        self.known.iter().filter(|it| it.near).filter(is_recent)
     }
 
-    fn having(&self, offset: u64, now: Time) -> impl Iterator<Item = &Holder> {
-        let speaks = move |it: &&Holder| now < it.at.after_ms(SILENCE_MS);
+    fn holding(&self, offset: u64, now: Time) -> impl Iterator<Item = &Holder> {
+        let is_recent = move |it: &&Holder| now < it.at.after_ms(SILENCE_MS);
         let has = move |it: &&Holder| offset < it.end;
-        self.known.iter().filter(speaks).filter(has)
+        self.known.iter().filter(is_recent).filter(has)
     }
 }
 
@@ -334,7 +334,8 @@
 
     /// Clears the refusals of peers that did not hold the value, since it was announced again.
     pub fn announced(&mut self) {
-        self.exclusions.retain(|_, bar| *bar != Exclusion::NotHeld);
+        self.exclusions
+            .retain(|_, exclusion| *exclusion != Exclusion::NotHeld);
     }
 
     /// Chooses the next peer: any of the own region that holds the value, or one of another region
@@ -343,38 +344,47 @@
     pub fn choose(
         &self,
         holders: &Holders,
-        caller: Fetcher,
+        fetcher: Fetcher,
         now: Time,
         rng: &mut impl Rng,
     ) -> Choice {
-        let bar = |it: &Holder| self.exclusions.get(&it.peer).copied();
-        let able: Vec<&Holder> = holders
-            .having(self.want.offset, now)
-            .filter(|it| bar(it) != Some(Exclusion::NotHeld))
+        let exclusion = |it: &Holder| self.exclusions.get(&it.peer).copied();
+        let candidates: Vec<&Holder> = holders
+            .holding(self.want.offset, now)
+            .filter(|it| exclusion(it) != Some(Exclusion::NotHeld))
             .collect();
-        let until = |it: &Holder| bar(it).and_then(Exclusion::until).filter(|it| now < *it);
+        let until = |it: &Holder| {
+            exclusion(it)
+                .and_then(Exclusion::until)
+                .filter(|it| now < *it)
+        };
         let free = |near: bool| {
-            let these = able.iter().filter(move |it| it.near == near);
+            let these = candidates.iter().filter(move |it| it.near == near);
             these.filter(|it| until(it).is_none())
         };
         if let Some(holder) = free(true).choose(rng) {
             return Choice::Ask(holder.peer);
         }
-        let busy = |it: &&&Holder| it.near && matches!(bar(it), Some(Exclusion::Busy(_)));
-        if let Some(soonest) = able.iter().filter(busy).filter_map(|it| until(it)).min() {
+        let busy = |it: &&&Holder| it.near && matches!(exclusion(it), Some(Exclusion::Busy(_)));
+        if let Some(soonest) = candidates
+            .iter()
+            .filter(busy)
+            .filter_map(|it| until(it))
+            .min()
+        {
             return Choice::Wait(soonest.since(now));
         }
         if let Some(holder) = free(false).choose(rng) {
-            let wait_ms = holders.far_wait_ms(self.want.offset, caller, now);
+            let wait_ms = holders.far_wait_ms(self.want.offset, fetcher, now);
             let turn = self.begun.after_ms(wait_ms);
             if turn <= now {
                 return Choice::Ask(holder.peer);
             }
             return Choice::Wait(turn.since(now).min(FAR_POLL));
         }
-        let soonest = able
+        let soonest = candidates
             .iter()
-            .filter_map(|it| until(it).zip(bar(it)))
+            .filter_map(|it| until(it).zip(exclusion(it)))
             .min_by_key(|it| it.0);
         match soonest {
             Some((until, Exclusion::Busy(_))) => Choice::Wait(until.since(now)),
@@ -389,7 +399,7 @@
         &self,
         peer: Ipv4Addr,
         holders: &Holders,
-        caller: Fetcher,
+        fetcher: Fetcher,
         now: Time,
         rng: &mut impl Rng,
     ) -> bool {
@@ -397,16 +407,16 @@
         let others = Holders {
             known: others.copied().collect(),
         };
-        matches!(self.choose(&others, caller, now, rng), Choice::Ask(_))
+        matches!(self.choose(&others, fetcher, now, rng), Choice::Ask(_))
     }
 
     /// Records that a peer sent no more of the value.
     pub fn refused(&mut self, peer: Ipv4Addr, refusal: Refusal, now: Time, rng: &mut impl Rng) {
-        let bar = match refusal {
+        let exclusion = match refusal {
             Refusal::Busy => Exclusion::Busy(now.after_ms(rng.random_range(BUSY_MS))),
             Refusal::Faulty => Exclusion::Faulty(now.after_ms(FAULTY_MS)),
             Refusal::NotHeld => Exclusion::NotHeld,
         };
-        self.exclusions.insert(peer, bar);
+        self.exclusions.insert(peer, exclusion);
     }
 }
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -89,8 +89,8 @@
                 .earliest
                 .unwritten_until(offset)
                 .unwrap_or(read.answered);
-            let counts = earliest.max(bound).min(read.answered);
-            self.effective.note(offset + 1, counts);
+            let written = earliest.max(bound).min(read.answered);
+            self.effective.note(offset + 1, written);
         }
         self.read_at = Some(read.answered);
         self.read_delayed = read.is_delayed();
@@ -103,9 +103,9 @@
             return Time::ZERO;
         }
         let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
-        let looked = !self.read_at.is_none_or(paused) && !self.read_delayed;
+        let reading_steadily = !self.read_at.is_none_or(paused) && !self.read_delayed;
         let waited = read.asked.after_ms(DELAYED_MS) < read.answered;
-        match (looked, waited) {
+        match (reading_steadily, waited) {
             (true, _) => read.answered,
             // The store would have answered at once if the records had been there at the start of
             // the read.
