--- a/crates/gradeloft_policy/src/version/fetch/hedge.rs
+++ b/crates/gradeloft_policy/src/version/fetch/hedge.rs
@@ -20,7 +20,7 @@
 /// State of hedging in one fetch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hedge {
-    begun: Time,
+    started: Time,
     /// Time at which nearly all chunks were in the fleet, and the time that the rest may take, in milliseconds.
     nearly_complete: Option<(Time, u64)>,
 }
@@ -29,7 +29,7 @@
     /// Creates the state for a fetch that begins at `now`.
     pub(super) fn new(now: Time) -> Hedge {
         Hedge {
-            begun: now,
+            started: now,
             nearly_complete: None,
         }
     }
@@ -37,7 +37,7 @@
     /// Records that `missing` of `all` chunks are nowhere in the fleet.
     pub(super) fn record_missing(&mut self, missing: usize, all: usize, now: Time) {
         if missing as f64 <= MAX_MISSING * all as f64 {
-            let elapsed_ms = now.seconds_since(self.begun) * 1000.0;
+            let elapsed_ms = now.seconds_since(self.started) * 1000.0;
             let rest_ms = elapsed_ms * missing as f64 / (all - missing).max(1) as f64;
             self.nearly_complete
                 .get_or_insert((now, (rest_ms * SLACK) as u64));
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -239,15 +239,15 @@
     assert_eq!(far_only, Choice::Ask(peer(1)));
     holders.note(peer(2), None, 4, Time::ZERO);
     holders.note(peer(3), Some(true), 4, Time::ZERO);
-    let mut asked = [0; 4];
+    let mut choices = [0; 4];
     for _ in 0..40 {
         let Choice::Ask(peer) = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng) else {
             panic!("no holder was chosen");
         };
-        asked[usize::from(peer.octets()[3])] += 1;
+        choices[usize::from(peer.octets()[3])] += 1;
     }
-    assert_eq!(asked[1], 0);
-    assert!(asked[2].min(asked[3]) > 5, "{asked:?}");
+    assert_eq!(choices[1], 0);
+    assert!(choices[2].min(choices[3]) > 5, "{choices:?}");
     transfer.refused(peer(2), Refusal::NotHeld, Time::ZERO, &mut rng);
     transfer.refused(peer(3), Refusal::Busy, Time::ZERO, &mut rng);
     let queued = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
@@ -279,8 +279,8 @@
 #[test]
 fn few_processes_of_a_region_fetch_from_another_region_at_first() {
     let now = Time::ZERO.after_ms(1);
-    let asking = |at: Time| {
-        let asks = |own: u8| {
+    let fetching = |at: Time| {
+        let fetches = |own: u8| {
             let mut holders = Holders::default();
             for near in (0..14).filter(|it| *it != own) {
                 holders.note(peer(near), Some(true), 3, at);
@@ -289,15 +289,15 @@
             let transfer = Transfer::new(missing("config", "large", 3), now);
             transfer.choose(&holders, entry(own), at, &mut rng()) == Choice::Ask(peer(100))
         };
-        (0..14).filter(|it| asks(*it)).count()
+        (0..14).filter(|it| fetches(*it)).count()
     };
-    assert_eq!(asking(now), 2);
+    assert_eq!(fetching(now), 2);
     assert_eq!(
-        asking(now.after_ms(500)),
+        fetching(now.after_ms(500)),
         4,
         "two more try in case the first two fail"
     );
-    assert_eq!(asking(now.after_ms(2_000)), 14);
+    assert_eq!(fetching(now.after_ms(2_000)), 14);
 }
 
 /// Simulated process in an availability zone that lacks a record.
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -277,20 +277,20 @@
 /// proportional to the demand of its callers, wherever the slots are, and most of them are in its own region.
 #[test]
 fn entries_get_slots_in_proportion_to_their_demand() {
-    let asked = [
+    let loads = [
         (30, 217.0),
         (34, 233.0),
         (30, 169.0),
         (30, 249.0),
         (25, 201.0),
     ];
-    let regions = asked.map(|(entries, demand)| RegionSlots {
+    let regions = loads.map(|(entries, demand)| RegionSlots {
         entries,
         demand,
         slots: vec![8; 24],
     });
     let mut near = 0;
-    for (home, (entries, demand)) in asked.into_iter().enumerate() {
+    for (home, (entries, demand)) in loads.into_iter().enumerate() {
         let parts: Vec<_> = (0..entries)
             .map(|own| slot_split::parts_by_region(&regions, home, own))
             .collect();
--- a/crates/gradeloft_policy/tests/versions.rs
+++ b/crates/gradeloft_policy/tests/versions.rs
@@ -183,8 +183,8 @@
     let last = begins.iter().map(|it| it.0).max().unwrap();
     for now in 0..last + 700 {
         let ordered = begins.iter().filter(|it| it.0 <= now);
-        let (begun, latest) = ordered.max_by_key(|it| it.0).unwrap();
-        assert!(now < begun + latest.closed_ms(8_000), "at {now} ms");
+        let (started, latest) = ordered.max_by_key(|it| it.0).unwrap();
+        assert!(now < started + latest.closed_ms(8_000), "at {now} ms");
     }
 }
 
@@ -197,8 +197,8 @@
         let wave = Wave::with_first(9, *own, &others, &first);
         superseded_load_start_ms(&wave) < 5 * 120
     };
-    let begun: Vec<u64> = nodes.iter().copied().filter(begins).collect();
-    assert_eq!(begun, first);
+    let started: Vec<u64> = nodes.iter().copied().filter(begins).collect();
+    assert_eq!(started, first);
 }
 
 #[test]
