--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -18,7 +18,7 @@
 /// let mut ticks = Gaps::new(1_000);
 /// ticks.note_event(at(100));
 /// assert!(!ticks.gap_since(at(90), at(1_100)));
-/// assert!(ticks.gap_since(at(90), at(1_101)), "it may go on");
+/// assert!(ticks.gap_since(at(90), at(1_101)), "a gap may be in progress");
 /// ticks.note_event(at(4_000));
 /// assert!(ticks.gap_since(at(3_990), at(4_010)));
 /// assert!(ticks.fresh(at(4_250)) && !ticks.fresh(at(4_249)));
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 
 /// Number of recent records kept for peers; a peer that is further behind gets a snapshot.
-const TAIL: usize = 512;
+const TAIL_RECORDS: usize = 512;
 /// Limit for the size of these records, in bytes; the latest one is always kept. It holds four
 /// configurations of 0.9 MB on an instance with 128 MB of memory.
 const TAIL_BYTES: usize = 4 << 20;
@@ -164,7 +164,9 @@
     fn keep(&mut self, record: Record) {
         self.tail_bytes += bytes([&record].into_iter());
         self.tail.push_back(record);
-        while TAIL < self.tail.len() || (TAIL_BYTES < self.tail_bytes && 1 < self.tail.len()) {
+        while TAIL_RECORDS < self.tail.len()
+            || (TAIL_BYTES < self.tail_bytes && 1 < self.tail.len())
+        {
             let dropped = self.tail.pop_front();
             self.tail_bytes -= bytes(dropped.iter());
         }
--- a/crates/gradeloft_policy/src/process/pending_update.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -25,7 +25,7 @@
 impl Row {
     fn offset(&self) -> u64 {
         match self {
-            Row::Missing(want) => want.offset,
+            Row::Missing(missing) => missing.offset,
             Row::Present(record) => record.offset,
         }
     }
@@ -59,27 +59,28 @@
     /// Returns the first missing value.
     pub fn missing(&self) -> Option<&MissingValue> {
         self.rows.iter().find_map(|it| match it {
-            Row::Missing(want) => Some(want),
+            Row::Missing(missing) => Some(missing),
             Row::Present(_) => None,
         })
     }
 
     /// Whether it announces a value that is too large to be fetched from peers.
     pub fn oversized(&self) -> bool {
-        let too_large = |it: &Row| matches!(it, Row::Missing(want) if MAX_VALUE < want.length);
+        let too_large =
+            |it: &Row| matches!(it, Row::Missing(missing) if MAX_VALUE < missing.length);
         self.rows.iter().any(too_large)
     }
 
     /// Fills in the missing values that `held` returns.
     pub fn fill(&mut self, held: impl Fn(&MissingValue) -> Option<Bytes>) {
         for row in &mut self.rows {
-            if let Row::Missing(want) = row
-                && let Some(value) = held(want)
+            if let Row::Missing(missing) = row
+                && let Some(value) = held(missing)
             {
                 *row = Row::Present(Record {
-                    key: std::mem::take(&mut want.key),
+                    key: std::mem::take(&mut missing.key),
                     value: Some(value),
-                    offset: want.offset,
+                    offset: missing.offset,
                 });
             }
         }
@@ -87,11 +88,11 @@
 
     /// Returns the present values by offset.
     pub fn values(&self) -> HashMap<u64, Bytes> {
-        let here = self.rows.iter().filter_map(|it| match it {
+        let present = self.rows.iter().filter_map(|it| match it {
             Row::Present(record) => Some((record.offset, record.value.clone()?)),
             Row::Missing(_) => None,
         });
-        here.collect()
+        present.collect()
     }
 
     /// Whether it is incomplete and contains nothing new for a copy that ends at `end`.
@@ -105,17 +106,17 @@
         if !self.snapshot {
             self.rows.retain(|it| end <= it.offset());
         }
-        let here = self
+        let present = self
             .rows
             .iter()
             .take_while(|it| matches!(it, Row::Present(_)));
-        let here = here.count();
-        let whole = here == self.rows.len();
-        if !whole && (self.snapshot || here == 0) {
+        let present = present.count();
+        let whole = present == self.rows.len();
+        if !whole && (self.snapshot || present == 0) {
             return None;
         }
-        let end = self.rows.get(here).map_or(self.end, Row::offset);
-        let records = self.rows.drain(..here).filter_map(|it| match it {
+        let end = self.rows.get(present).map_or(self.end, Row::offset);
+        let records = self.rows.drain(..present).filter_map(|it| match it {
             Row::Present(record) => Some(record),
             Row::Missing(_) => None,
         });
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -95,8 +95,8 @@
     pub fn rate(&mut self, now: Time) -> f64 {
         self.decay(now);
         let larger = self.steady.max(self.recent);
-        let chance = (larger * self.unit / (2.0 * CHANGE_WINDOW_S)).sqrt();
-        if CHANGE_SIGMAS * chance < (self.steady - self.recent).abs() {
+        let deviation = (larger * self.unit / (2.0 * CHANGE_WINDOW_S)).sqrt();
+        if CHANGE_SIGMAS * deviation < (self.steady - self.recent).abs() {
             self.steady = self.recent;
         }
         self.steady
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -49,16 +49,16 @@
 }
 
 impl<K: Eq + Hash> RemoteLoads<K> {
-    /// Stores a part of the report of `who`.
-    pub fn receive(&mut self, who: K, part: Part) {
-        let parts = self.reports.entry(who).or_default();
+    /// Stores a part of the report of `sender`.
+    pub fn receive(&mut self, sender: K, part: Part) {
+        let parts = self.reports.entry(sender).or_default();
         parts.retain(|number, it| *number <= part.further && it.further == part.further);
         parts.insert(part.part, part);
     }
 
     /// Drops the reports of the senders for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&K) -> bool) {
-        self.reports.retain(|who, _| keep(who));
+        self.reports.retain(|sender, _| keep(sender));
     }
 
     /// Drops the parts that were received before a time.
@@ -69,12 +69,12 @@
         self.reports.retain(|_, parts| !parts.is_empty());
     }
 
-    /// Whether there is a report of `who`.
-    pub fn has<Q: Eq + Hash + ?Sized>(&self, who: &Q) -> bool
+    /// Whether there is a report of `sender`.
+    pub fn has<Q: Eq + Hash + ?Sized>(&self, sender: &Q) -> bool
     where
         K: Borrow<Q>,
     {
-        self.reports.contains_key(who)
+        self.reports.contains_key(sender)
     }
 
     /// Returns the number of senders with a report.
@@ -95,8 +95,12 @@
     }
 
     /// Returns the requests a second that a sender receives, by its latest part.
-    pub fn demand_of(&self, who: &K) -> f64 {
-        let parts = self.reports.get(who).into_iter().flat_map(|it| it.values());
+    pub fn demand_of(&self, sender: &K) -> f64 {
+        let parts = self
+            .reports
+            .get(sender)
+            .into_iter()
+            .flat_map(|it| it.values());
         parts.max_by_key(|it| it.at).map_or(0.0, |it| it.demand)
     }
 
--- a/crates/gradeloft_policy/src/process/replica_starts.rs
+++ b/crates/gradeloft_policy/src/process/replica_starts.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Starts {
     /// The known start, as a Unix time in milliseconds.
-    now: Option<u64>,
+    current: Option<u64>,
     /// The start before it.
     ended: Option<u64>,
 }
@@ -27,7 +27,7 @@
     /// Creates the state for the first known start.
     pub fn new(born: Option<u64>) -> Starts {
         Starts {
-            now: born,
+            current: born,
             ended: None,
         }
     }
@@ -43,14 +43,14 @@
     /// assert_eq!(starts.received(Some(2_000)), StartOrder::Ended);
     /// ```
     pub fn listed(&mut self, born: Option<u64>) -> StartOrder {
-        match (self.now, born) {
-            (Some(now), Some(born)) if now != born => {
-                self.ended = Some(now);
-                self.now = Some(born);
+        match (self.current, born) {
+            (Some(current), Some(born)) if current != born => {
+                self.ended = Some(current);
+                self.current = Some(born);
                 StartOrder::Newer
             }
             _ => {
-                self.now = self.now.or(born);
+                self.current = self.current.or(born);
                 StartOrder::Same
             }
         }
@@ -59,14 +59,16 @@
     /// Applies a message that may be delayed: one about an earlier start, or about the one that
     /// ended last, changes nothing.
     pub fn received(&mut self, born: Option<u64>) -> StartOrder {
-        match (self.now, born) {
-            (Some(now), Some(born)) if born < now || self.ended == Some(born) => StartOrder::Ended,
+        match (self.current, born) {
+            (Some(current), Some(born)) if born < current || self.ended == Some(born) => {
+                StartOrder::Ended
+            }
             _ => self.listed(born),
         }
     }
 
     /// Returns the known start as a Unix time in milliseconds.
     pub fn born(self) -> Option<u64> {
-        self.now
+        self.current
     }
 }
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -26,7 +26,7 @@
 /// use gradeloft_policy::process::slot_split::parts;
 /// let of = |own| parts(own, 4, &[16, 16]);
 /// assert_eq!(of(0), [4, 4]);
-/// // Every slot is somebody's.
+/// // Every slot is assigned to an entry.
 /// assert_eq!((0..4).map(|it| of(it)[0]).sum::<u32>(), 16);
 /// ```
 pub fn parts(own: usize, entries: usize, slots: &[u32]) -> Vec<u32> {
