--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -27,8 +27,8 @@
     traffic::Purpose,
 };
 
-/// Time without a response head after which the request is hedged: five times the longest latency objective, and
-/// shorter than the time after which callers give up.
+/// Time without a response head after which the request is hedged: five times the longest latency
+/// objective, and shorter than the time after which callers give up.
 const HEAD_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum number of responses to earlier requests that are skipped on one connection.
 const MAX_STALE_RESPONSES: u32 = 2;
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Sends the request and waits for the head of a response that can be relayed. Can be called again after
-    /// [`AttemptOutcome::Silent`].
+    /// Sends the request and waits for the head of a response that can be relayed. Can be called
+    /// again after [`AttemptOutcome::Silent`].
     pub async fn await_response_head(
         &mut self,
         entry: &Rc<Entry>,
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Finishes a successful attempt: returns the connection to the pool unless it has unexpected bytes left.
+    /// Finishes a successful attempt: returns the connection to the pool unless it has unexpected
+    /// bytes left.
     pub fn finish(self, entry: &Entry) {
         let now = entry.node.clock.now();
         entry.replicas.borrow_mut().succeeded(self.replica, now);
@@ -224,7 +225,8 @@
         self.connection.wire.abort();
     }
 
-    /// Ends the attempt after a failure or an abort; a request without a response head is cancelled at the replica.
+    /// Ends the attempt after a failure or an abort; a request without a response head is cancelled
+    /// at the replica.
     pub fn close(self, entry: &Entry, job: &Job) {
         match &self.stage {
             Stage::AwaitingHead(_) => self.abort(),
@@ -236,8 +238,8 @@
         }
     }
 
-    /// Returns the time without data after which the request is hedged; `None` if no other replica could take over, so
-    /// that silence must not end the response.
+    /// Returns the time without data after which the request is hedged; `None` if no other replica
+    /// could take over, so that silence must not end the response.
     fn silence_timeout(&self, job: &Job) -> Option<Duration> {
         let used = job.progress.attempts + u32::from(!self.silence_counted);
         let may_retry = job.route.kind.repeatable() && used < job.progress.max_attempts;
@@ -309,7 +311,8 @@
                     if job.deadline <= now {
                         return Err(AttemptOutcome::TimedOut);
                     }
-                    // After a pause of this process, timers may fire before data that has arrived is read.
+                    // After a pause of this process, timers may fire before data that has arrived
+                    // is read.
                     if silent_at <= now && !connection.wire.has_pending_data() {
                         return Err(AttemptOutcome::Silent);
                     }
@@ -324,7 +327,8 @@
     }
 }
 
-/// Takes a pooled connection to a replica or opens a new one, unless the caller disconnects or the deadline passes first.
+/// Takes a pooled connection to a replica or opens a new one, unless the caller disconnects or the
+/// deadline passes first.
 async fn connect(
     entry: &Entry,
     caller: &mut Wire,
@@ -364,7 +368,8 @@
     })
 }
 
-/// Returns the failure for a response in which the replica reports that it did not execute the request.
+/// Returns the failure for a response in which the replica reports that it did not execute the
+/// request.
 fn not_executed_failure(entry: &Entry, head: &Response, id: &str) -> Option<Failure> {
     let headers = &entry.node.platform.headers;
     if head.status == 421 {
@@ -392,7 +397,8 @@
     AttemptOutcome::Failed(failure, None)
 }
 
-/// Returns the time until which a request may wait at a replica before it is cancelled, as the weights there expire.
+/// Returns the time until which a request may wait at a replica before it is cancelled, as the
+/// weights there expire.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
     let time = entry.start_deadline(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
@@ -405,7 +411,8 @@
     echoed.is_none() || echoed == job.received.head.fields.get(name)
 }
 
-/// Reads and discards the body of a response to another request; returns whether the connection is still usable.
+/// Reads and discards the body of a response to another request; returns whether the connection is
+/// still usable.
 async fn skip_body(
     entry: &Entry,
     caller: &mut Wire,
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -56,8 +56,8 @@
     pub prompt_tokens: f64,
     /// Urgency when the current replica was selected.
     pub urgency: Urgency,
-    /// Time until the first token that was forecast when the current replica was selected, in milliseconds;
-    /// 0 without a forecast.
+    /// Time until the first token that was forecast when the current replica was selected, in
+    /// milliseconds; 0 without a forecast.
     pub expected_ms: u64,
     /// Attempts so far, and the limits on further ones.
     pub progress: Attempts,
@@ -348,7 +348,8 @@
     match outcome {
         Outcome::Answered(status) => {
             record_outcome(entry, &job, status, "answered", None);
-            // A connection that was announced as kept stays open, as the next request may be in transit.
+            // A connection that was announced as kept stays open, as the next request may be in
+            // transit.
             keep_or_close(!job.close_after_response)
         }
         Outcome::Cut(abort_reason) => {
@@ -470,7 +471,8 @@
     (crashed || quarantined).then(|| job.fingerprint())
 }
 
-/// Returns for how long the configuration has been behind that of peers, in milliseconds; -1 if it is not.
+/// Returns for how long the configuration has been behind that of peers, in milliseconds; -1 if it
+/// is not.
 fn behind_ms(entry: &Entry) -> i64 {
     let behind = entry.node.behind(Table::Operator);
     behind.map_or(-1, |it| it.as_millis() as i64)
--- a/crates/gradeloft_gateway/src/entry/hedge.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -1,7 +1,9 @@
-//! Runs an attempt to its end, with a hedge request to a second replica while the first one is silent.
+//! Runs an attempt to its end, with a hedge request to a second replica while the first one is
+//! silent.
 //!
-//! Silence alone does not fail an attempt: the replica may be slow, paused, or processing a long prompt, and its
-//! response is as good as any. Its connection stays open until another replica has begun to respond.
+//! Silence alone does not fail an attempt: the replica may be slow, paused, or processing a long
+//! prompt, and its response is as good as any. Its connection stays open until another replica has
+//! begun to respond.
 
 use std::rc::Rc;
 
@@ -89,8 +91,8 @@
     }
 }
 
-/// Selects a replica for a hedge request. A request suspected of crashing replicas is never hedged, as the first replica
-/// may still be processing it.
+/// Selects a replica for a hedge request. A request suspected of crashing replicas is never hedged,
+/// as the first replica may still be processing it.
 fn select_hedge_replica(entry: &Rc<Entry>, job: &mut Job) -> Option<ReplicaKey> {
     if entry.suspects_request(job) {
         return None;
@@ -130,7 +132,8 @@
     attempt.close(entry, job);
 }
 
-/// Sends the request to a second replica, and keeps listening to the silent one until the second begins to respond.
+/// Sends the request to a second replica, and keeps listening to the silent one until the second
+/// begins to respond.
 async fn hedge(
     entry: &Rc<Entry>,
     caller: &mut Wire,
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -16,7 +16,8 @@
 use super::Entry;
 use crate::{node::Node, settings::Role};
 
-/// Time for which callers cache addresses, in seconds: short, so that they notice a shutdown within its grace period.
+/// Time for which callers cache addresses, in seconds: short, so that they notice a shutdown within
+/// its grace period.
 const TTL_S: u64 = 2;
 /// Limits of each of these listeners.
 const LIMITS: Limits = Limits {
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -15,16 +15,18 @@
     node::tables::Source,
 };
 
-/// Delays from the loss of a request to each probe of the replica's port. A process that ends closes its sockets one
-/// after the other, the listening one among them, so a single early probe can still find the port open.
+/// Delays from the loss of a request to each probe of the replica's port. A process that ends
+/// closes its sockets one after the other, the listening one among them, so a single early probe
+/// can still find the port open.
 const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(300)];
-/// Time after the loss of a request, in milliseconds, during which other requests may still read data that the
-/// replica sent before it crashed.
+/// Time after the loss of a request, in milliseconds, during which other requests may still read
+/// data that the replica sent before it crashed.
 const READ_GRACE_MS: u64 = 15;
 /// Connect timeout of a probe, the same as for requests.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time after the loss of a request, in milliseconds, within which the end of its replica counts as a crash under the
-/// request: the platform delists a replica 3.6 s after its last heartbeat, and entries learn of that a second later.
+/// Time after the loss of a request, in milliseconds, within which the end of its replica counts as
+/// a crash under the request: the platform delists a replica 3.6 s after its last heartbeat, and
+/// entries learn of that a second later.
 const LOSS_WINDOW_MS: u64 = 6_000;
 
 /// Evidence that a start of a replica has ended.
@@ -80,7 +82,8 @@
         })
     }
 
-    /// Records a request that was lost with its connection, and probes whether that start of the replica has ended.
+    /// Records a request that was lost with its connection, and probes whether that start of the
+    /// replica has ended.
     pub(in crate::entry) fn record_lost_request(
         self: &Rc<Entry>,
         job: &mut Job,
@@ -110,7 +113,8 @@
         }
     }
 
-    /// Probes whether a replica that lost a request still accepts connections, unless it proves to be alive first.
+    /// Probes whether a replica that lost a request still accepts connections, unless it proves to
+    /// be alive first.
     async fn probe_replica(self: Rc<Entry>, start: ReplicaStart, lost_at: Time) {
         for after in PROBE_DELAYS {
             self.node.timers.sleep_until(lost_at.after(after)).await;
@@ -143,7 +147,8 @@
             .is_some_and(|(lost, last_received)| lost.after_ms(READ_GRACE_MS) < last_received)
     }
 
-    /// Blames requests lost at replicas that are gone by now, and drops those whose loss is too long ago.
+    /// Blames requests lost at replicas that are gone by now, and drops those whose loss is too
+    /// long ago.
     pub(super) fn settle_lost_requests(&self, now: Time) {
         let replicas = self.replicas.borrow();
         let lost = self.quarantine.lost.borrow();
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -1,9 +1,10 @@
 //! Quarantine of requests that crash replicas: detection, gossip between entries, and storage.
 //!
-//! A broken connection does not prove that the replica behind it crashed, so a request that was lost with its
-//! connection is held here until it is certain that this start of the replica has ended. Suspects are sent to other
-//! entries at once, and each entry merges them with its own observations ([`Quarantine`]). What must survive the
-//! loss of all entries is stored in the table that the entries write.
+//! A broken connection does not prove that the replica behind it crashed, so a request that was
+//! lost with its connection is held here until it is certain that this start of the replica has
+//! ended. Suspects are sent to other entries at once, and each entry merges them with its own
+//! observations ([`Quarantine`]). What must survive the loss of all entries is stored in the table
+//! that the entries write.
 //!
 //! - `crash`: detection of replica crashes.
 //! - `store`: records of suspects in the platform's store.
@@ -48,8 +49,8 @@
     store::{HEARD_WRITE_DELAY_MS, STORE_AT_CRASHES},
 };
 
-/// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a mass failure
-/// there are more suspects than that; those with the most crashes go first.
+/// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a
+/// mass failure there are more suspects than that; those with the most crashes go first.
 const MAX_DATAGRAMS_PER_TURN: usize = 4;
 /// Bandwidth that an entry spends on gossip about suspects, beyond the first message of a turn.
 const GOSSIP_BUDGET: Budget = Budget {
@@ -57,13 +58,14 @@
     shortest: Duration::ZERO,
     longest: Duration::from_millis(1_000),
 };
-/// Upper bound of the random delay before a reply to a peer with incomplete knowledge of a suspect, in
-/// milliseconds. Many entries could reply and one reply is enough.
+/// Upper bound of the random delay before a reply to a peer with incomplete knowledge of a suspect,
+/// in milliseconds. Many entries could reply and one reply is enough.
 const MAX_REPLY_DELAY_MS: u64 = 500;
 
-/// Guard of an exclusive try: while it exists, this entry sends no other copy of the suspect request.
+/// Guard of an exclusive attempt: while it exists, this entry sends no other copy of the suspect
+/// request.
 ///
-/// It is held until the outcome of the try is certain.
+/// It is held until the outcome of the attempt is certain.
 pub(super) struct ExclusiveAttempt {
     entry: Weak<Entry>,
     request: Fingerprint,
@@ -107,7 +109,8 @@
         all.map(|it| (it, known.crashes(it))).collect()
     }
 
-    /// Returns the number of lost requests for which it is still uncertain whether their replica crashed.
+    /// Returns the number of lost requests for which it is still uncertain whether their replica
+    /// crashed.
     pub fn unsettled(&self) -> usize {
         let lost = self.quarantine.lost.borrow();
         lost.values().map(|it| it.requests.len()).sum()
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Returns whether this entry is the one that retries a quarantined request: a single one in the fleet, as long
-    /// as all entries have the same view of the membership.
+    /// Returns whether this entry is the one that retries a quarantined request: a single one in
+    /// the fleet, as long as all entries have the same view of the membership.
     fn is_retry_owner(&self, request: Fingerprint) -> bool {
         let own = roster::hash(&self.node.settings().address);
         let now = self.node.clock.now();
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Logs a change of what is known of a suspect, and schedules its gossip and its write to the store.
+    /// Logs a change of what is known of a suspect, and schedules its gossip and its write to the
+    /// store.
     fn suspect_changed(&self, request: Fingerprint, source: Source, now: Time) {
         let known = self.quarantine.known.borrow();
         let crashes = known.crashes(request);
@@ -278,8 +282,8 @@
         self.quarantine.next_gossip_at.set(now.after(pause));
     }
 
-    /// Sends the suspects with the most crashes to an entry that has just started: the store, which holds them,
-    /// may be unavailable.
+    /// Sends the suspects with the most crashes to an entry that has just started: the store, which
+    /// holds them, may be unavailable.
     pub(super) fn send_suspects_to(&self, newcomer: Ipv4Addr) {
         let now = self.node.clock.now();
         let known = self.quarantine.known.borrow();
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -16,16 +16,17 @@
 
 use crate::{entry::Entry, logs::Topic, node::tables::Source};
 
-/// Number of crashes from which a request is stored. The requests blamed for a single crash are mostly innocent, and
-/// each write to the store is billed.
+/// Number of crashes from which a request is stored. The requests blamed for a single crash are
+/// mostly innocent, and each write to the store is billed.
 pub(super) const STORE_AT_CRASHES: usize = 2;
-/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned from others and
-/// that is still missing in the store. The entry that observed the crash writes at once.
+/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned
+/// from others and that is still missing in the store. The entry that observed the crash writes at
+/// once.
 pub(super) const HEARD_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
 /// Delay before a failed write is retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 700;
-/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so that most
-/// entries find it deleted already.
+/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so
+/// that most entries find it deleted already.
 const DELETE_DELAY_MS: (u64, u64) = (1_000, 120_000);
 /// Maximum number of records per write.
 const MAX_RECORDS_PER_WRITE: usize = 32;
@@ -151,7 +152,8 @@
     }
 }
 
-/// Returns the wall-clock time in Unix milliseconds, by which entries that start later compute the age of a crash.
+/// Returns the wall-clock time in Unix milliseconds, by which entries that start later compute the
+/// age of a crash.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
--- a/crates/gradeloft_gateway/src/entry/refusal.rs
+++ b/crates/gradeloft_gateway/src/entry/refusal.rs
@@ -6,16 +6,19 @@
 use gradeloft_policy::{process::freshness::Freshness, request::attempt::Ran};
 use serde_json::json;
 
-/// Reason why a request gets no response from a replica. [`Refusal::error_response`] maps each reason to its response.
+/// Reason why a request gets no response from a replica. [`Refusal::error_response`] maps each
+/// reason to its response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// This entry's configuration is behind that of other entries, which may be able to serve the request.
+    /// This entry's configuration is behind that of other entries, which may be able to serve the
+    /// request.
     Behind,
     /// The body is larger than allowed.
     BodyTooLarge,
     /// The head is larger than allowed.
     HeadTooLarge,
-    /// This process is shutting down and may end before the response is complete; other entries accept the request.
+    /// This process is shutting down and may end before the response is complete; other entries
+    /// accept the request.
     Leaving,
     /// The request was sent to a replica, and no response that can be relayed arrived.
     Lost,
@@ -52,8 +55,8 @@
     pub retry_after_ms: Option<u64>,
 }
 
-/// Retry delay after refusals that are not caused by missing capacity, in milliseconds: about the time in which an
-/// entry loads the configuration.
+/// Retry delay after refusals that are not caused by missing capacity, in milliseconds: about the
+/// time in which an entry loads the configuration.
 const RETRY_AFTER_MS: u64 = 250;
 
 impl Refusal {
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Adjusts the refusal at an entry whose configuration may be behind: newer records may allow what its own
-    /// configuration denies.
+    /// Adjusts the refusal at an entry whose configuration may be behind: newer records may allow
+    /// what its own configuration denies.
     pub fn adjusted_for(self, freshness: Freshness) -> Refusal {
         match self {
             _ if freshness == Freshness::Current => self,
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -23,14 +23,16 @@
     traffic::Purpose,
 };
 
-/// Maximum size of a response that is buffered completely before it is sent, in bytes. A larger one is sent as it
-/// arrives.
+/// Maximum size of a response that is buffered completely before it is sent, in bytes. A larger one
+/// is sent as it arrives.
 const MAX_BUFFERED: usize = 512 << 10;
-/// Pause in a stream after which another replica is selected to continue it. Callers give up after two seconds.
+/// Pause in a stream after which another replica is selected to continue it. Callers give up after
+/// two seconds.
 const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Pause in a buffered response after which the request is hedged.
 const BUFFERED_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Minimum time allowed for sending a buffered response, even if the deadline of its request is earlier.
+/// Minimum time allowed for sending a buffered response, even if the deadline of its request is
+/// earlier.
 const MIN_SEND_TIME: Duration = Duration::from_secs(2);
 
 /// A complete response held in memory, in case no other replica gives a better one.
@@ -65,7 +67,8 @@
     }
 }
 
-/// Discards a response that is not relayed, and returns its connection to the pool if the response is complete.
+/// Discards a response that is not relayed, and returns its connection to the pool if the response
+/// is complete.
 pub(super) fn discard(
     entry: &Entry,
     mut connection: ReplicaConnection,
@@ -142,7 +145,8 @@
 }
 
 impl Relay {
-    /// Begins to relay a response after its head; `fully_sent` tells whether the request was sent completely.
+    /// Begins to relay a response after its head; `fully_sent` tells whether the request was sent
+    /// completely.
     pub(super) fn of(job: &Job, head: Response, fully_sent: bool) -> Result<Relay, AttemptOutcome> {
         let framing = Framing::of_response(&head, &job.received.head.method)
             .map_err(|_| AttemptOutcome::Failed(Failure::Broken, None))?;
@@ -172,7 +176,8 @@
         self.head.keep_alive_ms()
     }
 
-    /// Returns the time without data after which another replica is selected; `None` if none could continue.
+    /// Returns the time without data after which another replica is selected; `None` if none could
+    /// continue.
     pub(super) fn silence_timeout(&self) -> Option<Duration> {
         match self.mode {
             RelayMode::Unbuffered => None,
@@ -181,7 +186,8 @@
         }
     }
 
-    /// Relays the response until it is complete or no data arrived for `silence`. Can be called again after a silence.
+    /// Relays the response until it is complete or no data arrived for `silence`. Can be called
+    /// again after a silence.
     pub(super) async fn run(
         &mut self,
         entry: &Rc<Entry>,
@@ -237,7 +243,8 @@
                     if deadline <= node.clock.now() {
                         return ReadOutcome::TimedOut;
                     }
-                    // After a pause of this process, timers may fire before data that has arrived is read.
+                    // After a pause of this process, timers may fire before data that has arrived
+                    // is read.
                     if !connection.wire.has_pending_data() {
                         return ReadOutcome::Silent;
                     }
@@ -306,7 +313,8 @@
         }
     }
 
-    /// Sends the buffered part of a response that exceeds [`MAX_BUFFERED`], and relays the rest unbuffered.
+    /// Sends the buffered part of a response that exceeds [`MAX_BUFFERED`], and relays the rest
+    /// unbuffered.
     async fn switch_to_unbuffered(
         &mut self,
         entry: &Rc<Entry>,
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -71,8 +71,8 @@
     chosen
 }
 
-/// Selects a replica like [`select_replica`], for a request that is already at another replica. The result is not counted
-/// towards the service's shortage.
+/// Selects a replica like [`select_replica`], for a request that is already at another replica. The
+/// result is not counted towards the service's shortage.
 pub(super) fn select_alternative(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
     job.urgency = match job.head_sent {
         true => Urgency::Resumed,
--- a/crates/gradeloft_gateway/src/h1/wire.rs
+++ b/crates/gradeloft_gateway/src/h1/wire.rs
@@ -15,8 +15,8 @@
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
 /// Time after which a connection to a replica fails if its instance does not acknowledge sent data.
 const REPLICA_ACK_TIMEOUT: Duration = Duration::from_secs(4);
-/// The same for callers, longer than any request lasts: a paused caller does not acknowledge data either, and reads its
-/// response when it resumes. The request's deadline bounds that wait.
+/// The same for callers, longer than any request lasts: a paused caller does not acknowledge data
+/// either, and reads its response when it resumes. The request's deadline bounds that wait.
 const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A connection and its read buffer.
@@ -61,8 +61,9 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Closes the connection gracefully, so that all sent bytes are delivered, and waits until the peer has closed it too.
-    /// Received bytes are drained: a close with unread bytes is a reset, on which the kernel drops undelivered data.
+    /// Closes the connection gracefully, so that all sent bytes are delivered, and waits until the
+    /// peer has closed it too. Received bytes are drained: a close with unread bytes is a reset, on
+    /// which the kernel drops undelivered data.
     pub async fn close_gracefully(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
@@ -75,14 +76,16 @@
         }
     }
 
-    /// Makes the connection end with a reset when it is dropped, which discards sent bytes that still wait for a congested
-    /// link. An orderly close would deliver them first, although the caller has left.
+    /// Makes the connection end with a reset when it is dropped, which discards sent bytes that
+    /// still wait for a congested link. An orderly close would deliver them first, although the
+    /// caller has left.
     pub fn abort(&self) {
         // On failure the peer only notices later.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Waits until the peer has closed the connection; bytes that it sends in the meantime are buffered.
+    /// Waits until the peer has closed the connection; bytes that it sends in the meantime are
+    /// buffered.
     pub async fn closed(&mut self) {
         loop {
             if MAX_PIPELINED_BYTES < self.buffer.len() {
@@ -95,8 +98,8 @@
         }
     }
 
-    /// Returns whether the peer is known to have closed the connection, without waiting. Peeks at the socket, as the
-    /// runtime notices a close only when it next polls for events.
+    /// Returns whether the peer is known to have closed the connection, without waiting. Peeks at
+    /// the socket, as the runtime notices a close only when it next polls for events.
     pub fn is_closed(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         match SockRef::from(&self.stream).peek(&mut byte) {
@@ -105,22 +108,24 @@
         }
     }
 
-    /// Returns whether the socket has data to read or the connection has ended, without waiting. Peeks at the socket, as
-    /// the runtime notices either only when it next polls for events.
+    /// Returns whether the socket has data to read or the connection has ended, without waiting.
+    /// Peeks at the socket, as the runtime notices either only when it next polls for events.
     pub fn has_pending_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         peeked.map_or_else(|error| error.kind() != io::ErrorKind::WouldBlock, |_| true)
     }
 
-    /// Returns whether received bytes have not been consumed, so that a close would reset the connection.
+    /// Returns whether received bytes have not been consumed, so that a close would reset the
+    /// connection.
     pub fn has_unread_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         !self.buffer.is_empty() || matches!(peeked, Ok(1..))
     }
 
-    /// Returns whether the connection is open and nothing was received since the last response, without waiting.
+    /// Returns whether the connection is open and nothing was received since the last response,
+    /// without waiting.
     pub fn is_idle(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return false;
--- a/crates/gradeloft_gateway/src/lib.rs
+++ b/crates/gradeloft_gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! Gateway to replicas that speak HTTP: entries that forward requests, and agents that deliver weights to the replicas
-//! beside them.
+//! Gateway to replicas that speak HTTP: entries that forward requests, and agents that deliver
+//! weights to the replicas beside them.
 //!
 //! - [`agent`]: the process beside a replica.
 //! - [`entry`]: the process that callers talk to.
@@ -14,7 +14,8 @@
 //! - [`traffic`]: traffic accounting by purpose.
 //! - [`watch`]: detects changes of a file.
 //!
-//! A process runs on one thread: its state is shared by `Rc` and `RefCell`, and no borrow is held across an await.
+//! A process runs on one thread: its state is shared by `Rc` and `RefCell`, and no borrow is held
+//! across an await.
 
 pub mod agent;
 pub mod entry;
--- a/crates/gradeloft_gateway/src/logs.rs
+++ b/crates/gradeloft_gateway/src/logs.rs
@@ -1,15 +1,16 @@
 //! Rate-limited logging.
 //!
-//! Lines of a topic beyond its limit per second are dropped and counted; the count is logged before the first line of
-//! a later second. Lines are written by a separate thread behind a bounded queue, so a blocked reader of the log never
-//! blocks a request.
+//! Lines of a topic beyond its limit per second are dropped and counted; the count is logged before
+//! the first line of a later second. Lines are written by a separate thread behind a bounded queue,
+//! so a blocked reader of the log never blocks a request.
 
 use std::{cell::RefCell, collections::HashMap};
 
 use gradeloft_daemon::clock::Clock;
 use slog::{Logger, info};
 
-/// Topic of a log line. Each topic has its own rate limit, so that a flood of one does not displace others.
+/// Topic of a log line. Each topic has its own rate limit, so that a flood of one does not displace
+/// others.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Topic {
     /// Requests that were answered.
@@ -25,7 +26,8 @@
 }
 
 impl Topic {
-    /// Returns the limit in lines per second; for requests, about twice the rate of one entry in a fully loaded fleet.
+    /// Returns the limit in lines per second; for requests, about twice the rate of one entry in a
+    /// fully loaded fleet.
     fn per_second(self) -> u32 {
         match self {
             Topic::Answered | Topic::Failed => 60,
--- a/crates/gradeloft_gateway/src/metrics.rs
+++ b/crates/gradeloft_gateway/src/metrics.rs
@@ -1,6 +1,7 @@
 //! Counters and histograms of a process, in the OpenMetrics text format.
 //!
-//! Label values come from the configuration in force and from fixed sets, so callers can't increase their number.
+//! Label values come from the configuration in force and from fixed sets, so callers can't increase
+//! their number.
 
 use std::{rc::Rc, sync::atomic::AtomicU64, time::Duration};
 
@@ -80,7 +81,8 @@
     pub record_fetch_failures: Family<Reason, Counter>,
     /// Records of other writers that can't be parsed, by table.
     pub unreadable_records: Family<Reason, Counter>,
-    /// Seconds for which the copy of the operator's table has been behind that of peers; 0 if it is not.
+    /// Seconds for which the copy of the operator's table has been behind that of peers; 0 if it is
+    /// not.
     pub behind: Gauge<f64, AtomicU64>,
     /// Version of the configuration in force.
     pub config: Gauge,
--- a/crates/gradeloft_gateway/src/pool.rs
+++ b/crates/gradeloft_gateway/src/pool.rs
@@ -8,14 +8,15 @@
 
 use crate::h1::wire::Wire;
 
-/// Connect timeout. A round trip takes a few milliseconds; a lost SYN packet is retransmitted only after a second, in
-/// which time another replica can respond.
+/// Connect timeout. A round trip takes a few milliseconds; a lost SYN packet is retransmitted only
+/// after a second, in which time another replica can respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time for which an idle connection is kept if the replica declares no keep-alive timeout, in milliseconds. Timeouts
-/// are declared in whole seconds, so an undeclared one may be shorter than a second.
+/// Time for which an idle connection is kept if the replica declares no keep-alive timeout, in
+/// milliseconds. Timeouts are declared in whole seconds, so an undeclared one may be shorter than a
+/// second.
 const DEFAULT_KEEP_ALIVE_MS: u64 = 500;
-/// Fraction of the declared keep-alive timeout for which an idle connection is kept, so that no request is sent while the
-/// replica closes it.
+/// Fraction of the declared keep-alive timeout for which an idle connection is kept, so that no
+/// request is sent while the replica closes it.
 const KEEP_ALIVE_FRACTION: f64 = 0.75;
 
 struct Idle {
@@ -106,8 +107,8 @@
         self.open.borrow().get(&key).copied().unwrap_or_default()
     }
 
-    /// Returns a connection to the pool after a complete response; `keep_alive_ms` is the timeout that the replica
-    /// declared.
+    /// Returns a connection to the pool after a complete response; `keep_alive_ms` is the timeout
+    /// that the replica declared.
     pub fn release(&self, link: ReplicaConnection, keep_alive_ms: Option<u64>) {
         let ReplicaConnection { wire, key, .. } = link;
         let keep_ms = keep_alive_ms.map_or(DEFAULT_KEEP_ALIVE_MS, |it| {
@@ -118,7 +119,8 @@
         idle.entry(key).or_default().push(Idle { wire, until });
     }
 
-    /// Closes idle connections whose keep-alive time is over, and those to replicas that are no longer listed.
+    /// Closes idle connections whose keep-alive time is over, and those to replicas that are no
+    /// longer listed.
     pub fn expire(&self, is_listed: impl Fn(ReplicaKey) -> bool) {
         let now = self.clock.now();
         self.idle.borrow_mut().retain(|key, idle_connections| {
--- a/crates/gradeloft_gateway/src/settings.rs
+++ b/crates/gradeloft_gateway/src/settings.rs
@@ -26,9 +26,11 @@
     pub seeds: Vec<Ipv4Addr>,
     /// Limits on request retries by all entries together.
     pub repeats: retry_budget::Bounds,
-    /// Time from the confirmation of a configuration until it must be in force everywhere, in milliseconds.
+    /// Time from the confirmation of a configuration until it must be in force everywhere, in
+    /// milliseconds.
     pub apply_ms: u64,
-    /// Time from the announcement of new weights until every new request must run on them, in milliseconds.
+    /// Time from the announcement of new weights until every new request must run on them, in
+    /// milliseconds.
     pub version_ms: u64,
     /// Time from SIGTERM until the process is killed, in milliseconds.
     pub grace_ms: u64,
--- a/crates/gradeloft_gateway/src/suspects.rs
+++ b/crates/gradeloft_gateway/src/suspects.rs
@@ -44,8 +44,8 @@
     Ok(suspects)
 }
 
-/// Lifts the quarantine of a request at all entries by voiding its crashes so far. Returns `false` if the store has no
-/// record of it.
+/// Lifts the quarantine of a request at all entries by voiding its crashes so far. Returns `false`
+/// if the store has no record of it.
 pub async fn lift(store: &dyn Store, request: Fingerprint) -> Result<bool, Fault> {
     let suspects = list(store).await?;
     let Some(suspect) = suspects.into_iter().find(|it| it.request == request) else {
--- a/crates/gradeloft_gateway/src/traffic.rs
+++ b/crates/gradeloft_gateway/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Traffic accounting of a process, by purpose. Messages, requests and records for peers are counted by the sender;
-//! responses, pieces and records of the store by the receiver.
+//! Traffic accounting of a process, by purpose. Messages, requests and records for peers are
+//! counted by the sender; responses, pieces and records of the store by the receiver.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,8 +12,8 @@
 
 use crate::metrics::{Metrics, Reason};
 
-/// Interval between two log lines, in milliseconds: about ten lines per process in the period that an investigation of an
-/// incident covers.
+/// Interval between two log lines, in milliseconds: about ten lines per process in the period that
+/// an investigation of an incident covers.
 const LOG_INTERVAL_MS: u64 = 5_000;
 
 /// Purpose of transferred bytes.
@@ -114,7 +114,7 @@
         metrics.sent.get_or_create(&label).inc_by(bytes as u64);
     }
 
-    /// Logs the counts at most once in [`LOG_INTERVAL_MS`].
+    /// Logs the counts at most once in `LOG_INTERVAL_MS`.
     pub fn show(&self, log: &Logger, metrics: &Metrics, now: Time) {
         if now < self.logged_at.get().after_ms(LOG_INTERVAL_MS) {
             return;
--- a/crates/gradeloft_gateway/src/watch.rs
+++ b/crates/gradeloft_gateway/src/watch.rs
@@ -25,8 +25,8 @@
         Watch { path, content }
     }
 
-    /// Reads the file once; returns whether it has changed since the last poll. A file that becomes unreadable counts as
-    /// one change.
+    /// Reads the file once; returns whether it has changed since the last poll. A file that becomes
+    /// unreadable counts as one change.
     pub fn poll(&mut self) -> bool {
         let content = fs::read(&self.path).ok();
         let changed = content != self.content;
--- a/crates/gradeloft_gateway/tests/framing.rs
+++ b/crates/gradeloft_gateway/tests/framing.rs
@@ -98,8 +98,9 @@
 }
 
 proptest! {
-    /// Replicas fail anywhere in a stream, and those that continue it repeat some or all events. The caller must get
-    /// each event once and in order. Fails if repeated events are not left out, or if an incomplete event is relayed.
+    /// Replicas fail anywhere in a stream, and those that continue it repeat some or all events.
+    /// The caller must get each event once and in order. Fails if repeated events are not left out,
+    /// or if an incomplete event is relayed.
     #[test]
     fn stream_resumed_across_replicas_has_each_event_once(
         runs in prop::collection::vec((0..8u64, 0..200usize, 1..40usize), 0..6),
--- a/crates/gradeloft_gateway/tests/wire.rs
+++ b/crates/gradeloft_gateway/tests/wire.rs
@@ -7,8 +7,8 @@
 
 use gradeloft_gateway::h1::wire::Wire;
 
-/// After a pause of the process, timers fire before the runtime reports data that arrived during the pause, so silence
-/// is judged by the socket itself.
+/// After a pause of the process, timers fire before the runtime reports data that arrived during
+/// the pause, so silence is judged by the socket itself.
 #[test]
 fn pending_data_is_detected_before_the_runtime_reports_it() {
     actix_rt::System::new().block_on(async {
