--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -9,9 +9,9 @@
     clock::Time,
     process::membership::Membership,
     request::{
-        admission::{Ledger, Rate},
-        once::{self, Table},
-        route::{self, Candidate, Near},
+        admission::{Rate, TeamLimiter},
+        at_most_once::{self, ClaimTable},
+        route::{self, Candidate, Locality},
     },
     version::{
         bundle::{self, Key, Publisher},
@@ -213,7 +213,7 @@
             let mut now = Time::ZERO;
             timed(|| {
                 now = now.after_ms(1);
-                if let Some(ask) = fetch.next(now, &mut rng) {
+                if let Some(ask) = fetch.next_request(now, &mut rng) {
                     fetch.arrived(ask.idx, ask.from, now);
                 }
             })
@@ -312,18 +312,18 @@
         service: None,
     };
     let mut membership = Membership::new("entry");
-    for key in membership.listed((0..count).map(instance).collect()) {
-        membership.noticed(key, notice(1), Time::ZERO);
+    for key in membership.apply_list((0..count).map(instance).collect()) {
+        membership.receive_notice(key, notice(1), Time::ZERO);
     }
     membership
 }
 
-fn ledger(count: usize) -> Ledger {
+fn ledger(count: usize) -> TeamLimiter {
     let rate = Rate {
         requests: 1e9,
         tokens: 1e9,
     };
-    let mut ledger = Ledger::default();
+    let mut ledger = TeamLimiter::default();
     for idx in 0..count {
         ledger.set_rate(&format!("team-{idx}"), rate, Time::ZERO);
     }
@@ -394,29 +394,29 @@
     };
     let tuning = Tuning {
         scheme: Scheme::Owners,
-        slots: 8,
+        peer_slots: 8,
         origin_slots: 2,
         per_source: 3,
         stall_ms: 1_000_000,
         chunk_ms: 0,
         takeover_ms: 1_000_000,
-        announced: 8,
+        max_announcements: 8,
         objective: Objective::Time,
         origin_copies: 4.0,
     };
     let mut fetch = Fetch::new(1, &manifest, |_| false, tuning, Time::ZERO);
     fetch.set_members((1..351).collect());
     for _ in 0..PARTNERS {
-        let key = fetch.join(true);
-        fetch.have(key, 0..chunks);
+        let key = fetch.add_source(true);
+        fetch.add_held(key, 0..chunks);
     }
     fetch
 }
 
-fn claims(count: usize) -> Table<()> {
-    let mut table = Table::new(1);
+fn claims(count: usize) -> ClaimTable<()> {
+    let mut table = ClaimTable::new(1);
     for idx in 0..count {
-        let key = once::key("booking", "duty", &idx.to_string());
+        let key = at_most_once::key("booking", "duty", &idx.to_string());
         table.fold(
             idx as u64,
             &[Claim {
@@ -447,7 +447,7 @@
     Candidate {
         key: idx,
         node: idx as u64,
-        near: Near::Zone,
+        locality: Locality::Zone,
         own: 1,
         others: 2,
         reported: Time::ZERO,
--- a/crates/gradeloft_bench/src/limits.rs
+++ b/crates/gradeloft_bench/src/limits.rs
@@ -8,10 +8,11 @@
 use clap::ValueEnum;
 use gradeloft_policy::{
     clock::Time,
-    process::shares::{
-        Ask, Borrower, CUT_OFF_MS, Demand, Fleet, LEASE_MS, Lender, RENEW_MS, Reach, need,
+    process::rate_leases::{
+        Borrower, CUT_OFF_MS, Demand, FleetView, HomeReach, LEASE_MS, LeaseRequest, Lender,
+        RENEW_MS, need,
     },
-    request::admission::Bucket,
+    request::admission::TokenBucket,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -96,7 +97,7 @@
 }
 
 struct Entry {
-    bucket: Bucket,
+    bucket: TokenBucket,
     demand: Demand,
     borrower: Borrower,
     /// Since when asks have stayed unanswered.
@@ -130,7 +131,7 @@
             Way::Static => ALLOWED / ENTRIES as f64,
         };
         let entry = || Entry {
-            bucket: Bucket::new(rate, Time::ZERO),
+            bucket: TokenBucket::new(rate, Time::ZERO),
             demand: Demand::default(),
             borrower: Borrower::default(),
             unanswered: None,
@@ -206,7 +207,7 @@
             let entry = &mut self.entries[idx];
             for _ in 0..count {
                 entry.demand.add(1.0, now);
-                admitted += u64::from(entry.bucket.take(1.0, now));
+                admitted += u64::from(entry.bucket.try_take(1.0, now));
             }
         }
         (wanted, admitted)
@@ -229,7 +230,11 @@
             let lost = entry
                 .unanswered
                 .is_some_and(|it| it.after_ms(CUT_OFF_MS) <= now);
-            let reach = if lost { Reach::CutOff } else { Reach::Home };
+            let reach = if lost {
+                HomeReach::CutOff
+            } else {
+                HomeReach::Home
+            };
             let rate = entry.borrower.rate(ALLOWED, ENTRIES, reach, now);
             entry.bucket.set_rate(rate, now);
         }
@@ -244,7 +249,7 @@
         }
         let demand = need(entry.demand.rate(now), entry.bucket.level(now));
         let held = entry.borrower.held(now);
-        let ask = Ask {
+        let ask = LeaseRequest {
             entry: idx as u64,
             demand,
             held,
@@ -252,12 +257,12 @@
         // The home misses three heartbeats before it counts an entry as gone.
         let missed = cut && CUT_FROM_MS + 3_000 <= ms;
         let connected = ENTRIES - usize::from(missed);
-        let fleet = Fleet {
+        let fleet = FleetView {
             allowed: ALLOWED,
             entries: ENTRIES,
             connected,
         };
-        let rate = self.lender.ask(ask, fleet, now);
+        let rate = self.lender.grant(ask, fleet, now);
         let latency = if idx == HOME { 0 } else { LATENCY_MS };
         self.messages += 2 * u64::from(idx != HOME);
         self.answers.push_back(Answer {
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -209,10 +209,10 @@
     let peers: Vec<&Peer> = membership
         .iter()
         .map(|(_, it)| it)
-        .filter(|it| !it.health.suspect(now))
+        .filter(|it| !it.health.is_suspect(now))
         .collect();
     let own = rendezvous::hash(node.settings.node.id.as_bytes());
-    let drawn = gossip::draw(own, &peers);
+    let drawn = gossip::select_peers(own, &peers);
     let chosen = node.with_rng(|rng| drawn.into_iter().choose(rng));
     chosen.map(|it| it.instance.peer.clone())
 }
--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -6,12 +6,12 @@
     clock::Time,
     process::{
         replicas::{Listing, Replica, ReplicaKey, Replicas},
-        split::{self, Demand},
+        slot_split::{self, RequestRate},
     },
     request::{
-        age::Patience,
+        caller_age::TimeBudgets,
         forecast,
-        placement::{self, Claim, Doubt, Wish},
+        placement::{self, Requirements, Uncertainty, Urgency},
         shortage::Shortage,
     },
 };
@@ -72,12 +72,12 @@
     position: usize,
     replicas: Replicas,
     keys: Vec<ReplicaKey>,
-    patience: Patience,
+    patience: TimeBudgets,
     shortage: Shortage,
     /// All requests.
-    demand: Demand,
+    demand: RequestRate,
     /// Requests beyond its own slots.
-    beyond: Demand,
+    beyond: RequestRate,
     /// When the others told last what they have.
     told: Time,
     turn: usize,
@@ -87,16 +87,16 @@
     /// The entry at a position among all, before the replicas of a load.
     pub fn new(position: usize, load: &Load) -> Entry {
         let mut replicas = Replicas::default();
-        let keys = (0..load.replicas).map(|it| replicas.list(listing(it, load)));
+        let keys = (0..load.replicas).map(|it| replicas.apply_listing(listing(it, load)));
         let keys = keys.collect();
         Entry {
             position,
             replicas,
             keys,
-            patience: Patience::default(),
+            patience: TimeBudgets::default(),
             shortage: Shortage::default(),
-            demand: Demand::default(),
-            beyond: Demand::default(),
+            demand: RequestRate::default(),
+            beyond: RequestRate::default(),
             told: Time::ZERO,
             turn: position,
         }
@@ -112,18 +112,18 @@
     ) -> Decision {
         self.demand.count(now);
         let age = self.patience.age(&asked.route, asked.left, now);
-        let claim = Claim::of(asked.goal.saturating_sub(age));
+        let urgency = Urgency::of(asked.goal.saturating_sub(age));
         let chosen = match load.scheme {
-            Scheme::Gradeloft => self.place(load, asked, claim, now, rng),
-            baseline => self.baseline(baseline, rng).map(|it| (it, claim)),
+            Scheme::Gradeloft => self.place(load, asked, urgency, now, rng),
+            baseline => self.baseline(baseline, rng).map(|it| (it, urgency)),
         };
         let within = chosen.is_some_and(|(it, _)| self.is_within(it));
         if !within {
             self.beyond.count(now);
         }
-        let Some((replica, claim)) = chosen else {
+        let Some((replica, urgency)) = chosen else {
             return Decision::Refused(match load.scheme {
-                Scheme::Gradeloft => self.shortage.refuse(asked.left, now, rng),
+                Scheme::Gradeloft => self.shortage.record_refusal(asked.left, now, rng),
                 _ => Duration::from_millis(BASELINE_BACK_MS),
             });
         };
@@ -135,7 +135,7 @@
         Decision::Sent {
             replica,
             rank: match load.scheme {
-                Scheme::Gradeloft => claim.rank(1),
+                Scheme::Gradeloft => urgency.rank(1),
                 _ => 5,
             },
             expected_ms,
@@ -146,35 +146,40 @@
         &self,
         load: &Load,
         asked: &Asked,
-        claim: Claim,
+        urgency: Urgency,
         now: Time,
         rng: &mut ChaCha8Rng,
-    ) -> Option<(usize, Claim)> {
+    ) -> Option<(usize, Urgency)> {
         let open = || self.replicas.of(SERVICE).filter(|(_, it)| it.open(now));
         let age = now.since(self.told);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
-        let unseen = split::unseen(rate, age);
-        let spare = open().map(|(_, it)| it.spare(unseen)).sum();
-        let wish = Wish {
+        let unseen_requests = slot_split::unseen_requests(rate, age);
+        let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
+        let wish = Requirements {
             zone: ZONE,
-            oldest: None,
-            same: None,
+            min_version: None,
+            resumed_version: None,
             tried: &[],
-            claim,
+            urgency,
             prompt_tokens: asked.prompt,
             speed: Some(&load.speed),
-            near: Doubt {
-                chance: split::chance(spare, others, self.beyond.rate(now), age),
-                unseen,
+            near: Uncertainty {
+                overflow_probability: slot_split::overflow_probability(
+                    spare,
+                    others,
+                    self.beyond.rate(now),
+                    age,
+                ),
+                unseen_requests,
             },
-            far: Doubt::default(),
+            far: Uncertainty::default(),
         };
-        let claims = [Some(claim), claim.weaker()];
-        claims.into_iter().flatten().find_map(|claim| {
-            let wish = Wish { claim, ..wish };
+        let urgencies = [Some(urgency), urgency.fallback()];
+        urgencies.into_iter().flatten().find_map(|urgency| {
+            let wish = Requirements { urgency, ..wish };
             let key = placement::choose(self.replicas.of(SERVICE), wish, now, rng)?;
-            Some((self.keys.iter().position(|it| *it == key)?, claim))
+            Some((self.keys.iter().position(|it| *it == key)?, urgency))
         })
     }
 
@@ -208,13 +213,13 @@
     /// Whether it has a free slot of its own at a replica.
     fn is_within(&self, replica: usize) -> bool {
         let replica = self.replicas.get(self.keys[replica]);
-        replica.is_some_and(Replica::has_own_slot)
+        replica.is_some_and(Replica::has_free_own_slot)
     }
 
     /// Counts a request with a prompt as sent to a replica.
     pub fn sent(&mut self, replica: usize, prompt: f64) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own += 1;
+            replica.own_requests += 1;
             replica.own_waiting += 1;
             replica.own_waiting_tokens += prompt;
         }
@@ -226,14 +231,14 @@
             replica.own_waiting -= 1;
             replica.own_waiting_tokens -= prompt;
             let took_ms = took.as_secs_f64() * 1000.0;
-            replica.slowness.learn(expected_ms, took_ms);
+            replica.slowness.observe(expected_ms, took_ms);
         }
     }
 
     /// A request's answer ended.
     pub fn ended(&mut self, replica: usize) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
-            replica.own -= 1;
+            replica.own_requests -= 1;
         }
     }
 
@@ -242,7 +247,7 @@
         let replicas = self.keys.iter().filter_map(|it| self.replicas.get(*it));
         replicas
             .map(|it| Held {
-                running: it.own,
+                running: it.own_requests,
                 waiting: it.own_waiting,
             })
             .collect()
@@ -253,7 +258,7 @@
         self.told = now;
         for (idx, key) in self.keys.iter().enumerate() {
             if let Some(replica) = self.replicas.get_mut(*key) {
-                (replica.others, replica.others_waiting) =
+                (replica.other_requests, replica.others_waiting) =
                     (others[idx].running, others[idx].waiting);
                 replica.listing.draining = !here[idx];
             }
@@ -265,10 +270,10 @@
             .map(|(key, _)| key)
             .collect();
         let slots = vec![load.slots; open.len()];
-        let parts = split::parts(self.position, load.entries, &slots);
+        let parts = slot_split::parts(self.position, load.entries, &slots);
         for (key, part) in open.into_iter().zip(parts) {
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.part = part;
+                replica.own_slots = part;
             }
         }
     }
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use gradeloft_policy::{clock::Time, rendezvous, version::waves::Progress};
+use gradeloft_policy::{clock::Time, rendezvous, version::waves::SwitchProgress};
 use gradeloft_wire::{
     datagram::{Access, Sender, Switched},
     frame::Table,
@@ -55,11 +55,11 @@
     fn receive_progress(&self, models: &[Switched]) {
         let mut switched = self.switched.borrow_mut();
         for model in models {
-            let progress = Progress {
+            let progress = SwitchProgress {
                 version: model.version,
                 replicas: usize::from(model.replicas),
             };
-            switched.entry(model.model).or_default().hear(progress);
+            switched.entry(model.model).or_default().update(progress);
         }
     }
 
@@ -69,7 +69,7 @@
         let switched = self.switched.borrow();
         switched
             .get(&model)
-            .map_or(0, |it| it.back_with(version.number))
+            .map_or(0, |it| it.replicas_with(version.number))
     }
 
     /// Whether it is time to read what the operator writes although no entry has ever given it.
@@ -90,16 +90,16 @@
     pub(super) async fn listen(self: Rc<Agent>) {
         loop {
             let (from, datagram) = self.node.next_datagram().await;
-            self.node.look();
+            self.node.detect_stall();
             if let Sender::Entry {
                 store, switched, ..
             } = datagram.sender
             {
                 let at = self.node.clock.now();
                 self.node
-                    .receive_ages(datagram.ends, datagram.unconfirmed_ms);
+                    .note_peer_copies(datagram.ends, datagram.unconfirmed_ms);
                 // What lay in the socket while this process stood still is outdated.
-                let current = self.node.receives_current();
+                let current = self.node.datagrams_are_current();
                 let mut new = false;
                 if current {
                     self.receive_progress(&switched);
@@ -109,7 +109,7 @@
                 }
                 let end = datagram.ends[Table::Operator as usize];
                 if self.wants(&switched, end, at)
-                    && self.node.receive_ends(from, &datagram.zone, datagram.ends)
+                    && self.node.catch_up_from(from, &datagram.zone, datagram.ends)
                 {
                     let mut refresh = self.refresh.get();
                     refresh.asked(at);
--- a/crates/gradeloft_gateway/src/agent/share.rs
+++ b/crates/gradeloft_gateway/src/agent/share.rs
@@ -38,7 +38,7 @@
                 Call::Pieces { model, version } => {
                     list(&agent, model, version, outgoing).await;
                 }
-                other => agent.node.answer(other, outgoing).await,
+                other => agent.node.serve_call(other, outgoing).await,
             }
         });
     }
@@ -77,7 +77,10 @@
         return;
     };
     let now = agent.node.clock.now();
-    let wait = agent.pace_out.borrow_mut().delay(content.len() as u64, now);
+    let wait = agent
+        .pace_out
+        .borrow_mut()
+        .reserve(content.len() as u64, now);
     actix_rt::time::sleep(wait).await;
     outgoing.finish(&Reply::Chunk(content.to_vec())).await;
 }
--- /dev/null
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -0,0 +1,94 @@
+//! Requests in flight at replicas.
+
+use std::{cell::Cell, rc::Rc};
+
+use gradeloft_policy::process::replicas::ReplicaKey;
+use slog::info;
+use tokio_util::sync::CancellationToken;
+
+use super::{Entry, quarantine::Evidence};
+use crate::logs::Topic;
+
+impl Entry {
+    /// Counts a request and its prompt tokens as in flight at a replica until the guard is dropped.
+    pub fn track_in_flight(self: &Rc<Entry>, key: ReplicaKey, prompt_tokens: f64) -> InFlightGuard {
+        let now = self.node.clock.now();
+        if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
+            if replica.own_requests == 0 {
+                replica.silent_since = now;
+            }
+            replica.own_requests += 1;
+            replica.own_waiting += 1;
+            replica.note_sent(self.node.clock.now());
+            replica.own_waiting_tokens += prompt_tokens;
+        }
+        let mut restart_tokens = self.restart_tokens.borrow_mut();
+        InFlightGuard {
+            waiting: Cell::new(true),
+            entry: Rc::clone(self),
+            key,
+            prompt_tokens,
+            replica_restarted: restart_tokens.entry(key).or_default().clone(),
+        }
+    }
+
+    /// Handles the restart of a replica: requests in flight at its previous start, `replaced`, get
+    /// no response any more.
+    pub(super) fn replica_restarted(&self, replaced: ReplicaKey) {
+        let token = self.restart_tokens.borrow_mut().remove(&replaced);
+        if let Some(log) = self.node.logs.line(Topic::State) {
+            info!(log, "replica started again"; "had_requests" => token.is_some());
+        }
+        if let Some(token) = token {
+            token.cancel();
+        }
+        self.replica_ended(replaced, Evidence::StartedAgain);
+    }
+
+    /// Drops the restart signals of replicas that are no longer listed; these finish the requests
+    /// in flight there.
+    pub(super) fn prune_restart_tokens(&self) {
+        let replicas = self.replicas.borrow();
+        let mut restart_tokens = self.restart_tokens.borrow_mut();
+        restart_tokens.retain(|key, _| replicas.get(*key).is_some());
+    }
+}
+
+/// Guard that counts a request as in flight at a replica.
+pub struct InFlightGuard {
+    entry: Rc<Entry>,
+    key: ReplicaKey,
+    prompt_tokens: f64,
+    /// Whether the response has not begun.
+    waiting: Cell<bool>,
+    /// Cancelled once the replica has restarted.
+    replica_restarted: CancellationToken,
+}
+
+impl InFlightGuard {
+    /// Waits until the replica has restarted, which loses the request.
+    pub async fn wait_for_restart(&self) {
+        self.replica_restarted.cancelled().await;
+    }
+
+    /// Records that the response has begun.
+    pub fn response_begun(&self) {
+        let mut replicas = self.entry.replicas.borrow_mut();
+        if let Some(replica) = replicas.get_mut(self.key)
+            && self.waiting.replace(false)
+        {
+            replica.own_waiting -= 1;
+            replica.own_waiting_tokens -= self.prompt_tokens;
+        }
+    }
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.response_begun();
+        if let Some(replica) = self.entry.replicas.borrow_mut().get_mut(self.key) {
+            replica.own_requests -= 1;
+        }
+        self.entry.room_freed.notify_waiters();
+    }
+}
--- /dev/null
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -0,0 +1,160 @@
+//! Records of suspect requests in the platform's store.
+
+use std::{rc::Rc, time::SystemTime};
+
+use bytes::Bytes;
+use gradeloft_platform::fleet::Put;
+use gradeloft_policy::{clock::Time, process::mirror::Record};
+use gradeloft_wire::{
+    codec,
+    frame::Table,
+    id::Fingerprint,
+    quarantine::{self, Kept, Suspect},
+};
+use rand::Rng;
+use slog::warn;
+
+use crate::{entry::Entry, logs::Topic, node::tables::Source};
+
+/// Number of crashes from which a request is stored. The requests blamed for a single crash are
+/// mostly innocent, and each write to the store is billed.
+pub(super) const STORE_AT_CRASHES: usize = 2;
+/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned
+/// from others and that is still missing in the store. The entry that observed the crash writes at
+/// once.
+pub(super) const HEARD_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
+/// Delay before a failed write is retried, in milliseconds.
+const WRITE_RETRY_MS: u64 = 700;
+/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so
+/// that most entries find it deleted already.
+const DELETE_DELAY_MS: (u64, u64) = (1_000, 120_000);
+/// Maximum number of records per write.
+const MAX_RECORDS_PER_WRITE: usize = 32;
+
+impl Entry {
+    /// Expires old suspects, and schedules the deletion of their records.
+    pub(super) fn expire_suspects(&self, now: Time) {
+        let mut known = self.quarantine.known.borrow_mut();
+        if known.is_empty() {
+            return;
+        }
+        known.expire(now);
+        self.node
+            .metrics
+            .quarantined
+            .set(known.quarantined() as i64);
+        let stored = self.quarantine.stored.borrow();
+        let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
+        for request in stored.keys().filter(|it| !known.contains(**it)) {
+            let (from, to) = DELETE_DELAY_MS;
+            let wait = || now.after_ms(self.node.with_rng(|it| it.random_range(from..to)));
+            pending_writes.entry(*request).or_insert_with(wait);
+        }
+    }
+
+    /// Applies changed records of the store.
+    pub(in crate::entry) fn apply_suspect_records<'a>(
+        &self,
+        records: impl Iterator<Item = &'a Record>,
+    ) {
+        let now = self.node.clock.now();
+        for record in records {
+            let Some(request) = quarantine::request(&record.key) else {
+                continue;
+            };
+            let value = record.value.as_deref();
+            let Some(stored) = value.and_then(|it| codec::parse::<Kept>(it).ok()) else {
+                self.quarantine.stored.borrow_mut().remove(&request);
+                continue;
+            };
+            let age_ms = unix_ms().saturating_sub(stored.crashed_ms);
+            let suspect = Suspect {
+                request,
+                crashes: stored.crashes.clone(),
+                age_ms: age_ms.min(u64::from(u32::MAX)) as u32,
+            };
+            self.quarantine
+                .stored
+                .borrow_mut()
+                .insert(request, stored.crashes);
+            self.receive_suspects(&[suspect], Source::Store, now);
+        }
+    }
+
+    /// Writes records that are due and missing in the store.
+    pub(super) fn write_due_suspects(self: &Rc<Entry>, now: Time) {
+        let quarantine = &self.quarantine;
+        if quarantine.write_in_progress.get() || quarantine.pending_writes.borrow().is_empty() {
+            return;
+        }
+        let pending_writes = quarantine.pending_writes.borrow();
+        let due = pending_writes.iter().filter(|(_, at)| **at <= now);
+        let due: Vec<Fingerprint> = due.map(|it| *it.0).take(MAX_RECORDS_PER_WRITE).collect();
+        drop(pending_writes);
+        let records = due.iter().filter_map(|it| self.missing_record(*it, now));
+        let records: Vec<Put> = records.collect();
+        quarantine
+            .pending_writes
+            .borrow_mut()
+            .retain(|it, _| !due.contains(it));
+        if records.is_empty() {
+            return;
+        }
+        quarantine.write_in_progress.set(true);
+        let writing = Rc::clone(self).write_suspects(due, records);
+        self.node.scope.spawn(writing);
+    }
+
+    /// Returns the write that brings the store's record of a request up to date, if one is needed.
+    fn missing_record(&self, request: Fingerprint, now: Time) -> Option<Put> {
+        let known = self.quarantine.known.borrow();
+        let stored = self.quarantine.stored.borrow();
+        let stored = stored.get(&request);
+        let key = quarantine::key(request);
+        let Some(suspect) = known.snapshot(request, now) else {
+            // A stored suspect that has expired here is deleted.
+            return stored.map(|_| Put { key, value: None });
+        };
+        let worth_storing = STORE_AT_CRASHES <= known.crashes(request) || stored.is_some();
+        let missing = suspect
+            .crashes
+            .iter()
+            .any(|it| !stored.is_some_and(|stored| stored.contains(it)));
+        if !worth_storing || !missing {
+            return None;
+        }
+        let value = codec::body(&Kept {
+            crashed_ms: unix_ms().saturating_sub(u64::from(suspect.age_ms)),
+            crashes: suspect.crashes,
+        });
+        Some(Put {
+            key,
+            value: Some(Bytes::from(value)),
+        })
+    }
+
+    async fn write_suspects(self: Rc<Entry>, requests: Vec<Fingerprint>, records: Vec<Put>) {
+        self.node.count_store_call(Table::Entries);
+        let written = self.node.platform.store.write(records).await;
+        self.quarantine.write_in_progress.set(false);
+        let Err(fault) = written else {
+            return;
+        };
+        self.node.metrics.store_faults.inc();
+        if let Some(log) = self.node.logs.line(Topic::Dependency) {
+            warn!(log, "suspects not kept"; "count" => requests.len(), "fault" => %fault);
+        }
+        let again = self.node.clock.now().after_ms(WRITE_RETRY_MS);
+        let mut pending_writes = self.quarantine.pending_writes.borrow_mut();
+        for request in requests {
+            pending_writes.entry(request).or_insert(again);
+        }
+    }
+}
+
+/// Returns the wall-clock time in Unix milliseconds, by which entries that start later compute the
+/// age of a crash.
+fn unix_ms() -> u64 {
+    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    since.unwrap_or_default().as_millis() as u64
+}
--- /dev/null
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -0,0 +1,161 @@
+//! Selection of a replica for a request, and waiting for capacity if none has room.
+
+use std::time::Duration;
+
+use gradeloft_policy::{
+    clock::Time,
+    process::{
+        document::Speed,
+        replicas::{Replica, ReplicaKey},
+    },
+    request::{
+        placement::{self, ExclusionCounts, Requirements, Urgency},
+        wait,
+    },
+};
+
+use super::{Entry, forward::Job};
+use crate::{h1::wire::Wire, settings::Settings};
+
+/// Outcome of a wait for a replica with capacity.
+pub(super) enum CapacityWait {
+    /// A replica may have capacity now.
+    Retry,
+    /// The request must not wait any longer.
+    GiveUp,
+    /// The caller has disconnected.
+    CallerGone,
+}
+
+/// Waits until a replica may have capacity for a request that found none.
+pub(super) async fn wait_for_capacity(
+    entry: &Entry,
+    caller: &mut Wire,
+    job: &mut Job,
+    now: Time,
+) -> CapacityWait {
+    // Lets identical requests be tried while this one waits.
+    job.exclusive_attempt = None;
+    let exclusions = count_exclusions(entry, job, now);
+    job.exclusions = Some(exclusions);
+    let since = *job.waiting_since.get_or_insert(now);
+    let objective = Duration::from_millis(job.route.goal_ms);
+    let until = wait::wait_deadline(
+        job.urgency,
+        exclusions,
+        job.received.at,
+        objective,
+        job.deadline,
+        since,
+        entry.recently_refused(&job.service, now),
+    );
+    let Some(until) = until.filter(|it| now < *it && entry.speed(&job.service).is_some()) else {
+        return CapacityWait::GiveUp;
+    };
+    let retry_at = until.min(now.after_ms(wait::POLL_INTERVAL_MS));
+    tokio::select! {
+        biased;
+        () = caller.closed() => CapacityWait::CallerGone,
+        () = entry.room_freed.notified() => CapacityWait::Retry,
+        () = entry.node.timers.sleep_until(retry_at) => CapacityWait::Retry,
+    }
+}
+
+/// Selects a replica for a request, preferring one that can meet its latency objective.
+pub(super) fn select_replica(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
+    let chosen = select_alternative(entry, job, now);
+    // A waiting request was counted at its first selection.
+    if job.waiting_since.is_none() {
+        entry.count_placement(&job.service, chosen);
+    }
+    chosen
+}
+
+/// Selects a replica like [`select_replica`], for a request that is already at another replica. The
+/// result is not counted towards the service's shortage.
+pub(super) fn select_alternative(entry: &Entry, job: &mut Job, now: Time) -> Option<ReplicaKey> {
+    job.urgency = match job.head_sent {
+        true => Urgency::Resumed,
+        false => Urgency::of(job.goal.since(now)),
+    };
+    let mut chosen = select_by_version(entry, job, now);
+    if let Some(fallback) = job.urgency.fallback().filter(|_| chosen.is_none()) {
+        job.urgency = fallback;
+        chosen = select_by_version(entry, job, now);
+    }
+    chosen
+}
+
+fn select_by_version(entry: &Entry, job: &Job, now: Time) -> Option<ReplicaKey> {
+    // Read again for each attempt, as a version may have become due in the meantime.
+    let oldest = entry.oldest_versions(&job.service);
+    let preferred = select_from(entry, job, oldest.preferred, now);
+    if preferred.is_some() || oldest.preferred == oldest.allowed {
+        return preferred;
+    }
+    select_from(entry, job, oldest.allowed, now)
+}
+
+/// Counts the reasons why none of a service's replicas can get a request now.
+fn count_exclusions(entry: &Entry, job: &Job, now: Time) -> ExclusionCounts {
+    let settings = entry.node.settings();
+    let speed = entry.speed(&job.service);
+    let requirements = Requirements {
+        min_version: entry.oldest_versions(&job.service).allowed,
+        ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
+    };
+    let replicas = entry.replicas.borrow();
+    let allowed = |it: &Replica| in_allowed_region(&settings, job, it);
+    placement::count_exclusions(replicas.of(&job.service), allowed, requirements, now)
+}
+
+fn select_from(
+    entry: &Entry,
+    job: &Job,
+    min_version: Option<u64>,
+    now: Time,
+) -> Option<ReplicaKey> {
+    let settings = entry.node.settings();
+    let speed = entry.speed(&job.service);
+    let requirements = Requirements {
+        min_version,
+        ..requirements(entry, job, &settings.zone, speed.as_ref(), now)
+    };
+    let replicas = entry.replicas.borrow();
+    let max_connections = entry.max_connections_per_replica(&job.service);
+    let candidates = replicas.of(&job.service).filter(|(key, it)| {
+        in_allowed_region(&settings, job, it) && entry.pool.connection_count(*key) < max_connections
+    });
+    entry
+        .node
+        .with_rng(|rng| placement::choose(candidates, requirements, now, rng))
+}
+
+/// Returns whether a replica is in a region in which the request may be served.
+fn in_allowed_region(settings: &Settings, job: &Job, replica: &Replica) -> bool {
+    job.allowed_regions.is_unrestricted()
+        || job
+            .allowed_regions
+            .allows(settings.region(&replica.listing.zone))
+}
+
+fn requirements<'a>(
+    entry: &Entry,
+    job: &'a Job,
+    zone: &'a str,
+    speed: Option<&'a Speed>,
+    now: Time,
+) -> Requirements<'a> {
+    let view = entry.load_uncertainty(&job.service, now);
+    Requirements {
+        zone,
+        min_version: None,
+        resumed_version: job.version,
+        tried: &job.tried,
+        urgency: job.urgency,
+        prompt_tokens: job.prompt_tokens,
+        speed,
+        near: view.near,
+        far: view.far,
+    }
+}
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -24,11 +24,11 @@
     fleet::{Decoder, Directory, Headers, Lookup, Order, Origin},
 };
 use gradeloft_policy::process::{
-    document::{CallerLimits, Document, Kind, Route, Service, Speed, Target, Warmup},
-    homes::Homes,
+    allowed_regions::AllowedRegions,
+    document::{CallerLimits, Document, Route, RouteKind, Service, Speed, Target, Warmup},
     mirror::Record,
-    repeats,
     replicas::Listing,
+    retry_budget,
 };
 use gradeloft_standin::{
     scripted::{Scripted, Step},
@@ -162,7 +162,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Shape {
     /// What may be repeated.
-    pub(crate) kind: Kind,
+    pub(crate) kind: RouteKind,
     /// Most replicas for one request.
     pub(crate) max_attempts: u32,
     /// Longest time for a request, in milliseconds.
@@ -181,7 +181,7 @@
 
 impl Shape {
     /// Two attempts within a long time.
-    pub(crate) fn of(kind: Kind) -> Shape {
+    pub(crate) fn of(kind: RouteKind) -> Shape {
         Shape {
             kind,
             max_attempts: 2,
@@ -231,9 +231,9 @@
         max_attempts: shape.max_attempts,
         priority: 1,
         public: false,
-        homes: shape
-            .homes
-            .map_or_else(Homes::default, |it| Homes::of([it.to_owned()])),
+        allowed_regions: shape.homes.map_or_else(AllowedRegions::default, |it| {
+            AllowedRegions::of([it.to_owned()])
+        }),
     };
     Document {
         version: 1,
@@ -248,7 +248,7 @@
             origin: None,
         }],
         keys: HashMap::from([("secret".to_owned(), Rc::from("rangers"))]),
-        homes: HashMap::new(),
+        allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 4 << 10,
             body_bytes: shape.body_bytes,
@@ -269,7 +269,7 @@
         peer_port: 7700,
         metrics_port: 9464,
         seeds: vec![address(1)],
-        repeats: repeats::Bounds {
+        repeats: retry_budget::Bounds {
             ratio: 0.2,
             slack: 100.0,
             window_ms: 10_000,
--- /dev/null
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -0,0 +1,94 @@
+//! Schedules announcements to other entries and their repetition.
+//!
+//! Datagrams get lost, and entries can be suspended, cut off or just starting, so an announcement
+//! that must reach all entries soon is repeated. An entry that receives outdated information
+//! replies with its own. To avoid replies from all entries at once, each waits for a while and
+//! drops its reply if another entry has sent the same in the meantime.
+
+use std::collections::HashMap;
+
+use gradeloft_wire::id::Fingerprint;
+
+use crate::clock::Time;
+
+/// Times at which an announcement is sent, counted from its creation, in milliseconds. On a bad
+/// link that loses one datagram in thirty, four announcements in a million are lost every time. The
+/// last one is sent after a process that had just started, or was suspended for a second, receives
+/// again.
+const SEND_AT_MS: [u64; 5] = [0, 125, 500, 1_000, 2_000];
+
+#[derive(Clone, Copy, Debug)]
+struct Item {
+    since: Time,
+    /// Number of times it was sent.
+    sent: usize,
+    /// Number of times it is to be sent.
+    times: usize,
+}
+
+impl Item {
+    fn due(&self) -> Option<Time> {
+        let after_ms = SEND_AT_MS[..self.times].get(self.sent)?;
+        Some(self.since.after_ms(*after_ms))
+    }
+}
+
+/// Requests to announce to other entries.
+#[derive(Clone, Debug, Default)]
+pub struct Announcements {
+    items: HashMap<Fingerprint, Item>,
+}
+
+impl Announcements {
+    /// Schedules announcements of new information about a request, starting now.
+    pub fn add(&mut self, request: Fingerprint, now: Time) {
+        let item = Item {
+            since: now,
+            sent: 0,
+            times: SEND_AT_MS.len(),
+        };
+        self.items.insert(request, item);
+    }
+
+    /// Schedules a single reply to an entry with outdated information at `at`, unless an
+    /// announcement of the request is already scheduled.
+    pub fn schedule_answer(&mut self, request: Fingerprint, at: Time) {
+        // One reply is enough, since each further outdated message gets another one.
+        let item = Item {
+            since: at,
+            sent: 0,
+            times: 1,
+        };
+        self.items.entry(request).or_insert(item);
+    }
+
+    /// Cancels a reply that another entry has already sent.
+    pub fn cancel_answer(&mut self, request: Fingerprint) {
+        let answer = |it: &Item| it.times == 1;
+        if self.items.get(&request).is_some_and(answer) {
+            self.items.remove(&request);
+        }
+    }
+
+    /// Returns the requests to announce now, at most `most` of them, those of the highest `weight`
+    /// first.
+    pub fn take_due(
+        &mut self,
+        now: Time,
+        most: usize,
+        weight: impl Fn(Fingerprint) -> usize,
+    ) -> Vec<Fingerprint> {
+        self.items.retain(|_, it| it.due().is_some());
+        let due = self.items.iter();
+        let due = due.filter(|(_, it)| it.due().is_some_and(|at| at <= now));
+        let mut due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
+        due.sort_by_cached_key(|it| (usize::MAX - weight(*it), *it));
+        due.truncate(most);
+        for request in &due {
+            if let Some(item) = self.items.get_mut(request) {
+                item.sent += 1;
+            }
+        }
+        due
+    }
+}
--- /dev/null
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -0,0 +1,51 @@
+//! Selects the entries that send to other regions for their own.
+//!
+//! The entries of a region exchange their state directly; a few delegates send what other regions
+//! need of it once for all. Delegates are selected by rendezvous hashing from the live entries,
+//! without coordination. While views differ there are more or fewer of them, which costs bytes or a
+//! pause.
+
+use std::net::Ipv4Addr;
+
+use super::roster;
+use crate::rendezvous;
+
+/// Delegates of a region, which take turns. With two, the loss of one halves the rate of their
+/// messages.
+pub const DELEGATES: usize = 2;
+/// Entries over all regions that send to each agent in a region without a live entry.
+const FALLBACK_SENDERS: usize = 2;
+/// Entries of a region that send changes to each agent at once; the others include them in their
+/// next regular datagram.
+const IMMEDIATE_SENDERS: usize = 4;
+/// Rendezvous key of the selection.
+const KEY: u64 = 0x5350_4541_4b53;
+
+/// Whether `own` is a delegate of its region, where `others` are the other live entries.
+pub fn is_delegate(own: Ipv4Addr, others: impl Iterator<Item = Ipv4Addr>) -> bool {
+    let others = others.map(|it| roster::hash(&it));
+    rendezvous::rank(KEY, roster::hash(&own), others) < DELEGATES
+}
+
+/// Whether `own` sends to an agent in a region without a live entry, where `others` are the live
+/// entries elsewhere. Each agent gets a few senders, whatever the size of the fleet, since it
+/// reports to each entry that sends to it.
+pub fn is_fallback_sender(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
+    rendezvous::rank(agent, own, others) < FALLBACK_SENDERS
+}
+
+/// Whether `own` is one of the entries of an agent's region that send changes to it at once, where
+/// `others` are the other live entries there.
+pub fn sends_changes_at_once(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
+    rendezvous::rank(agent, own, others) < IMMEDIATE_SENDERS
+}
+
+/// Returns the entry that relays messages to a region with the live entries `members`; its
+/// delegates alternate by `turn`.
+pub fn relay_for_turn(members: &[Ipv4Addr], turn: usize) -> Option<Ipv4Addr> {
+    let hashes: Vec<u64> = members.iter().map(roster::hash).collect();
+    let order = rendezvous::order(KEY, &hashes);
+    let delegates = &order[..DELEGATES.min(order.len())];
+    let drawn = delegates.get(turn % delegates.len().max(1))?;
+    Some(members[*drawn])
+}
--- /dev/null
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -0,0 +1,147 @@
+//! A table update from a peer whose large values are still being fetched.
+//!
+//! Small values are part of the announcement. The end of a copy never covers a gap, so records that
+//! follow a missing value are applied again after it arrives. Until then, those of them that set a
+//! value can be applied ahead of it ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
+
+use std::collections::HashMap;
+
+use bytes::Bytes;
+
+use super::{
+    mirror::{Record, Update},
+    transfer::{MAX_VALUE, MissingValue},
+};
+
+/// An announced record.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub enum Row {
+    /// The value is still to be fetched.
+    Missing(MissingValue),
+    /// The record is complete.
+    Present(Record),
+}
+
+impl Row {
+    fn offset(&self) -> u64 {
+        match self {
+            Row::Missing(missing) => missing.offset,
+            Row::Present(record) => record.offset,
+        }
+    }
+}
+
+/// An update with values that may be missing.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct PendingUpdate {
+    snapshot: bool,
+    /// Records, ascending by offset.
+    rows: Vec<Row>,
+    end: u64,
+}
+
+impl PendingUpdate {
+    /// Creates an update from the records that a peer announced, ascending by offset and up to
+    /// `end`. A `snapshot` holds the latest records of all keys.
+    pub fn new(snapshot: bool, rows: Vec<Row>, end: u64) -> PendingUpdate {
+        PendingUpdate {
+            snapshot,
+            rows,
+            end,
+        }
+    }
+
+    /// Returns the end of a copy to which all of the update was applied.
+    pub fn end(&self) -> u64 {
+        self.end
+    }
+
+    /// Returns the first missing value.
+    pub fn missing(&self) -> Option<&MissingValue> {
+        self.rows.iter().find_map(|it| match it {
+            Row::Missing(missing) => Some(missing),
+            Row::Present(_) => None,
+        })
+    }
+
+    /// Whether it announces a value that is too large to be fetched from peers.
+    pub fn oversized(&self) -> bool {
+        let too_large =
+            |it: &Row| matches!(it, Row::Missing(missing) if MAX_VALUE < missing.length);
+        self.rows.iter().any(too_large)
+    }
+
+    /// Fills in the missing values that `held` returns.
+    pub fn fill(&mut self, held: impl Fn(&MissingValue) -> Option<Bytes>) {
+        for row in &mut self.rows {
+            if let Row::Missing(missing) = row
+                && let Some(value) = held(missing)
+            {
+                *row = Row::Present(Record {
+                    key: std::mem::take(&mut missing.key),
+                    value: Some(value),
+                    offset: missing.offset,
+                });
+            }
+        }
+    }
+
+    /// Returns the present values by offset.
+    pub fn values(&self) -> HashMap<u64, Bytes> {
+        let present = self.rows.iter().filter_map(|it| match it {
+            Row::Present(record) => Some((record.offset, record.value.clone()?)),
+            Row::Missing(_) => None,
+        });
+        present.collect()
+    }
+
+    /// Whether it is incomplete and contains nothing new for a copy that ends at `end`.
+    pub fn outdated(&self, end: u64) -> bool {
+        self.end <= end && self.missing().is_some()
+    }
+
+    /// Removes and returns the part that can be applied to a copy that ends at `end`: the records
+    /// before the first missing value, or a whole snapshot.
+    pub fn take_ready(&mut self, end: u64) -> Option<Update> {
+        if !self.snapshot {
+            self.rows.retain(|it| end <= it.offset());
+        }
+        let present = self
+            .rows
+            .iter()
+            .take_while(|it| matches!(it, Row::Present(_)));
+        let present = present.count();
+        let whole = present == self.rows.len();
+        if !whole && (self.snapshot || present == 0) {
+            return None;
+        }
+        let end = self.rows.get(present).map_or(self.end, Row::offset);
+        let records = self.rows.drain(..present).filter_map(|it| match it {
+            Row::Present(record) => Some(record),
+            Row::Missing(_) => None,
+        });
+        Some(Update {
+            snapshot: self.snapshot,
+            records: records.collect(),
+            end,
+        })
+    }
+
+    /// Returns the records that can be applied although values before them are missing: the last
+    /// present record of each key, unless it is a deletion.
+    pub fn usable_ahead(&self) -> Vec<Record> {
+        let mut last: HashMap<&str, &Record> = HashMap::new();
+        for row in &self.rows {
+            if let Row::Present(record) = row {
+                last.insert(&record.key, record);
+            }
+        }
+        let mut ahead: Vec<Record> = last
+            .into_values()
+            .filter(|it| it.value.is_some())
+            .cloned()
+            .collect();
+        ahead.sort_by_key(|it| it.offset);
+        ahead
+    }
+}
--- /dev/null
+++ b/crates/gradeloft_policy/src/process/replica_starts.rs
@@ -0,0 +1,74 @@
+//! Assigns messages about a replica to its starts.
+//!
+//! A replica may restart under the same id, and loses its state. Each start reports its time by the
+//! clock of its instance, which may have been set back in the meantime.
+
+/// Relation of a message to the known start.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum StartOrder {
+    /// The message concerns a start that has ended.
+    Ended,
+    /// The message concerns a start that was not known.
+    Newer,
+    /// The message concerns the known start, or one that can't be distinguished from it.
+    Same,
+}
+
+/// The starts of one replica.
+#[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
+pub struct Starts {
+    /// The known start, as a Unix time in milliseconds.
+    current: Option<u64>,
+    /// The start before it.
+    ended: Option<u64>,
+}
+
+impl Starts {
+    /// Creates the state for the first known start.
+    pub fn new(born: Option<u64>) -> Starts {
+        Starts {
+            current: born,
+            ended: None,
+        }
+    }
+
+    /// Applies a record of the platform's table, whose records are read in order.
+    ///
+    /// ```
+    /// use gradeloft_policy::process::replica_starts::{StartOrder, Starts};
+    /// let mut starts = Starts::new(Some(2_000));
+    /// assert_eq!(starts.listed(Some(2_000)), StartOrder::Same);
+    /// // Its clock was set back before it started again.
+    /// assert_eq!(starts.listed(Some(1_000)), StartOrder::Newer);
+    /// assert_eq!(starts.received(Some(2_000)), StartOrder::Ended);
+    /// ```
+    pub fn listed(&mut self, born: Option<u64>) -> StartOrder {
+        match (self.current, born) {
+            (Some(current), Some(born)) if current != born => {
+                self.ended = Some(current);
+                self.current = Some(born);
+                StartOrder::Newer
+            }
+            _ => {
+                self.current = self.current.or(born);
+                StartOrder::Same
+            }
+        }
+    }
+
+    /// Applies a message that may be delayed: one about an earlier start, or about the one that
+    /// ended last, changes nothing.
+    pub fn received(&mut self, born: Option<u64>) -> StartOrder {
+        match (self.current, born) {
+            (Some(current), Some(born)) if born < current || self.ended == Some(born) => {
+                StartOrder::Ended
+            }
+            _ => self.listed(born),
+        }
+    }
+
+    /// Returns the known start as a Unix time in milliseconds.
+    pub fn born(self) -> Option<u64> {
+        self.current
+    }
+}
--- /dev/null
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -0,0 +1,150 @@
+//! Estimates the times at which records of a table were written.
+//!
+//! Records carry no time of writing. A record read during steady reading counts as just written. A
+//! record read after an interruption can have been written at any time since the copy was last
+//! complete, and counts as written then. A record received from a peer is as old as it is at the
+//! peer, or older if this process learned of it earlier.
+
+use std::time::Duration;
+
+use super::{earliest_writes::EarliestWrites, latest_writes::LatestWrites};
+use crate::clock::Time;
+
+/// Pause between two successful reads above which reading counts as interrupted, in milliseconds:
+/// the pause between reads of the operator's table is 50 ms, and at most 150 ms after a single
+/// failure.
+const STEADY_PAUSE_MS: u64 = 300;
+/// Time after the end of its wait within which an undelayed read is answered, in milliseconds.
+/// Entries require new weights early enough to allow for records that they learn of this late.
+const DELAYED_MS: u64 = 300;
+
+/// Size from which the transfer time of an answer is significant, in bytes: 0.2 s on a link of 1.2
+/// MB a second, such as that of a store.
+const LARGE_BYTES: usize = 256 << 10;
+
+/// Timing and size of a read from the store.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct Read {
+    /// When the read was requested.
+    pub asked: Time,
+    /// Longest time that the store waits for new records.
+    pub wait: Duration,
+    /// When the answer arrived.
+    pub answered: Time,
+    /// Size of the records in the answer, in bytes.
+    pub bytes: usize,
+    /// Whether the previous read failed, or this process was suspended or cut off in the meantime.
+    pub disturbed: bool,
+}
+
+impl Read {
+    /// Whether the store may have begun the answer long before it arrived.
+    fn is_delayed(self) -> bool {
+        let late = self.asked.after(self.wait).after_ms(DELAYED_MS) < self.answered;
+        late || LARGE_BYTES <= self.bytes
+    }
+}
+
+/// Bounds and estimates of the times at which the records of one table were written.
+#[derive(Clone, Debug, Default)]
+pub struct WriteTimes {
+    /// Upper bounds.
+    latest: LatestWrites,
+    /// Effective times, between the lower and the upper bounds.
+    effective: LatestWrites,
+    /// Lower bounds.
+    earliest: EarliestWrites,
+    /// Latest time at which this process's own reads showed the copy to be complete.
+    confirmed: Option<Time>,
+    /// When the last successful read ended.
+    read_at: Option<Time>,
+    /// Whether the answer to the last read was delayed, so that the store went unobserved
+    /// meanwhile.
+    read_delayed: bool,
+}
+
+impl WriteTimes {
+    /// Records that the copy of a peer reaches up to `end` at `now`.
+    pub fn note_peer_end(&mut self, end: u64, now: Time) {
+        self.latest.note(end, now);
+    }
+
+    /// Records that the copy of a peer, which reaches up to `end`, was complete `age_ms` before
+    /// `now`.
+    pub fn note_peer_complete(&mut self, end: u64, age_ms: u64, now: Time) {
+        self.earliest.note(end, now.before_ms(age_ms));
+    }
+
+    /// Records that a peer sent a record that it has known for `age_ms`, in answer to a call made
+    /// at `asked`.
+    pub fn note_received(&mut self, offset: u64, age_ms: u64, asked: Time) {
+        self.effective.note(offset + 1, asked.before_ms(age_ms));
+    }
+
+    /// Records that a read brought the records at `offsets`.
+    pub fn note_read(&mut self, offsets: impl Iterator<Item = u64>, read: Read) {
+        let bound = self.lower_bound(read);
+        for offset in offsets {
+            let earliest = self
+                .earliest
+                .unwritten_until(offset)
+                .unwrap_or(read.answered);
+            let written = earliest.max(bound).min(read.answered);
+            self.effective.note(offset + 1, written);
+        }
+        self.read_at = Some(read.answered);
+        self.read_delayed = read.is_delayed();
+    }
+
+    /// Returns the lower bound for the write times of the records of a read, as far as the read
+    /// itself shows it.
+    fn lower_bound(&self, read: Read) -> Time {
+        if read.disturbed || read.is_delayed() {
+            return Time::ZERO;
+        }
+        let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
+        let reading_steadily = !self.read_at.is_none_or(paused) && !self.read_delayed;
+        let waited = read.asked.after_ms(DELAYED_MS) < read.answered;
+        match (reading_steadily, waited) {
+            (true, _) => read.answered,
+            // The store would have answered at once if the records had been there at the start of
+            // the read.
+            (false, true) => read.asked,
+            (false, false) => Time::ZERO,
+        }
+    }
+
+    /// Records that this process's own reads showed its copy, which reaches up to `end`, to be
+    /// complete at `at`.
+    pub fn confirm(&mut self, end: u64, at: Time) {
+        self.earliest.note(end, at);
+        self.confirmed = self.confirmed.max(Some(at));
+    }
+
+    /// Returns the time since this process's own reads last showed the copy to be complete, in
+    /// milliseconds, or `None` if they never did.
+    pub fn unconfirmed_ms(&self, now: Time) -> Option<u64> {
+        self.confirmed.map(|it| now.since(it).as_millis() as u64)
+    }
+
+    /// Returns the latest time at which a copy that reaches up to `end` is known to have been
+    /// complete, by own reads and by those of peers.
+    pub fn complete_until(&self, end: u64) -> Option<Time> {
+        self.earliest.unwritten_until(end)
+    }
+
+    /// Returns the earliest time by which a record is known to have been written.
+    pub fn known_since(&self, offset: u64) -> Option<Time> {
+        self.latest.known_since(offset)
+    }
+
+    /// Returns the time at which a record counts as written, from which time limits set by its
+    /// writer are measured.
+    pub fn effective_since(&self, offset: u64) -> Option<Time> {
+        let (known, counted) = (
+            self.latest.known_since(offset),
+            self.effective.known_since(offset),
+        );
+        known.into_iter().chain(counted).min()
+    }
+}
--- a/crates/gradeloft_policy/src/request/mod.rs
+++ b/crates/gradeloft_policy/src/request/mod.rs
@@ -1,26 +1,26 @@
-//! What lives for a request.
+//! State and decisions that last for one request.
 //!
-//! - [`admission`]: rates of teams and the shedding of classes.
-//! - [`age`]: how long ago a caller first asked.
-//! - [`answer`]: whether the frames of an answer are whole and its own.
-//! - [`attempt`]: what may follow a failed attempt.
-//! - [`forecast`]: when a replica would begin an answer.
-//! - [`once`]: calls that run at most once.
-//! - [`placement`]: which replica gets a forwarded request.
-//! - [`quarantine`]: requests that end the replicas which begin them.
-//! - [`retry`]: whether a failed attempt is tried again.
-//! - [`route`]: which replica gets it.
-//! - [`shortage`]: when callers that are refused come back.
+//! - [`admission`]: rate limits of teams and load shedding by class.
+//! - [`at_most_once`]: calls that run at most once.
+//! - [`attempt`]: whether another attempt may follow a failed one.
+//! - [`caller_age`]: how long ago a caller first sent its request.
+//! - [`forecast`]: time to first token at a replica.
+//! - [`placement`]: selection of a replica for a forwarded request.
+//! - [`quarantine`]: requests that crash the replicas running them.
+//! - [`response`]: validation of response frames.
+//! - [`retry`]: whether to retry a failed attempt.
+//! - [`route`]: selection of a replica by prefix affinity and load.
+//! - [`shortage`]: when refused callers retry.
 //! - [`wait`]: how long a request waits for a replica with room.
 
 pub mod admission;
-pub mod age;
-pub mod answer;
+pub mod at_most_once;
 pub mod attempt;
+pub mod caller_age;
 pub mod forecast;
-pub mod once;
 pub mod placement;
 pub mod quarantine;
+pub mod response;
 pub mod retry;
 pub mod route;
 pub mod shortage;
--- a/crates/gradeloft_policy/src/request/answer.rs
+++ b/crates/gradeloft_policy/src/request/response.rs
@@ -1,4 +1,4 @@
-//! Whether the frames of an answer are whole and belong to their request.
+//! Checks that the frames of a response are complete and belong to their request.
 
 use gradeloft_wire::{
     error::Kind,
@@ -6,25 +6,25 @@
     id::{Digest, RequestId},
 };
 
-/// Follows the frames of one attempt's answer.
+/// Validates the frames of one attempt's response.
 ///
-/// A frame of another attempt or version, out of order or repeated ends the answer: it becomes an
-/// error to its caller and never somebody else's text.
+/// A frame that belongs to another attempt or version, is out of order or is repeated ends the
+/// response with an error, so a caller never receives another caller's text.
 #[derive(Clone, Debug)]
-pub struct Checker {
+pub struct ResponseChecker {
     request: RequestId,
     /// Version that the request is pinned to; empty for services.
     version: String,
-    /// Pieces seen so far, all in order.
+    /// Number of pieces accepted so far, all in order.
     count: u64,
     hasher: blake3::Hasher,
     ended: bool,
 }
 
-impl Checker {
-    /// A checker for an attempt pinned to a version.
-    pub fn new(request: RequestId, version: &str) -> Checker {
-        Checker {
+impl ResponseChecker {
+    /// Creates a checker for an attempt that is pinned to `version`.
+    pub fn new(request: RequestId, version: &str) -> ResponseChecker {
+        ResponseChecker {
             request,
             version: version.to_owned(),
             count: 0,
@@ -33,15 +33,15 @@
         }
     }
 
-    /// Takes the next frame; an error ends the answer.
+    /// Accepts the next frame. An error ends the response.
     pub fn accept(&mut self, reply: &Reply) -> Result<(), Kind> {
         if self.ended {
             return Err(Kind::Mismatch);
         }
         match reply {
-            Reply::Head { request, .. } => self.owns(*request),
+            Reply::Head { request, .. } => self.check_request(*request),
             Reply::Refused { request, kind } => {
-                self.owns(*request)?;
+                self.check_request(*request)?;
                 Err(*kind)
             }
             Reply::Piece {
@@ -50,8 +50,8 @@
                 seq,
                 data,
             } => {
-                self.owns(*request)?;
-                self.piece(version, *seq, data)
+                self.check_request(*request)?;
+                self.accept_piece(version, *seq, data)
             }
             Reply::End {
                 request,
@@ -59,15 +59,15 @@
                 count,
                 digest,
             } => {
-                self.owns(*request)?;
-                self.end(version, *count, *digest)
+                self.check_request(*request)?;
+                self.accept_end(version, *count, *digest)
             }
             _ => Err(Kind::Mismatch),
         }
     }
 
-    /// Takes a piece that is known to belong to the attempt.
-    pub fn piece(&mut self, version: &str, seq: u64, data: &[u8]) -> Result<(), Kind> {
+    /// Accepts a piece that is known to belong to the attempt.
+    pub fn accept_piece(&mut self, version: &str, seq: u64, data: &[u8]) -> Result<(), Kind> {
         if version != self.version || seq != self.count {
             return Err(Kind::Mismatch);
         }
@@ -76,22 +76,23 @@
         Ok(())
     }
 
-    /// Whether any piece was accepted.
-    pub fn begun(&self) -> bool {
+    /// Returns whether any piece was accepted.
+    pub fn has_started(&self) -> bool {
         0 < self.count
     }
 
-    /// Whether the closing frame came and matched.
-    pub fn whole(&self) -> bool {
+    /// Returns whether the end frame arrived and matched.
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
-    /// Number of pieces and their digest, for the closing frame of an answer made here.
+    /// Returns the number of pieces and their digest, for the end frame of a response produced
+    /// here.
     pub fn totals(&self) -> (u64, Digest) {
         (self.count, Digest(self.hasher.finalize().into()))
     }
 
-    fn owns(&self, request: RequestId) -> Result<(), Kind> {
+    fn check_request(&self, request: RequestId) -> Result<(), Kind> {
         if request == self.request {
             Ok(())
         } else {
@@ -99,7 +100,7 @@
         }
     }
 
-    fn end(&mut self, version: &str, count: u64, digest: Digest) -> Result<(), Kind> {
+    fn accept_end(&mut self, version: &str, count: u64, digest: Digest) -> Result<(), Kind> {
         if version != self.version || (count, digest) != self.totals() {
             return Err(Kind::Mismatch);
         }
--- a/crates/gradeloft_policy/src/version/upload.rs
+++ b/crates/gradeloft_policy/src/version/upload.rs
@@ -1,62 +1,62 @@
-//! Which peer's request for a chunk is served when.
+//! Admission of peers' requests for chunks.
 
 use std::collections::VecDeque;
 
-/// Requests that wait for each slot before peers are sent elsewhere.
+/// Maximum number of requests that wait for each slot; further ones are sent to other peers.
 const WAITING_PER_SLOT: usize = 2;
 
-/// Upload slots of one agent: a bounded number of chunks go out at once, a bounded number wait.
+/// Upload slots of one agent, with a bounded queue of requests that wait for one.
 ///
 /// ```
-/// use gradeloft_policy::version::upload::{Slots, Turn};
-/// let mut slots = Slots::new(1);
-/// assert_eq!(slots.ask("a"), Turn::Now);
-/// assert_eq!(slots.ask("b"), Turn::Later);
-/// assert_eq!(slots.done(), Some("b"));
+/// use gradeloft_policy::version::upload::{Admission, UploadSlots};
+/// let mut slots = UploadSlots::new(1);
+/// assert_eq!(slots.request("a"), Admission::Granted);
+/// assert_eq!(slots.request("b"), Admission::Queued);
+/// assert_eq!(slots.release(), Some("b"));
 /// ```
-pub struct Slots<T> {
+pub struct UploadSlots<T> {
     free: usize,
-    /// First come, first served; at most [`WAITING_PER_SLOT`] for each slot.
+    /// FIFO queue of at most [`WAITING_PER_SLOT`] requests for each slot.
     waiting: VecDeque<T>,
-    most_waiting: usize,
+    max_waiting: usize,
 }
 
-/// What becomes of a request for a chunk.
+/// Outcome of a request for an upload slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
-    /// Too many wait: ask another peer.
+pub enum Admission {
+    /// The queue is full: the peer has to ask another one.
     Busy,
-    /// It waits; [`Slots::done`] gives it back when its turn comes.
-    Later,
-    /// It has a slot.
-    Now,
+    /// The request waits; [`UploadSlots::release`] returns it when a slot is free.
+    Queued,
+    /// The request has a slot.
+    Granted,
 }
 
-impl<T> Slots<T> {
-    /// So many slots.
-    pub fn new(slots: usize) -> Slots<T> {
-        Slots {
+impl<T> UploadSlots<T> {
+    /// Creates an empty queue for `slots` slots.
+    pub fn new(slots: usize) -> UploadSlots<T> {
+        UploadSlots {
             free: slots,
             waiting: VecDeque::new(),
-            most_waiting: slots * WAITING_PER_SLOT,
+            max_waiting: slots * WAITING_PER_SLOT,
         }
     }
 
-    /// A peer asks for a chunk.
-    pub fn ask(&mut self, request: T) -> Turn {
+    /// Requests a slot for the upload of a chunk to a peer.
+    pub fn request(&mut self, request: T) -> Admission {
         if 0 < self.free {
             self.free -= 1;
-            return Turn::Now;
+            return Admission::Granted;
         }
-        if self.most_waiting <= self.waiting.len() {
-            return Turn::Busy;
+        if self.max_waiting <= self.waiting.len() {
+            return Admission::Busy;
         }
         self.waiting.push_back(request);
-        Turn::Later
+        Admission::Queued
     }
 
-    /// A slot is free again; gives the request that takes it over.
-    pub fn done(&mut self) -> Option<T> {
+    /// Releases a slot, and returns the queued request that takes it over.
+    pub fn release(&mut self) -> Option<T> {
         let next = self.waiting.pop_front();
         if next.is_none() {
             self.free += 1;
--- a/crates/gradeloft_policy/tests/homes.rs
+++ b/crates/gradeloft_policy/tests/allowed_regions.rs
@@ -1,15 +1,15 @@
-//! Regions to which the operator binds routes and teams.
+//! Tests of the regions to which the operator restricts routes and teams.
 
 use std::{collections::HashMap, rc::Rc};
 
 use gradeloft_policy::process::{
-    document::{CallerLimits, Config, Document, Kind, Route, Target},
-    homes::Homes,
+    allowed_regions::AllowedRegions,
+    document::{CallerLimits, Config, Document, Route, RouteKind, Target},
 };
 use rstest::rstest;
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::of(regions.iter().map(|it| (*it).to_owned()))
+fn allowed_regions(regions: &[&str]) -> AllowedRegions {
+    AllowedRegions::of(regions.iter().map(|it| (*it).to_owned()))
 }
 
 fn route(prefix: &str, regions: &[&str]) -> Route {
@@ -17,7 +17,7 @@
         name: prefix.into(),
         host: "h".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Once,
+        kind: RouteKind::Once,
         targets: vec![Target {
             service: "s".into(),
             weight: 1.0,
@@ -27,7 +27,7 @@
         max_attempts: 1,
         priority: 0,
         public: false,
-        homes: homes(regions),
+        allowed_regions: allowed_regions(regions),
     }
 }
 
@@ -37,7 +37,7 @@
         routes,
         services: Vec::new(),
         keys: HashMap::from([("k".to_owned(), Rc::from("t"))]),
-        homes: HashMap::from([(Rc::from("t"), homes(team))]),
+        allowed_regions: HashMap::from([(Rc::from("t"), allowed_regions(team))]),
         limits: CallerLimits {
             head_bytes: 1,
             body_bytes: 1,
@@ -53,30 +53,35 @@
 #[case(&[], &["b"], Some("t"), "b")]
 #[case(&["a", "b"], &["b"], Some("t"), "b")]
 #[case(&["a"], &["b"], Some("t"), "")]
-// Without a key, or with that of a team that is not bound, only the route's hold.
+// Without a key, or with that of an unrestricted team, only the regions of the route apply.
 #[case(&["a"], &["b"], None, "a")]
 #[case(&["a"], &["b"], Some("another"), "a")]
-fn route_and_team_both_bind(
-    #[case] of_route: &[&str],
-    #[case] of_team: &[&str],
+fn allowed_regions_are_those_of_both_route_and_team(
+    #[case] route_regions: &[&str],
+    #[case] team_regions: &[&str],
     #[case] team: Option<&str>,
     #[case] allowed: &str,
 ) {
-    let config = config(vec![route("/r/", of_route)], of_team);
-    let homes = config.homes(&config.document.routes[0], team);
-    let regions = ["a", "b"].into_iter().filter(|it| homes.allow(it));
+    let config = config(vec![route("/r/", route_regions)], team_regions);
+    let allowed_regions = config.allowed_regions(&config.document.routes[0], team);
+    let regions = ["a", "b"]
+        .into_iter()
+        .filter(|it| allowed_regions.allows(it));
     assert_eq!(regions.collect::<String>(), allowed);
 }
 
 #[test]
-fn a_host_is_at_home_where_all_of_its_routes_are() {
+fn a_region_is_allowed_for_a_host_if_all_of_its_routes_allow_it() {
     let routes = vec![
         route("/r/", &["a", "b"]),
         route("/x/", &["b"]),
         route("/y/", &[]),
     ];
     let config = config(routes, &[]);
-    let homes = config.homes_of_host("H");
-    assert_eq!(["a", "b"].map(|it| homes.allow(it)), [false, true]);
-    assert!(config.homes_of_host("unknown").everywhere());
+    let allowed_regions = config.allowed_regions_of_host("H");
+    assert_eq!(
+        ["a", "b"].map(|it| allowed_regions.allows(it)),
+        [false, true]
+    );
+    assert!(config.allowed_regions_of_host("unknown").is_unrestricted());
 }
