--- a/crates/gradeloft_daemon/src/agent/claims.rs
+++ b/crates/gradeloft_daemon/src/agent/claims.rs
@@ -79,7 +79,7 @@
             }
             let settled = commit(&agent.node, claims, &stream, &group).await;
             if let Err(fault) = &settled {
-                agent.node.platform_fault("log");
+                agent.node.count_platform_failure("log");
                 warn!(agent.node.log, "claims not settled"; "claims" => group.len(), "why" => %fault);
             }
             for (_, tell) in group {
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -160,7 +160,7 @@
     }
 
     async fn run(&mut self) {
-        let mut changed = self.agent.node.members.subscribe();
+        let mut changed = self.agent.node.membership_changes.subscribe();
         self.meet();
         while !(self.fetch.borrow().is_complete() && self.staging == 0) {
             self.pump();
--- a/crates/gradeloft_daemon/src/agent/generate.rs
+++ b/crates/gradeloft_daemon/src/agent/generate.rs
@@ -85,7 +85,7 @@
     ) -> Result<(), Kind> {
         loop {
             let left = self.agent.node.clock.until(deadline);
-            let patience: Duration = left.min(self.agent.node.idle());
+            let patience: Duration = left.min(self.agent.node.idle_timeout());
             match timeout(patience, generation.next()).await {
                 Ok(Some(Ok(Output::Token(token)))) => {
                     self.owns(&token.request_id)?;
--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -246,7 +246,7 @@
                 return;
             }
             Err(fault) => {
-                node.platform_fault("log");
+                node.count_platform_failure("log");
                 warn!(node.log, "no epoch yet"; "why" => %fault);
                 actix_rt::time::sleep(EPOCH_RETRY).await;
             }
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -21,7 +21,7 @@
 use tokio::time::timeout;
 
 use super::{Agent, fetch::Members};
-use crate::transport::client::{Fault as PeerFault, Lane};
+use crate::transport::client::{CallError, Lane};
 
 /// Pause before the manifest is asked for again.
 const MANIFEST_RETRY: Duration = Duration::from_millis(60);
@@ -82,13 +82,13 @@
 
 async fn peer(agent: &Agent, address: &str, digest: Digest) -> Result<Bytes, Failure> {
     let call = Call::Chunk { digest };
-    match agent.node.pool.ask(address, Lane::Bulk, &call).await {
+    match agent.node.pool.call(address, Lane::Bulk, &call).await {
         Ok(Reply::Chunk(content)) => Ok(Bytes::from(content)),
         Ok(Reply::Absent(Absence::Busy)) => Err(Failure::Busy),
         Ok(Reply::Absent(Absence::NotHeld)) => Err(Failure::NotHeld),
         Ok(Reply::Absent(Absence::Pending)) => Err(Failure::Pending),
         Ok(Reply::Absent(Absence::Leaving)) => Err(Failure::Gone),
-        Ok(_) | Err(PeerFault::Lost | PeerFault::Unsent) => Err(Failure::Gone),
+        Ok(_) | Err(CallError::Lost | CallError::Unsent) => Err(Failure::Gone),
     }
 }
 
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -119,7 +119,7 @@
         .await;
     let mut checker = ResponseChecker::new(request, "");
     loop {
-        match timeout(agent.node.idle(), response.body.next()).await {
+        match timeout(agent.node.idle_timeout(), response.body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 agent.live_out(bytes.len());
                 let (seq, _) = checker.totals();
@@ -253,7 +253,7 @@
     check_echo(&response, id)?;
     let mut body = Vec::new();
     loop {
-        match timeout(agent.node.idle(), response.body.next()).await {
+        match timeout(agent.node.idle_timeout(), response.body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 if (agent.node.limits.body_bytes as usize) < body.len() + bytes.len() {
                     return Err(Kind::Cut);
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -54,7 +54,7 @@
         tokio::select! {
             changed = arrivals.changed() => if changed.is_err() { return },
             () = actix_rt::time::sleep(FOLLOW_HEARTBEAT) => {}
-            () = outgoing.gone() => return,
+            () = outgoing.closed() => return,
         }
         actix_rt::time::sleep(GATHER).await;
     }
--- a/crates/gradeloft_daemon/src/agent/turn.rs
+++ b/crates/gradeloft_daemon/src/agent/turn.rs
@@ -161,7 +161,7 @@
 }
 
 fn refused(agent: &Agent, fault: &Fault) -> String {
-    agent.node.platform_fault("log");
+    agent.node.count_platform_failure("log");
     format!("no turn while the log can't be used: {fault}")
 }
 
--- a/crates/gradeloft_daemon/src/agent/work.rs
+++ b/crates/gradeloft_daemon/src/agent/work.rs
@@ -22,7 +22,7 @@
             let run = run(&agent, &work, &outgoing);
             let result = tokio::select! {
                 result = run => result,
-                () = outgoing.gone() => {
+                () = outgoing.closed() => {
                     info!(agent.node.log, "cancelled"; "attempt" => %request);
                     return;
                 }
--- a/crates/gradeloft_daemon/src/clock.rs
+++ b/crates/gradeloft_daemon/src/clock.rs
@@ -38,7 +38,7 @@
 
     /// A clock that starts now, on a machine that a test suspends by adding milliseconds: the clock counts them,
     /// and the runtime's timers do not.
-    pub fn suspended_by(suspended_ms: &'static AtomicU64) -> Clock {
+    pub fn with_simulated_suspension(suspended_ms: &'static AtomicU64) -> Clock {
         Clock {
             suspended_ms: Some(suspended_ms),
             ..Clock::start()
@@ -141,7 +141,7 @@
 
     /// Looks whether the machine was suspended since the last look, and wakes timers that are due by now; gives
     /// for how long it was.
-    pub fn look(&self) -> Duration {
+    pub fn check_suspension(&self) -> Duration {
         let now = (self.clock.now(), steady());
         let before = self.looked.replace(now);
         let passed = now.0.since(before.0);
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -24,7 +24,7 @@
 use super::{Entry, border::Context};
 use crate::{
     metrics::Reason,
-    transport::client::{Fault, Incoming, Lane},
+    transport::client::{CallError, Incoming, Lane},
 };
 
 /// What a request wants of an agent.
@@ -178,7 +178,7 @@
         Ok(Ok(it)) => it,
         Ok(Err(fault)) => return Err(entry.blame(key, fault)),
         // It waited for a connection or for a stream on one; the call itself goes out at once.
-        Err(_) => return Err(entry.blame(key, Fault::Unsent)),
+        Err(_) => return Err(entry.blame(key, CallError::Unsent)),
     };
     let mut checker = ResponseChecker::new(request, target.version());
     let waits_for_piece = matches!(target, Target::Weights(..));
@@ -207,11 +207,11 @@
     deadline: Time,
 ) -> Result<Reply, Kind> {
     let left = entry.node.clock.until(deadline);
-    let patience = left.min(entry.node.idle());
+    let patience = left.min(entry.node.idle_timeout());
     let reply = match timeout(patience, incoming.next()).await {
         Ok(Ok(Some(reply))) => reply,
-        Ok(Err(Fault::Unsent)) => return Err(Kind::Unreachable),
-        Ok(Ok(None) | Err(Fault::Lost)) => return Err(Kind::ReplyLost),
+        Ok(Err(CallError::Unsent)) => return Err(Kind::Unreachable),
+        Ok(Ok(None) | Err(CallError::Lost)) => return Err(Kind::ReplyLost),
         Err(_) if left <= patience => return Err(Kind::Deadline),
         Err(_) => return Err(Kind::ReplyLost),
     };
@@ -313,7 +313,10 @@
 
     /// How long a step of a request may take.
     fn patience(&self, deadline: Time) -> Duration {
-        self.node.clock.until(deadline).min(self.node.idle())
+        self.node
+            .clock
+            .until(deadline)
+            .min(self.node.idle_timeout())
     }
 
     fn address(&self, key: PeerKey) -> Option<(String, String)> {
@@ -322,10 +325,10 @@
         Some((instance.peer.clone(), instance.id.clone()))
     }
 
-    fn blame(&self, key: PeerKey, fault: Fault) -> Kind {
+    fn blame(&self, key: PeerKey, fault: CallError) -> Kind {
         let kind = match fault {
-            Fault::Lost => Kind::ReplyLost,
-            Fault::Unsent => Kind::Unreachable,
+            CallError::Lost => Kind::ReplyLost,
+            CallError::Unsent => Kind::Unreachable,
         };
         self.blame_kind(key, kind);
         kind
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -263,7 +263,7 @@
                     node: own,
                     asks: asks.clone(),
                 };
-                let asking = self.node.pool.ask(address, Lane::Live, &call);
+                let asking = self.node.pool.call(address, Lane::Live, &call);
                 match timeout(Duration::from_millis(LEASE_MS), asking).await {
                     Ok(Ok(reply)) => reply,
                     _ => return,
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -217,7 +217,7 @@
         header_bytes: node.limits.header_bytes as usize,
         body_bytes: node.limits.body_bytes as usize,
         connections: node.limits.connections as usize,
-        idle: node.idle(),
+        idle: node.idle_timeout(),
     };
     let entry = Rc::clone(entry);
     let handler: Handler = Rc::new(move |request| answer(Rc::clone(&entry), request).boxed_local());
@@ -292,7 +292,7 @@
 /// Takes over each bundle: rates, shares and versions.
 async fn apply(entry: Rc<Entry>) {
     let mut bundle = entry.node.bundle.subscribe();
-    let mut members = entry.node.members.subscribe();
+    let mut members = entry.node.membership_changes.subscribe();
     loop {
         entry.configure();
         tokio::select! {
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -33,7 +33,7 @@
         header_bytes: node.limits.header_bytes as usize,
         body_bytes: 0,
         connections: node.limits.connections as usize,
-        idle: node.idle(),
+        idle: node.idle_timeout(),
     };
     let handler: Handler = Rc::new(move |request| {
         let res = answer(&node, &*report, &request);
@@ -51,7 +51,7 @@
         "/readyz" => match report.ready() {
             Ok(()) => text(
                 200,
-                &format!("ready, bundle from {}\n", node.learned.get().name()),
+                &format!("ready, bundle from {}\n", node.bundle_source.get().name()),
             ),
             Err(why) => text(503, &format!("{why}\n")),
         },
@@ -85,7 +85,7 @@
         ready: report.ready().is_ok(),
         leaving: node.leaving(),
         bundle,
-        source: node.learned.get().name().to_owned(),
+        source: node.bundle_source.get().name().to_owned(),
         versions: report.versions(),
         peers: peers as u64,
         epoch: report.epoch(),
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -27,7 +27,7 @@
 use rand::{Rng, seq::IteratorRandom};
 use slog::{info, warn};
 
-use super::{Learned, Node, peers};
+use super::{BundleSource, Node, peers};
 use crate::transport::client::Lane;
 
 /// How long the log is asked to wait for something new, in milliseconds.
@@ -53,15 +53,16 @@
 /// Takes over a bundle that a peer says is in force.
 pub fn adopt(node: &Node, signed: &SignedBundle) {
     let verdict = node.chain.borrow_mut().adopt(signed);
-    settle(node, signed, &verdict, Learned::Peer);
+    settle(node, signed, &verdict, BundleSource::Peer);
 }
 
 /// Asks a peer for the bundle in force.
 pub async fn sync(node: &Node, address: &str) -> bool {
     let number = node.chain.borrow().number();
     let call = Call::Sync { number };
-    let asking = node.pool.ask(address, Lane::Live, &call);
-    let Ok(Ok(Reply::Bundles(bundles))) = tokio::time::timeout(node.idle(), asking).await else {
+    let asking = node.pool.call(address, Lane::Live, &call);
+    let Ok(Ok(Reply::Bundles(bundles))) = tokio::time::timeout(node.idle_timeout(), asking).await
+    else {
         return false;
     };
     for signed in &bundles {
@@ -75,7 +76,7 @@
     let mut pause_ms = RETRY_MS.start;
     let entry = node.settings.role == Role::Entry;
     loop {
-        if !entry && node.learned.get() != Learned::Nothing {
+        if !entry && node.bundle_source.get() != BundleSource::None {
             let jitter = node.with_rng(|it| it.random_range(0..1000));
             let pause = Duration::from_millis(AGENT_LOG_S * 1000 + jitter);
             actix_rt::time::sleep(pause).await;
@@ -90,11 +91,11 @@
                     from = record.offset + 1;
                 }
                 from = from.max(page.oldest);
-                if entry || node.learned.get() != Learned::Nothing {
+                if entry || node.bundle_source.get() != BundleSource::None {
                     continue;
                 }
             }
-            Err(_) => node.platform_fault("log"),
+            Err(_) => node.count_platform_failure("log"),
         }
         let jitter = node.with_rng(|it| it.random_range(0..pause_ms));
         actix_rt::time::sleep(Duration::from_millis(pause_ms / 2 + jitter)).await;
@@ -125,7 +126,7 @@
         }
     };
     let digest = signed.digest();
-    settle(node, &signed, &verdict, Learned::Log);
+    settle(node, &signed, &verdict, BundleSource::Log);
     if node
         .chain
         .borrow()
@@ -136,20 +137,20 @@
     }
 }
 
-fn settle(node: &Node, signed: &SignedBundle, verdict: &Verdict, learned: Learned) {
+fn settle(node: &Node, signed: &SignedBundle, verdict: &Verdict, source: BundleSource) {
     match verdict {
         Verdict::Accepted => {
             let number = node.chain.borrow().number();
-            node.learned.set(learned);
+            node.bundle_source.set(source);
             node.metrics.bundle.set(number as i64);
             node.notice.send_modify(|it| it.bundle = number);
             node.bundle.send_replace(number);
             info!(node.log, "bundle in force"; "number" => number, "signer" => &signed.signer,
-                "digest" => %signed.digest(), "source" => learned.name());
+                "digest" => %signed.digest(), "source" => source.name());
         }
         Verdict::Known => {}
         // What was accepted before looks outrun when the log is read again.
-        Verdict::Refused(Refusal::Outrun { .. }) if learned == Learned::Peer => {}
+        Verdict::Refused(Refusal::Outrun { .. }) if source == BundleSource::Peer => {}
         Verdict::Refused(why) => {
             node.metrics.bundles_refused.inc();
             info!(node.log, "bundle refused"; "signer" => &signed.signer,
@@ -174,7 +175,7 @@
         let record = Record::Checkpoint(signed).encode();
         match node.platform.log.append(CONFIG, &[record]).await {
             Ok(offset) => info!(node.log, "checkpoint"; "offset" => offset),
-            Err(_) => node.platform_fault("log"),
+            Err(_) => node.count_platform_failure("log"),
         }
     }
 }
@@ -227,8 +228,8 @@
         let call = Call::Push(signed.clone());
         let scope = Rc::clone(&node.scope);
         scope.spawn(async move {
-            let asking = node.pool.ask(&address, Lane::Live, &call);
-            let _ = tokio::time::timeout(node.idle(), asking).await;
+            let asking = node.pool.call(&address, Lane::Live, &call);
+            let _ = tokio::time::timeout(node.idle_timeout(), asking).await;
         });
     }
 }
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -74,23 +74,23 @@
 
 /// How the node learned the bundle in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Learned {
+pub enum BundleSource {
     /// From the platform's log.
     Log,
     /// Not at all yet.
     #[default]
-    Nothing,
+    None,
     /// From a peer.
     Peer,
 }
 
-impl Learned {
+impl BundleSource {
     /// Name in logs and status.
     pub fn name(self) -> &'static str {
         match self {
-            Learned::Log => "log",
-            Learned::Nothing => "none",
-            Learned::Peer => "peer",
+            BundleSource::Log => "log",
+            BundleSource::None => "none",
+            BundleSource::Peer => "peer",
         }
     }
 }
@@ -116,7 +116,7 @@
     /// The bundle in force.
     pub chain: RefCell<Chain>,
     /// How it was learned.
-    pub learned: Cell<Learned>,
+    pub bundle_source: Cell<BundleSource>,
     /// When the log took the last record that holds the bundle in force, in milliseconds since 1970.
     pub recorded_ms: Cell<Option<u64>>,
     /// Number of the bundle in force; tells whoever waits for a change.
@@ -124,7 +124,7 @@
     /// Peers.
     pub membership: RefCell<Membership>,
     /// Counts changes of membership; tells whoever waits for one.
-    pub members: watch::Sender<u64>,
+    pub membership_changes: watch::Sender<u64>,
     /// When the process ends at the latest, once it leaves.
     pub ends: Cell<Option<Time>>,
     /// The node's own state, as it is pushed to those who watch it.
@@ -161,11 +161,11 @@
             platform,
             scope: Rc::default(),
             chain: RefCell::new(Chain::new(crate::settings::publishers(&settings))),
-            learned: Cell::default(),
+            bundle_source: Cell::default(),
             recorded_ms: Cell::default(),
             bundle: watch::Sender::new(0),
             membership: RefCell::new(Membership::new(&settings.node.id)),
-            members: watch::Sender::new(0),
+            membership_changes: watch::Sender::new(0),
             ends: Cell::default(),
             notice: watch::Sender::new(notice),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -194,7 +194,7 @@
     }
 
     /// Counts a failed call to the platform.
-    pub fn platform_fault(&self, service: &'static str) {
+    pub fn count_platform_failure(&self, service: &'static str) {
         self.metrics
             .platform_faults
             .get_or_create(&Reason { reason: service })
@@ -202,7 +202,7 @@
     }
 
     /// Longest silence of a peer or an endpoint.
-    pub fn idle(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.idle_ms)
     }
 }
--- a/crates/gradeloft_daemon/src/node/peers.rs
+++ b/crates/gradeloft_daemon/src/node/peers.rs
@@ -40,7 +40,7 @@
         tokio::select! {
             changed = notices.changed() => if changed.is_err() { return },
             () = actix_rt::time::sleep(HEARTBEAT) => {}
-            () = outgoing.gone() => return,
+            () = outgoing.closed() => return,
         }
     }
 }
@@ -55,9 +55,9 @@
                 for key in fresh {
                     watch(&node, key);
                 }
-                node.members.send_modify(|it| *it += 1);
+                node.membership_changes.send_modify(|it| *it += 1);
             }
-            Err(_) => node.platform_fault("list"),
+            Err(_) => node.count_platform_failure("list"),
         }
         actix_rt::time::sleep(Duration::from_millis(interval_ms)).await;
     }
@@ -84,7 +84,7 @@
         let reason = watch_once(&node, key, &address).await;
         let now = node.clock.now();
         node.membership.borrow_mut().connection_lost(key, now);
-        node.members.send_modify(|it| *it += 1);
+        node.membership_changes.send_modify(|it| *it += 1);
         debug!(node.log, "peer lost"; "peer" => &address, "why" => reason);
         let retry_at = node
             .membership
@@ -138,7 +138,7 @@
     membership.receive_notice(key, notice, now);
     drop(membership);
     if changed {
-        node.members.send_modify(|it| *it += 1);
+        node.membership_changes.send_modify(|it| *it += 1);
     }
 }
 
--- a/crates/gradeloft_daemon/src/transport/client.rs
+++ b/crates/gradeloft_daemon/src/transport/client.rs
@@ -38,7 +38,7 @@
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum CallError {
     /// The connection broke after the call was sent, or the answer can't be read.
     Lost,
     /// The call was not sent, or the peer's transport refused it unread.
@@ -88,7 +88,12 @@
     }
 
     /// Sends a call and gives its answer, as it comes. Dropping the answer cancels the call.
-    pub async fn open(&self, address: &str, lane: Lane, call: &Call) -> Result<Incoming, Fault> {
+    pub async fn open(
+        &self,
+        address: &str,
+        lane: Lane,
+        call: &Call,
+    ) -> Result<Incoming, CallError> {
         let (sender, heard) = self.sender(address, lane).await?;
         let result = send(sender, call).await;
         if result.is_err() {
@@ -106,28 +111,28 @@
     }
 
     /// As [`Pool::open`], for calls that are answered with one frame.
-    pub async fn ask(&self, address: &str, lane: Lane, call: &Call) -> Result<Reply, Fault> {
+    pub async fn call(&self, address: &str, lane: Lane, call: &Call) -> Result<Reply, CallError> {
         self.open(address, lane, call)
             .await?
             .next()
             .await?
-            .ok_or(Fault::Lost)
+            .ok_or(CallError::Lost)
     }
 
-    /// As [`Pool::ask`], unless for as long as `silence` no byte comes: then it is dropped as by
-    /// [`Pool::silent`]. An answer may take longer as a whole: how long depends on its size and on the
+    /// As [`Pool::call`], unless for as long as `silence` no byte comes: then it is dropped as by
+    /// [`Pool::drop_silent`]. An answer may take longer as a whole: how long depends on its size and on the
     /// link, and says nothing of the peer.
-    pub async fn ask_within(
+    pub async fn call_within(
         &self,
         address: &str,
         lane: Lane,
         call: &Call,
         silence: Duration,
-    ) -> Result<Result<Reply, Fault>, Elapsed> {
+    ) -> Result<Result<Reply, CallError>, Elapsed> {
         let asked = self.clock.now();
         let reply = self.reply_within(address, lane, call, silence).await;
         if reply.is_err() {
-            self.silent(address, lane, asked);
+            self.drop_silent(address, lane, asked);
         }
         reply
     }
@@ -138,16 +143,16 @@
         lane: Lane,
         call: &Call,
         silence: Duration,
-    ) -> Result<Result<Reply, Fault>, Elapsed> {
+    ) -> Result<Result<Reply, CallError>, Elapsed> {
         let mut incoming = match timeout(silence, self.open(address, lane, call)).await? {
             Ok(incoming) => incoming,
             Err(fault) => return Ok(Err(fault)),
         };
         let reply = incoming.next_within(silence).await?;
-        Ok(reply.and_then(|it| it.ok_or(Fault::Lost)))
+        Ok(reply.and_then(|it| it.ok_or(CallError::Lost)))
     }
 
-    async fn sender(&self, address: &str, lane: Lane) -> Result<Sender, Fault> {
+    async fn sender(&self, address: &str, lane: Lane) -> Result<Sender, CallError> {
         let key = (address.to_owned(), lane);
         let kept = self.kept(&key);
         if let Some((kept, heard)) = kept
@@ -158,8 +163,8 @@
         let connecting = timeout(self.connect_timeout, connect(address, self.source));
         let fresh = connecting
             .await
-            .map_err(|_| Fault::Unsent)?
-            .map_err(|_| Fault::Unsent)?;
+            .map_err(|_| CallError::Unsent)?
+            .map_err(|_| CallError::Unsent)?;
         let heard = Rc::new(Cell::new(self.clock.now()));
         let connection = Connection {
             sender: fresh.clone(),
@@ -167,7 +172,7 @@
             heard: Rc::clone(&heard),
         };
         self.connections.borrow_mut().insert(key, connection);
-        let ready = fresh.ready().await.map_err(|_| Fault::Unsent)?;
+        let ready = fresh.ready().await.map_err(|_| CallError::Unsent)?;
         Ok((ready, heard))
     }
 
@@ -183,7 +188,7 @@
     /// Drops a connection on which a call of the time `asked` got no answer, and those to other peers on
     /// which nothing has come since then: connections go silent together, and each that is used all the
     /// same costs a call its whole time. A connection anew costs a round trip.
-    pub fn silent(&self, address: &str, lane: Lane, asked: Time) {
+    pub fn drop_silent(&self, address: &str, lane: Lane, asked: Time) {
         self.drop_one(address, lane);
         let mut connections = self.connections.borrow_mut();
         connections.retain(|_, it| asked <= it.heard.get());
@@ -228,16 +233,16 @@
 
 type Sent = (h2::client::ResponseFuture, SendStream<Bytes>);
 
-async fn send(mut sender: SendRequest<Bytes>, call: &Call) -> Result<Sent, Fault> {
+async fn send(mut sender: SendRequest<Bytes>, call: &Call) -> Result<Sent, CallError> {
     let request = http::Request::post("http://peer/")
         .body(())
-        .map_err(|_| Fault::Unsent)?;
+        .map_err(|_| CallError::Unsent)?;
     let (response, mut sending) = sender
         .send_request(request, false)
-        .map_err(|_| Fault::Unsent)?;
+        .map_err(|_| CallError::Unsent)?;
     sending
         .send_data(codec::frame(call), true)
-        .map_err(|_| Fault::Unsent)?;
+        .map_err(|_| CallError::Unsent)?;
     Ok((response, sending))
 }
 
@@ -253,7 +258,7 @@
 
 impl Incoming {
     /// The next frame; `None` at the regular end.
-    pub async fn next(&mut self) -> Result<Option<Reply>, Fault> {
+    pub async fn next(&mut self) -> Result<Option<Reply>, CallError> {
         loop {
             if let Some(reply) = self.decoded()? {
                 return Ok(Some(reply));
@@ -268,7 +273,7 @@
     async fn next_within(
         &mut self,
         silence: Duration,
-    ) -> Result<Result<Option<Reply>, Fault>, Elapsed> {
+    ) -> Result<Result<Option<Reply>, CallError>, Elapsed> {
         loop {
             match self.decoded() {
                 Ok(None) => {}
@@ -282,12 +287,12 @@
         }
     }
 
-    fn decoded(&mut self) -> Result<Option<Reply>, Fault> {
-        self.decoder.pop().map_err(|_| Fault::Lost)
+    fn decoded(&mut self) -> Result<Option<Reply>, CallError> {
+        self.decoder.pop().map_err(|_| CallError::Lost)
     }
 
     /// Waits for further bytes; gives `false` at the end.
-    async fn more(&mut self) -> Result<bool, Fault> {
+    async fn more(&mut self) -> Result<bool, CallError> {
         if let Some(head) = &mut self.head {
             let response = head.await.map_err(|it| fault(&it))?;
             self.heard.set(self.clock.now());
@@ -304,17 +309,17 @@
                 self.decoder.feed(&bytes);
                 Ok(true)
             }
-            Some(Err(_)) => Err(Fault::Lost),
+            Some(Err(_)) => Err(CallError::Lost),
             None => Ok(false),
         }
     }
 }
 
-fn fault(error: &h2::Error) -> Fault {
+fn fault(error: &h2::Error) -> CallError {
     // By the h2 standard a refused stream was not processed at all.
     if error.reason() == Some(Reason::REFUSED_STREAM) {
-        Fault::Unsent
+        CallError::Unsent
     } else {
-        Fault::Lost
+        CallError::Lost
     }
 }
--- a/crates/gradeloft_daemon/src/transport/server.rs
+++ b/crates/gradeloft_daemon/src/transport/server.rs
@@ -237,7 +237,7 @@
     }
 
     /// Waits until the peer has gone.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         let _ = poll_fn(|cx| self.stream.borrow_mut().poll_reset(cx)).await;
     }
 }
--- a/crates/gradeloft_daemon/tests/clock.rs
+++ b/crates/gradeloft_daemon/tests/clock.rs
@@ -15,7 +15,7 @@
 #[test]
 fn time_passes_while_the_machine_is_suspended() {
     let suspended_ms = machine();
-    let clock = Clock::suspended_by(suspended_ms);
+    let clock = Clock::with_simulated_suspension(suspended_ms);
     let before = clock.now();
     suspended_ms.fetch_add(7_000, Ordering::Relaxed);
     assert!(before.after_ms(7_000) <= clock.now());
@@ -26,21 +26,21 @@
 fn a_timer_that_became_due_meanwhile_ends_at_the_next_look() {
     actix_rt::System::new().block_on(async {
         let suspended_ms = machine();
-        let clock = Clock::suspended_by(suspended_ms);
+        let clock = Clock::with_simulated_suspension(suspended_ms);
         let timers = Timers::new(clock);
-        assert_eq!(timers.look(), Duration::ZERO);
+        assert_eq!(timers.check_suspension(), Duration::ZERO);
         // A minute, which no test waits for.
         let due = clock.now().after_ms(60_000);
         let waits = timers.timeout_at(due, std::future::pending::<()>());
         let wakes = async {
             tokio::task::yield_now().await;
             suspended_ms.fetch_add(61_000, Ordering::Relaxed);
-            timers.look()
+            timers.check_suspension()
         };
         let (ended, suspended) = tokio::join!(waits, wakes);
         assert_eq!(ended, Err(Elapsed));
         assert!(Duration::from_secs(60) < suspended, "{suspended:?}");
-        assert_eq!(timers.look(), Duration::ZERO, "told once");
+        assert_eq!(timers.check_suspension(), Duration::ZERO, "told once");
     });
 }
 
@@ -48,14 +48,14 @@
 fn a_timer_that_is_not_due_yet_goes_on() {
     actix_rt::System::new().block_on(async {
         let suspended_ms = machine();
-        let clock = Clock::suspended_by(suspended_ms);
+        let clock = Clock::with_simulated_suspension(suspended_ms);
         let timers = Timers::new(clock);
         let due = clock.now().after_ms(5_030);
         let waits = timers.sleep_until(due);
         let wakes = async {
             tokio::task::yield_now().await;
             suspended_ms.fetch_add(5_000, Ordering::Relaxed);
-            timers.look();
+            timers.check_suspension();
         };
         tokio::join!(waits, wakes);
         assert!(due <= clock.now());
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use gradeloft_daemon::node::Learned;
+use gradeloft_daemon::node::BundleSource;
 use gradeloft_platform::log::{Http, Log};
 use gradeloft_standin::{
     fleet::{Fleet, MODEL, digest},
@@ -301,7 +301,7 @@
 
     fleet.start_entry(1).await.unwrap();
     let node = fleet.entries[1].as_ref().unwrap().node();
-    let learned = || node.learned.get() == Learned::Peer && *node.bundle.borrow() == 2;
+    let learned = || node.bundle_source.get() == BundleSource::Peer && *node.bundle.borrow() == 2;
     fleet
         .until("an entry started meanwhile learns it from peers", learned)
         .await;
@@ -529,7 +529,7 @@
         })
         .await;
     assert_eq!(node.chain.borrow().head().unwrap().digest, digest(&first));
-    assert_eq!(node.learned.get(), Learned::Log);
+    assert_eq!(node.bundle_source.get(), BundleSource::Log);
 }
 
 #[actix_rt::test]
--- a/crates/gradeloft_daemon/tests/transport.rs
+++ b/crates/gradeloft_daemon/tests/transport.rs
@@ -95,7 +95,7 @@
         digest: Digest::of(b"any"),
     };
     let address = way.address.to_string();
-    let answer = pool.ask_within(&address, Lane::Live, &call, silence).await;
+    let answer = pool.call_within(&address, Lane::Live, &call, silence).await;
     matches!(answer, Ok(Ok(Reply::Absent(Absence::NotHeld))))
 }
 
--- a/crates/gradeloft_gateway/src/agent/ask.rs
+++ b/crates/gradeloft_gateway/src/agent/ask.rs
@@ -72,7 +72,7 @@
 async fn peer_piece(agent: &Agent, address: SocketAddr, digest: Digest) -> Result<Bytes, Failure> {
     let peer = address.to_string();
     let call = Call::Chunk { digest };
-    let reply = agent.node.peers.ask(&peer, Lane::Bulk, &call).await;
+    let reply = agent.node.peers.call(&peer, Lane::Bulk, &call).await;
     match reply {
         Ok(Reply::Chunk(content)) => Ok(Bytes::from(content)),
         Ok(Reply::Absent(Absence::Busy)) => Err(Failure::Busy),
--- a/crates/gradeloft_gateway/src/agent/fill.rs
+++ b/crates/gradeloft_gateway/src/agent/fill.rs
@@ -285,7 +285,7 @@
         version: version.number,
     };
     let peer = address.to_string();
-    let asked = agent.node.peers.ask(&peer, Lane::Live, &call);
+    let asked = agent.node.peers.call(&peer, Lane::Live, &call);
     match timeout(QUESTION, asked).await {
         Ok(Ok(Reply::Pieces(digests))) => Ok(digests),
         other => Err(format!("peer {address}: {}", unexpected(&other))),
--- a/crates/gradeloft_gateway/src/agent/share.rs
+++ b/crates/gradeloft_gateway/src/agent/share.rs
@@ -118,7 +118,7 @@
         tokio::select! {
             () = arrived => {}
             () = actix_rt::time::sleep(FOLLOW_HEARTBEAT) => {}
-            () = outgoing.gone() => return,
+            () = outgoing.closed() => return,
         }
         actix_rt::time::sleep(GATHER).await;
     }
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -205,7 +205,8 @@
         let address = self.peer_address(peer);
         let waiting_since = Cell::new(self.clock.now());
         let late = |_| {
-            self.peers.silent(&address, Lane::Bulk, waiting_since.get());
+            self.peers
+                .drop_silent(&address, Lane::Bulk, waiting_since.get());
             ("late", Refusal::Faulty)
         };
         let broken = |it| (reason(it), Refusal::Faulty);
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -267,7 +267,7 @@
         let call = Call::Records { table, from, brief };
         let asking = self
             .peers
-            .ask_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
+            .call_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
         let reply = asking.await;
         let (snapshot, rows, end, sound) = match reply {
             Ok(Ok(Reply::Records {
@@ -386,10 +386,10 @@
 }
 
 /// Returns the metric label of a failed call.
-pub(super) fn reason(fault: client::Fault) -> &'static str {
+pub(super) fn reason(fault: client::CallError) -> &'static str {
     match fault {
-        client::Fault::Lost => "lost",
-        client::Fault::Unsent => "unsent",
+        client::CallError::Lost => "lost",
+        client::CallError::Unsent => "unsent",
     }
 }
 
--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -65,7 +65,7 @@
             .borrow_mut()
             .ticks
             .note_event(self.clock.now());
-        let suspended = self.timers.look();
+        let suspended = self.timers.check_suspension();
         if !suspended.is_zero()
             && let Some(log) = self.logs.line(Topic::State)
         {
--- a/crates/gradeloft_gateway/tests/entry/large.rs
+++ b/crates/gradeloft_gateway/tests/entry/large.rs
@@ -257,12 +257,12 @@
             assert!(matches!(part, Some(Reply::Part(_))), "{part:?}");
             given.push(incoming);
         }
-        let further = pool.ask(&own, Lane::Bulk, &call).await;
+        let further = pool.call(&own, Lane::Bulk, &call).await;
         assert_eq!(further, Ok(Reply::Absent(Absence::Busy)));
         // A slot is free again once whoever had it has gone.
         given.pop();
         until(|| async {
-            let again = pool.ask(&own, Lane::Bulk, &call).await;
+            let again = pool.call(&own, Lane::Bulk, &call).await;
             matches!(again, Ok(Reply::Part(_)))
         })
         .await;
@@ -272,7 +272,7 @@
             start: 0,
             caller: Role::Entry,
         };
-        let unknown = pool.ask(&own, Lane::Bulk, &unknown).await;
+        let unknown = pool.call(&own, Lane::Bulk, &unknown).await;
         assert_eq!(unknown, Ok(Reply::Absent(Absence::NotHeld)));
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/support/machine.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/machine.rs
@@ -20,7 +20,7 @@
 
     /// The clock of a process that starts on it now.
     pub(crate) fn clock(&self) -> Clock {
-        Clock::suspended_by(self.suspended_ms)
+        Clock::with_simulated_suspension(self.suspended_ms)
     }
 
     /// Suspends it, and wakes it again.
