--- a/crates/gradeloft_cli/examples/quickstart.rs
+++ b/crates/gradeloft_cli/examples/quickstart.rs
@@ -62,7 +62,7 @@
         let mut nodes = agents
             .chain(services.map(gradeloft_daemon::agent::Handle::node))
             .chain(entries);
-        nodes.all(|it| *it.bundle.borrow() == 1)
+        nodes.all(|it| *it.bundle_number.borrow() == 1)
     };
     fleet
         .until("the bundle is in force everywhere", everywhere)
--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -57,7 +57,7 @@
 
 /// Waits until the bundle and the members give other targets than these.
 async fn changed(agent: &Agent, targets: &[Target]) {
-    let mut bundle = agent.node.bundle.subscribe();
+    let mut bundle = agent.node.bundle_number.subscribe();
     let mut members = agent.node.membership_changes.subscribe();
     loop {
         if agent.targets() != targets {
--- a/crates/gradeloft_daemon/src/entry/addresses.rs
+++ b/crates/gradeloft_daemon/src/entry/addresses.rs
@@ -1,4 +1,4 @@
-//! The answer to "which address should I use".
+//! Answers to address queries.
 
 use gradeloft_http::message::{Answer, Request, json};
 use gradeloft_policy::process::address;
@@ -10,11 +10,11 @@
     error::Kind,
 };
 
-use super::{Entry, border::Failure};
+use super::{Entry, api::Failure};
 
 /// Answers an address query for a team and, if given, the caller's availability zone.
 pub fn answer(entry: &Entry, request: &Request) -> Result<Answer, Failure> {
-    let missing = || Failure::because(Kind::BadRequest, "team: missing in the query");
+    let missing = || Failure::with_detail(Kind::BadRequest, "team: missing in the query");
     let team = request.param("team").ok_or_else(missing)?;
     let own_zone = &entry.node.settings.node.zone;
     let zone = request.param("zone").unwrap_or(own_zone);
@@ -22,10 +22,10 @@
         let chain = entry.node.chain.borrow();
         let head = chain.head().ok_or(Kind::Starting)?;
         if !head.bundle.teams.iter().any(|it| it.name == team) {
-            return Err(Failure::because(Kind::NotFound, "no such team"));
+            return Err(Failure::with_detail(Kind::NotFound, "no such team"));
         }
     }
-    let ordered = address::order(&entry.entries(), team, zone);
+    let ordered = address::order(&entry.available_entries(), team, zone);
     let addresses = ordered.into_iter().map(|(it, weight)| Address {
         address: it.address,
         zone: it.zone,
@@ -42,8 +42,8 @@
 }
 
 impl Entry {
-    /// Entries that take new requests, this one included unless it is leaving.
-    fn entries(&self) -> Vec<address::Entry> {
+    /// Returns the entries that accept new requests, including this one unless it is leaving.
+    fn available_entries(&self) -> Vec<address::Entry> {
         let membership = self.node.membership.borrow();
         let now = self.node.clock.now();
         let others = membership
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts at agents, until one answers.
+//! Attempts at agents until one responds.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,18 +21,18 @@
 use slog::info;
 use tokio::time::timeout;
 
-use super::{Entry, border::Context};
+use super::{Entry, api::Context};
 use crate::{
     metrics::Reason,
     transport::client::{CallError, Incoming, Lane},
 };
 
-/// What a request wants of an agent.
+/// What a request needs an agent to serve.
 #[derive(Clone, Debug)]
 pub enum Target {
-    /// Weights; the hash is of the prompt's prefix.
+    /// Weights, and the hash of the prompt's prefix.
     Weights(Pin, u64),
-    /// A service; the hash is of the idempotency key, whose calls prefer one agent.
+    /// A service, and the hash of the idempotency key, whose calls prefer one agent.
     Service(String, Option<u64>),
 }
 
@@ -57,26 +57,26 @@
     fn affinity(&self) -> Option<u64> {
         match self {
             Target::Weights(_, prefix) => Some(*prefix),
-            Target::Service(_, home) => *home,
+            Target::Service(_, key_hash) => *key_hash,
         }
     }
 }
 
-/// An answer that has begun, checked frame by frame.
-pub struct Stream {
+/// A reply that has begun. Every frame is validated before it is returned.
+pub struct ReplyStream {
     entry: Rc<Entry>,
     incoming: Incoming,
     checker: ResponseChecker,
-    /// The frame that was read to know that the answer has begun.
+    /// Frame that was read to detect that the reply has begun.
     first: Option<Reply>,
     deadline: Time,
-    /// Instance that answers.
+    /// Id of the instance that sends the reply.
     pub replica: String,
-    attempt: Attempt,
+    attempt: AttemptGuard,
 }
 
-impl Stream {
-    /// The next frame; `None` after the closing frame of a whole answer.
+impl ReplyStream {
+    /// Returns the next frame, or `None` after the closing frame of a complete reply.
     pub async fn next(&mut self) -> Result<Option<Reply>, Kind> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
@@ -84,32 +84,32 @@
         if self.checker.is_complete() {
             return Ok(None);
         }
-        let read = read(
+        let reading = next_reply(
             &self.entry,
             &mut self.incoming,
             &mut self.checker,
             self.deadline,
         );
-        let result = read
+        let result = reading
             .await
             .map_err(|it| if it == Kind::ReplyLost { Kind::Cut } else { it });
         if let Err(kind) = result {
-            self.entry.blame_kind(self.attempt.key, kind);
-            self.entry.count_bad(kind);
+            self.entry.record_failure(self.attempt.key, kind);
+            self.entry.count_bad_reply(kind);
         }
         result.map(Some)
     }
 }
 
-/// Sends a request to one replica after another until one begins to answer.
+/// Sends a request to one replica after another until one begins its reply.
 pub async fn dispatch(
     entry: &Rc<Entry>,
     context: &Context,
     target: &Target,
     job: Job,
     repeat: Repeat,
-) -> Result<Stream, Kind> {
-    entry.budget.borrow_mut().earn();
+) -> Result<ReplyStream, Kind> {
+    entry.retry_budget.borrow_mut().earn();
     let mut tried = Vec::new();
     let mut last = None;
     loop {
@@ -117,7 +117,7 @@
         if context.deadline <= now {
             return Err(last.unwrap_or(Kind::Expired));
         }
-        let chosen = entry.choose(context, target, &tried);
+        let chosen = entry.select_replica(context, target, &tried);
         let key = match chosen {
             Ok(key) => key,
             Err(kind) => return Err(last.unwrap_or(kind)),
@@ -127,7 +127,7 @@
             Ok(stream) => return Ok(stream),
             Err(kind) => kind,
         };
-        entry.count_bad(kind);
+        entry.count_bad_reply(kind);
         let failure = retry::Failure {
             kind,
             attempts: tried.len() as u32,
@@ -135,26 +135,26 @@
             response_started: false,
         };
         let now = entry.node.clock.now();
-        let again = retry::should_retry(
+        let retry_allowed = retry::should_retry(
             failure,
-            &mut entry.budget.borrow_mut(),
+            &mut entry.retry_budget.borrow_mut(),
             now,
             context.deadline,
         );
-        let worst = worse(last, kind);
-        if !again {
-            return Err(worst);
+        let reported_kind = failure_to_report(last, kind);
+        if !retry_allowed {
+            return Err(reported_kind);
         }
         entry.node.metrics.retries.inc();
         info!(entry.node.log, "retry"; "request" => &context.id, "team" => &context.team.name,
             "kind" => kind.name(), "attempt" => tried.len());
-        last = Some(worst);
+        last = Some(reported_kind);
     }
 }
 
-/// What to tell the caller of two failed attempts: once an attempt may have run, a later one that
-/// did not run must not hide it.
-fn worse(last: Option<Kind>, kind: Kind) -> Kind {
+/// Returns which of two failures to report to the caller: a later failure that did not run must not
+/// hide that an earlier attempt may have run.
+fn failure_to_report(last: Option<Kind>, kind: Kind) -> Kind {
     match last {
         Some(last) if last.ran() != Ran::No => last,
         _ => kind,
@@ -167,28 +167,31 @@
     target: &Target,
     job: Job,
     key: PeerKey,
-) -> Result<Stream, Kind> {
+) -> Result<ReplyStream, Kind> {
     let request = entry.node.request_id();
-    let (address, replica) = entry.address(key).ok_or(Kind::Unreachable)?;
-    let attempt = Attempt::new(entry, key);
-    let call = Call::Work(entry.work(context, request, job));
-    let patience = entry.patience(context.deadline);
-    let opening = timeout(patience, entry.node.pool.open(&address, Lane::Live, &call));
+    let (address, replica) = entry.replica_address(key).ok_or(Kind::Unreachable)?;
+    let attempt = AttemptGuard::new(entry, key);
+    let call = Call::Work(entry.work_message(context, request, job));
+    let step_timeout = entry.step_timeout(context.deadline);
+    let opening = timeout(
+        step_timeout,
+        entry.node.pool.open(&address, Lane::Live, &call),
+    );
     let mut incoming = match opening.await {
         Ok(Ok(it)) => it,
-        Ok(Err(fault)) => return Err(entry.blame(key, fault)),
-        // It waited for a connection or for a stream on one; the call itself goes out at once.
-        Err(_) => return Err(entry.blame(key, CallError::Unsent)),
+        Ok(Err(error)) => return Err(entry.record_call_error(key, error)),
+        // The timeout passed while waiting for a connection or stream, before the call was sent.
+        Err(_) => return Err(entry.record_call_error(key, CallError::Unsent)),
     };
     let mut checker = ResponseChecker::new(request, target.version());
-    let waits_for_piece = matches!(target, Target::Weights(..));
+    let skip_head = matches!(target, Target::Weights(..));
     loop {
-        let first = read(entry, &mut incoming, &mut checker, context.deadline).await;
-        let first = first.inspect_err(|&kind| entry.blame_kind(key, kind))?;
-        if waits_for_piece && matches!(first, Reply::Head { .. }) {
+        let first = next_reply(entry, &mut incoming, &mut checker, context.deadline).await;
+        let first = first.inspect_err(|&kind| entry.record_failure(key, kind))?;
+        if skip_head && matches!(first, Reply::Head { .. }) {
             continue;
         }
-        return Ok(Stream {
+        return Ok(ReplyStream {
             entry: Rc::clone(entry),
             incoming,
             checker,
@@ -200,44 +203,44 @@
     }
 }
 
-async fn read(
+async fn next_reply(
     entry: &Entry,
     incoming: &mut Incoming,
     checker: &mut ResponseChecker,
     deadline: Time,
 ) -> Result<Reply, Kind> {
-    let left = entry.node.clock.until(deadline);
-    let patience = left.min(entry.node.idle_timeout());
-    let reply = match timeout(patience, incoming.next()).await {
+    let remaining = entry.node.clock.until(deadline);
+    let step_timeout = remaining.min(entry.node.idle_timeout());
+    let reply = match timeout(step_timeout, incoming.next()).await {
         Ok(Ok(Some(reply))) => reply,
         Ok(Err(CallError::Unsent)) => return Err(Kind::Unreachable),
         Ok(Ok(None) | Err(CallError::Lost)) => return Err(Kind::ReplyLost),
-        Err(_) if left <= patience => return Err(Kind::Deadline),
+        Err(_) if remaining <= step_timeout => return Err(Kind::Deadline),
         Err(_) => return Err(Kind::ReplyLost),
     };
     checker.accept(&reply)?;
     Ok(reply)
 }
 
-/// Counts an attempt as running at its replica until it is dropped.
-struct Attempt {
+/// Counts an attempt as a request in flight at its replica until dropped.
+struct AttemptGuard {
     entry: Rc<Entry>,
     key: PeerKey,
 }
 
-impl Attempt {
-    fn new(entry: &Rc<Entry>, key: PeerKey) -> Attempt {
+impl AttemptGuard {
+    fn new(entry: &Rc<Entry>, key: PeerKey) -> AttemptGuard {
         if let Some(peer) = entry.node.membership.borrow_mut().get_mut(key) {
             peer.own_requests += 1;
         }
-        Attempt {
+        AttemptGuard {
             entry: Rc::clone(entry),
             key,
         }
     }
 }
 
-impl Drop for Attempt {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if let Some(peer) = self.entry.node.membership.borrow_mut().get_mut(self.key) {
             peer.own_requests -= 1;
@@ -246,7 +249,7 @@
 }
 
 impl Entry {
-    fn choose(
+    fn select_replica(
         &self,
         context: &Context,
         target: &Target,
@@ -257,26 +260,28 @@
         let serving: Vec<(PeerKey, &Peer)> = membership
             .of(InstanceRole::Agent)
             .filter(|(_, it)| it.takes_work(now) && target.served_by(it))
-            .filter(|(_, it)| context.may_use(&it.instance.zone))
+            .filter(|(_, it)| context.may_use_zone(&it.instance.zone))
             .collect();
-        let running = serving
+        let in_flight = serving
             .iter()
             .map(|(_, it)| it.own_requests + it.others())
             .sum();
         let slots = serving.iter().map(|(_, it)| it.capacity()).sum();
         if tried.is_empty() && !serving.is_empty() {
-            let shed = admission::should_shed(context.class, running, slots);
+            let shed = admission::should_shed(context.class, in_flight, slots);
             if shed {
                 return Err(Kind::Shed);
             }
         }
-        let fresh = serving.iter().filter(|(key, _)| !tried.contains(key));
+        let untried = serving.iter().filter(|(key, _)| !tried.contains(key));
         let candidates: Vec<Candidate<PeerKey>> =
-            fresh.map(|(key, it)| self.candidate(*key, it)).collect();
+            untried.map(|(key, it)| self.candidate(*key, it)).collect();
         let chosen = self.node.with_rng(|rng| match self.scheme {
             Scheme::Affinity => route::choose(&candidates, target.affinity(), now, rng),
             scheme => {
-                let turn = self.turn.replace(self.turn.get().wrapping_add(1));
+                let turn = self
+                    .baseline_turn
+                    .replace(self.baseline_turn.get().wrapping_add(1));
                 route::baseline(scheme, &candidates, turn, rng)
             }
         });
@@ -300,43 +305,43 @@
         }
     }
 
-    fn work(&self, context: &Context, request: RequestId, job: Job) -> Work {
-        let left: Duration = self.node.clock.until(context.deadline);
+    fn work_message(&self, context: &Context, request: RequestId, job: Job) -> Work {
+        let remaining: Duration = self.node.clock.until(context.deadline);
         Work {
             request,
             team: context.team.name.clone(),
             class: context.class,
-            deadline_ms: left.as_millis().min(u128::from(u32::MAX)) as u32,
+            deadline_ms: remaining.as_millis().min(u128::from(u32::MAX)) as u32,
             job,
         }
     }
 
-    /// How long a step of a request may take.
-    fn patience(&self, deadline: Time) -> Duration {
+    /// Returns the timeout of one step: the idle timeout, at most the time left until the deadline.
+    fn step_timeout(&self, deadline: Time) -> Duration {
         self.node
             .clock
             .until(deadline)
             .min(self.node.idle_timeout())
     }
 
-    fn address(&self, key: PeerKey) -> Option<(String, String)> {
+    fn replica_address(&self, key: PeerKey) -> Option<(String, String)> {
         let membership = self.node.membership.borrow();
         let instance = &membership.get(key)?.instance;
         Some((instance.peer.clone(), instance.id.clone()))
     }
 
-    fn blame(&self, key: PeerKey, fault: CallError) -> Kind {
-        let kind = match fault {
+    fn record_call_error(&self, key: PeerKey, error: CallError) -> Kind {
+        let kind = match error {
             CallError::Lost => Kind::ReplyLost,
             CallError::Unsent => Kind::Unreachable,
         };
-        self.blame_kind(key, kind);
+        self.record_failure(key, kind);
         kind
     }
 
-    /// Suspects a replica whose connection failed, or whose answers are not their requests' own;
-    /// refusals are no reason to.
-    fn blame_kind(&self, key: PeerKey, kind: Kind) {
+    /// Marks a replica as suspect if its connection failed, or its reply was cut or did not match
+    /// the request. Refusals don't make it suspect.
+    fn record_failure(&self, key: PeerKey, kind: Kind) {
         let suspect = matches!(
             kind,
             Kind::Cut | Kind::Mismatch | Kind::ReplyLost | Kind::Unreachable
@@ -349,7 +354,7 @@
         }
     }
 
-    fn count_bad(&self, kind: Kind) {
+    fn count_bad_reply(&self, kind: Kind) {
         if matches!(kind, Kind::Cut | Kind::Mismatch) {
             self.node
                 .metrics
@@ -363,8 +368,8 @@
 }
 
 impl Context {
-    /// Whether the bundle lets the team be served from an availability zone.
-    pub fn may_use(&self, zone: &str) -> bool {
+    /// Whether the bundle allows the team to be served from an availability zone.
+    pub fn may_use_zone(&self, zone: &str) -> bool {
         self.team.zones.is_empty() || self.team.zones.iter().any(|it| it == zone)
     }
 }
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -20,19 +20,19 @@
 use slog::info;
 
 use super::{
-    Entry, Running,
-    border::{self, Context, Failure},
-    dispatch::{self, Stream, Target},
+    Entry, InFlightGuard,
+    api::{self, Context, Failure},
+    dispatch::{self, ReplyStream, Target},
 };
-use crate::metrics::{self, Caller, Ending};
+use crate::metrics::{self, Caller, RequestOutcome};
 
-/// Bytes of a prompt that count as its prefix when a replica is chosen.
+/// Number of bytes of a prompt that are hashed as its prefix to select a replica.
 const PREFIX_BYTES: usize = 256;
-/// Bytes of a prompt that count as one token when a request is admitted.
+/// Estimated bytes per prompt token, for admission.
 const BYTES_PER_TOKEN: f64 = 4.0;
-const MOST_TOKENS: u32 = 1_000_000;
+const MAX_TOKENS: u32 = 1_000_000;
 
-/// Answers a generate request with server-sent events: `token`s, then `end`; or `error`.
+/// Answers a generate request with server-sent events: `token`s, then `end` or `error`.
 pub async fn answer(
     entry: &Rc<Entry>,
     request: &Request,
@@ -41,10 +41,10 @@
     model: &str,
 ) -> Result<Answer, Failure> {
     let (context, generate) = parse(entry, request, id, team, model)?;
-    let fail = |kind: Kind| Failure::from(kind).of(&context);
+    let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let adapter = generate.adapter.clone();
     let required = entry.ready_required();
-    let version = entry.pin(&context, model, adapter.as_ref(), required);
+    let version = entry.pin_version(&context, model, adapter.as_ref(), required);
     let pin = Pin {
         model: model.to_owned(),
         adapter,
@@ -57,7 +57,7 @@
         .borrow_mut()
         .admit(&context.team.name, prompt_tokens, now);
     admitted.map_err(fail)?;
-    let target = Target::Weights(pin.clone(), prefix(&pin, &generate.prompt));
+    let target = Target::Weights(pin.clone(), prefix_hash(&pin, &generate.prompt));
     let job = Job::Generate {
         pin: pin.clone(),
         prompt: generate.prompt,
@@ -66,9 +66,12 @@
     let stream = dispatch::dispatch(entry, &context, &target, job, Repeat::Allowed).await;
     let stream = stream.map_err(fail)?;
     let relay = Relay::new(entry, context, pin, stream);
-    let body = stream::unfold(Some(relay), |relay| async move { relay?.step().await });
+    let body = stream::unfold(
+        Some(relay),
+        |relay| async move { relay?.next_event().await },
+    );
     let answer = streamed(200, "text/event-stream", body);
-    Ok(with_header(answer, border::REQUEST_ID, id))
+    Ok(with_header(answer, api::REQUEST_ID, id))
 }
 
 fn parse(
@@ -80,8 +83,8 @@
 ) -> Result<(Context, Generate), Failure> {
     let chain = entry.node.chain.borrow();
     let bundle = &chain.head().ok_or(Kind::Starting)?.bundle;
-    let context = border::context(&entry.node, bundle, request, id, team)?;
-    let bad = |detail: String| Failure::because(Kind::BadRequest, detail).of(&context);
+    let context = api::authenticate(&entry.node, bundle, request, id, team)?;
+    let bad = |detail: String| Failure::with_detail(Kind::BadRequest, detail).for_caller(&context);
     if !context.team.models.iter().any(|it| it == model) {
         let known = bundle.models.iter().any(|it| it.name == model);
         let kind = if known {
@@ -89,30 +92,32 @@
         } else {
             Kind::NotFound
         };
-        return Err(Failure::because(kind, format!("model {model}")).of(&context));
+        return Err(Failure::with_detail(kind, format!("model {model}")).for_caller(&context));
     }
-    let body = border::body(request).map_err(|it| it.of(&context))?;
+    let body = api::body(request).map_err(|it| it.for_caller(&context))?;
     let generate: Generate = serde_json::from_slice(body).map_err(|it| bad(it.to_string()))?;
-    if !(1..=MOST_TOKENS).contains(&generate.max_tokens) {
-        return Err(bad(format!("max_tokens: 1 to {MOST_TOKENS} are allowed")));
+    if !(1..=MAX_TOKENS).contains(&generate.max_tokens) {
+        return Err(bad(format!("max_tokens: 1 to {MAX_TOKENS} are allowed")));
     }
-    let named = bundle
+    let adapters = bundle
         .models
         .iter()
         .filter(|it| it.name == model)
         .flat_map(|it| &it.adapters);
     if let Some(adapter) = &generate.adapter
-        && !named.clone().any(|it| it.name == *adapter)
+        && !adapters.clone().any(|it| it.name == *adapter)
     {
-        return Err(Failure::because(Kind::NotFound, "adapter: no such one").of(&context));
+        return Err(
+            Failure::with_detail(Kind::NotFound, "adapter: no such one").for_caller(&context)
+        );
     }
     Ok((context, generate))
 }
 
-fn prefix(pin: &Pin, prompt: &str) -> u64 {
-    let start = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+fn prefix_hash(pin: &Pin, prompt: &str) -> u64 {
+    let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     rendezvous::score(
-        rendezvous::hash(start),
+        rendezvous::hash(prefix),
         rendezvous::hash(pin.version.as_bytes()),
     )
 }
@@ -124,8 +129,8 @@
         rollout.map_or(1, |it| it.ready_required)
     }
 
-    /// The version that a request is pinned to.
-    fn pin(
+    /// Selects the version that a request is pinned to.
+    fn pin_version(
         &self,
         context: &Context,
         model: &str,
@@ -136,7 +141,7 @@
         let membership = self.node.membership.borrow();
         let mut serving: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, peer) in membership.of(InstanceRole::Agent) {
-            let usable = peer.takes_work(now) && context.may_use(&peer.instance.zone);
+            let usable = peer.takes_work(now) && context.may_use_zone(&peer.instance.zone);
             let pins = peer
                 .notice
                 .iter()
@@ -161,22 +166,22 @@
     }
 }
 
-/// A streamed answer on its way to the caller; dropping it cancels the request.
+/// Relay of a streamed reply to the caller. Dropping it cancels the request.
 struct Relay {
     entry: Rc<Entry>,
     context: Context,
     pin: Pin,
-    stream: Stream,
+    stream: ReplyStream,
     tokens: u64,
-    last: Time,
+    last_token_at: Time,
     outcome: &'static str,
-    _running: Running,
+    _guard: InFlightGuard,
 }
 
-type Step = Option<(Result<Bytes, io::Error>, Option<Relay>)>;
+type NextEvent = Option<(Result<Bytes, io::Error>, Option<Relay>)>;
 
 impl Relay {
-    fn new(entry: &Rc<Entry>, context: Context, pin: Pin, stream: Stream) -> Relay {
+    fn new(entry: &Rc<Entry>, context: Context, pin: Pin, stream: ReplyStream) -> Relay {
         let caller = Caller {
             team: context.team.name.clone(),
             class: context.class_name.clone(),
@@ -190,16 +195,16 @@
             pin,
             stream,
             tokens: 0,
-            last: now,
+            last_token_at: now,
             outcome: "cancelled",
-            _running: Running::new(entry),
+            _guard: InFlightGuard::new(entry),
         }
     }
 
-    async fn step(mut self) -> Step {
+    async fn next_event(mut self) -> NextEvent {
         match self.stream.next().await {
             Ok(Some(Reply::Piece { seq, data, .. })) => {
-                self.between();
+                self.observe_token_gap();
                 let text = String::from_utf8_lossy(&data).into_owned();
                 Some((Ok(event("token", &Token { seq, text })), Some(self)))
             }
@@ -215,31 +220,31 @@
                 self.outcome = "ok";
                 Some((Ok(event("end", &end)), None))
             }
-            Ok(_) => Some((Ok(self.broken(Kind::Mismatch)), None)),
-            Err(kind) => Some((Ok(self.broken(kind)), None)),
+            Ok(_) => Some((Ok(self.error_event(Kind::Mismatch)), None)),
+            Err(kind) => Some((Ok(self.error_event(kind)), None)),
         }
     }
 
-    fn broken(&mut self, kind: Kind) -> Bytes {
+    fn error_event(&mut self, kind: Kind) -> Bytes {
         self.outcome = kind.name();
-        event("error", &border::error(&kind.into(), &self.context.id))
+        event("error", &api::error_body(&kind.into(), &self.context.id))
     }
 
-    fn between(&mut self) {
+    fn observe_token_gap(&mut self) {
         let now = self.entry.node.clock.now();
         if 0 < self.tokens {
-            let passed = now.since(self.last);
+            let passed = now.since(self.last_token_at);
             metrics::observe(
                 &self.entry.node.metrics.between_tokens,
-                &self.caller(),
+                &self.caller_labels(),
                 passed,
             );
         }
         self.tokens += 1;
-        self.last = now;
+        self.last_token_at = now;
     }
 
-    fn caller(&self) -> Caller {
+    fn caller_labels(&self) -> Caller {
         Caller {
             team: self.context.team.name.clone(),
             class: self.context.class_name.clone(),
@@ -251,9 +256,9 @@
     fn drop(&mut self) {
         let node = &self.entry.node;
         let now = node.clock.now();
-        let Caller { team, class } = self.caller();
+        let Caller { team, class } = self.caller_labels();
         let whole = now.since(self.context.started);
-        metrics::observe(&node.metrics.whole_answer, &self.caller(), whole);
+        metrics::observe(&node.metrics.whole_answer, &self.caller_labels(), whole);
         self.entry
             .limits
             .borrow_mut()
@@ -262,12 +267,12 @@
             "class" => &class, "model" => &self.pin.model, "version" => &self.pin.version,
             "replica" => &self.stream.replica, "tokens" => self.tokens,
             "outcome" => self.outcome, "ms" => whole.as_millis() as u64);
-        let ending = Ending {
+        let outcome_labels = RequestOutcome {
             team,
             class,
             outcome: self.outcome,
         };
-        node.metrics.requests.get_or_create(&ending).inc();
+        node.metrics.requests.get_or_create(&outcome_labels).inc();
     }
 }
 
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -1,4 +1,4 @@
-//! Teams' rates at this entry: what it borrows, and what it lends to others as a home.
+//! Rate limits of teams at this entry: leases that it holds, and leases that it grants as a home.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -20,36 +20,36 @@
 use super::Entry;
 use crate::transport::client::Lane;
 
-/// Demand below which a team counts as silent, in requests a second.
-const SILENT: f64 = 0.01;
-/// Entries for which asks are spaced by one renewal time; with more of them, asks are rarer.
-const ENTRIES_PER_RENEWAL: usize = 40;
-const THOUSAND: f64 = 1000.0;
+/// Least demand for which an entry requests leases, in requests per second.
+const MIN_DEMAND: f64 = 0.01;
+/// Number of entries for which the interval between lease requests grows by the renewal interval.
+const ENTRIES_PER_INTERVAL: usize = 40;
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// One team at this entry, in requests (first) and tokens (second).
+/// State of one team at this entry. Each pair is for requests and for tokens.
 #[derive(Default)]
-struct Team {
+struct TeamState {
     allowed: [f64; 2],
     demand: [Demand; 2],
-    borrowed: [Borrower; 2],
+    borrowers: [Borrower; 2],
 }
 
-/// Rates of all teams of the bundle.
+/// Rate limits of all teams of the bundle.
 #[derive(Default)]
 pub struct Limits {
-    ledger: TeamLimiter,
-    teams: HashMap<String, Team>,
-    /// Teams whose home this entry has been asked to be.
+    limiter: TeamLimiter,
+    teams: HashMap<String, TeamState>,
+    /// Lenders by team, for the teams of which other entries have requested leases.
     lenders: HashMap<String, [Lender; 2]>,
-    /// Since when asks have stayed unanswered.
-    unanswered: Option<Time>,
+    /// Time of the first lease request since the last answer.
+    unanswered_since: Option<Time>,
 }
 
 impl Limits {
-    /// Takes over the teams and rates of a bundle, for one of so many entries.
+    /// Applies the teams and rates of a bundle, in a fleet of `entries` entries.
     pub fn configure(&mut self, rates: &[(String, Rate)], entries: usize, now: Time) {
         let kept = |team: &str| rates.iter().any(|(it, _)| it == team);
-        self.ledger.retain(kept);
+        self.limiter.retain(kept);
         self.teams.retain(|it, _| kept(it));
         self.lenders.retain(|it, _| kept(it));
         for (name, rate) in rates {
@@ -59,27 +59,27 @@
         self.apply(entries, now);
     }
 
-    /// Admits a request with a prompt of `tokens`, or says why not.
+    /// Admits a request with a prompt of `tokens`, or returns the reason for its refusal.
     pub fn admit(&mut self, team: &str, tokens: f64, now: Time) -> Result<(), Kind> {
         if let Some(team) = self.teams.get_mut(team) {
             team.demand[0].add(1.0, now);
             team.demand[1].add(tokens, now);
         }
-        self.ledger.admit(team, tokens, now)
+        self.limiter.admit(team, tokens, now)
     }
 
-    /// Charges the tokens of an answer.
+    /// Charges a team for the tokens of a response.
     pub fn charge(&mut self, team: &str, tokens: f64, now: Time) {
         if let Some(team) = self.teams.get_mut(team) {
             team.demand[1].add(tokens, now);
         }
-        self.ledger.charge(team, tokens, now);
+        self.limiter.charge(team, tokens, now);
     }
 
-    /// Puts the rates that leases allow now into force.
+    /// Sets the limiter to the rates that the leases currently allow.
     fn apply(&mut self, entries: usize, now: Time) {
         let cut_off = self
-            .unanswered
+            .unanswered_since
             .is_some_and(|it| it.after_ms(CUT_OFF_MS) <= now);
         let reach = if cut_off {
             HomeReach::CutOff
@@ -88,8 +88,8 @@
         };
         for (name, team) in &self.teams {
             let allowed = team.allowed;
-            let rate = |idx: usize| team.borrowed[idx].rate(allowed[idx], entries, reach, now);
-            self.ledger.set_rate(
+            let rate = |idx: usize| team.borrowers[idx].rate(allowed[idx], entries, reach, now);
+            self.limiter.set_rate(
                 name,
                 Rate {
                     requests: rate(0),
@@ -100,122 +100,139 @@
         }
     }
 
-    /// What to ask for each team that callers want something of.
-    fn asks(&mut self, now: Time) -> Vec<Borrow> {
-        let mut asks = Vec::new();
+    /// Returns a lease request for each team with demand.
+    fn lease_requests(&mut self, now: Time) -> Vec<Borrow> {
+        let mut lease_requests = Vec::new();
         for (name, team) in &mut self.teams {
             let [requests, tokens] = &mut team.demand;
             let demand = [requests.rate(now), tokens.rate(now)];
-            let saved = self.ledger.remaining(name, now);
+            let remaining = self.limiter.remaining(name, now);
             let need = [
-                rate_leases::need(demand[0], saved[0]),
-                rate_leases::need(demand[1], saved[1]),
+                rate_leases::need(demand[0], remaining[0]),
+                rate_leases::need(demand[1], remaining[1]),
             ];
-            let held = team.borrowed.map(|it| it.held(now));
-            if SILENT < demand[0] {
-                let (demand, held) = (units(need), units(held));
-                asks.push(Borrow {
+            let held = team.borrowers.map(|it| it.held(now));
+            if MIN_DEMAND < demand[0] {
+                let (demand, held) = (to_units(need), to_units(held));
+                lease_requests.push(Borrow {
                     team: name.clone(),
                     demand,
                     held,
                 });
             }
         }
-        asks
+        lease_requests
     }
 
-    /// Answers another entry's asks, as home of their teams.
-    fn lend(&mut self, entry: u64, asks: &[Borrow], view: View, now: Time) -> Vec<Units> {
-        asks.iter()
-            .map(|it| self.lend_one(entry, it, view, now))
+    /// Grants leases to another entry, as the home of the requested teams.
+    fn grant(
+        &mut self,
+        entry: u64,
+        lease_requests: &[Borrow],
+        counts: EntryCounts,
+        now: Time,
+    ) -> Vec<Units> {
+        lease_requests
+            .iter()
+            .map(|it| self.grant_one(entry, it, counts, now))
             .collect()
     }
 
-    fn lend_one(&mut self, entry: u64, ask: &Borrow, view: View, now: Time) -> Units {
-        let Some(team) = self.teams.get(&ask.team) else {
+    fn grant_one(
+        &mut self,
+        entry: u64,
+        lease_request: &Borrow,
+        counts: EntryCounts,
+        now: Time,
+    ) -> Units {
+        let Some(team) = self.teams.get(&lease_request.team) else {
             return Units::default();
         };
-        let lenders = self.lenders.entry(ask.team.clone());
+        let lenders = self.lenders.entry(lease_request.team.clone());
         let lenders = lenders.or_insert_with(|| [Lender::new(now), Lender::new(now)]);
-        let (demand, held) = (rates(ask.demand), rates(ask.held));
-        let mut lent = [0.0; 2];
+        let (demand, held) = (to_rates(lease_request.demand), to_rates(lease_request.held));
+        let mut granted = [0.0; 2];
         for idx in 0..2 {
-            let ask = LeaseRequest {
+            let lease_request = LeaseRequest {
                 entry,
                 demand: demand[idx],
                 held: held[idx],
             };
-            let View { entries, connected } = view;
+            let EntryCounts { entries, connected } = counts;
             let fleet = FleetView {
                 allowed: team.allowed[idx],
                 entries,
                 connected,
             };
-            lent[idx] = lenders[idx].grant(ask, fleet, now);
+            granted[idx] = lenders[idx].grant(lease_request, fleet, now);
         }
-        units(lent)
+        to_units(granted)
     }
 
-    fn asked(&mut self, now: Time) {
-        self.unanswered.get_or_insert(now);
+    fn record_request(&mut self, now: Time) {
+        self.unanswered_since.get_or_insert(now);
     }
 
-    fn answered(&mut self) {
-        self.unanswered = None;
+    fn record_answer(&mut self) {
+        self.unanswered_since = None;
     }
 
-    fn granted(&mut self, team: &str, lent: Units, asked: Time) {
+    fn record_grant(&mut self, team: &str, granted: Units, asked_at: Time) {
         if let Some(team) = self.teams.get_mut(team) {
-            for (borrowed, rate) in team.borrowed.iter_mut().zip(rates(lent)) {
-                borrowed.granted(rate, asked);
+            for (borrower, rate) in team.borrowers.iter_mut().zip(to_rates(granted)) {
+                borrower.granted(rate, asked_at);
             }
         }
     }
 }
 
-/// Entries as this one sees them.
+/// Numbers of entries as seen from this one, including itself.
 #[derive(Clone, Copy)]
-struct View {
+struct EntryCounts {
     entries: usize,
     connected: usize,
 }
 
-impl View {
-    fn majority(self) -> bool {
+impl EntryCounts {
+    fn has_majority(self) -> bool {
         self.entries < self.connected * 2
     }
 }
 
-/// Asks the homes again and again, as long as the entry runs.
+/// Requests leases from the homes of all teams periodically.
 pub async fn run(entry: Rc<Entry>) {
     loop {
-        let entries = entry.view().entries;
-        let spaced = rate_leases::RENEW_MS * (1 + entries / ENTRIES_PER_RENEWAL) as u64;
-        actix_rt::time::sleep(Duration::from_millis(spaced.min(LEASE_MS / 2))).await;
+        let entries = entry.entry_counts().entries;
+        let interval_ms = rate_leases::RENEW_MS * (1 + entries / ENTRIES_PER_INTERVAL) as u64;
+        actix_rt::time::sleep(Duration::from_millis(interval_ms.min(LEASE_MS / 2))).await;
         let now = entry.node.clock.now();
-        let asks = entry.limits.borrow_mut().asks(now);
-        for (home, asks) in entry.by_home(asks) {
+        let lease_requests = entry.limits.borrow_mut().lease_requests(now);
+        for (home, lease_requests) in entry.group_by_home(lease_requests) {
             let entry = Rc::clone(&entry);
             let scope = Rc::clone(&entry.node.scope);
-            scope.spawn(async move { entry.borrow_from(home, asks).await });
+            scope.spawn(async move { entry.request_leases(home, lease_requests).await });
         }
         entry.limits.borrow_mut().apply(entries, now);
     }
 }
 
 impl Entry {
-    /// Answers another entry's call for shares.
-    pub(super) fn lend(&self, node: &str, asks: &[Borrow]) -> Reply {
+    /// Answers the lease requests of another entry.
+    pub(super) fn grant(&self, node: &str, lease_requests: &[Borrow]) -> Reply {
         let now = self.node.clock.now();
         let entry = rendezvous::hash(node.as_bytes());
-        Reply::Lent(self.limits.borrow_mut().lend(entry, asks, self.view(), now))
+        Reply::Lent(
+            self.limits
+                .borrow_mut()
+                .grant(entry, lease_requests, self.entry_counts(), now),
+        )
     }
 
     pub(super) fn listed_entries(&self) -> usize {
-        self.view().entries
+        self.entry_counts().entries
     }
 
-    fn view(&self) -> View {
+    fn entry_counts(&self) -> EntryCounts {
         let membership = self.node.membership.borrow();
         let listed = membership
             .of(InstanceRole::Entry)
@@ -225,11 +242,11 @@
             entries += 1;
             connected += usize::from(peer.connected);
         }
-        View { entries, connected }
+        EntryCounts { entries, connected }
     }
 
-    /// Asks by the address of their home; `None` for this entry itself.
-    fn by_home(&self, asks: Vec<Borrow>) -> HashMap<Option<String>, Vec<Borrow>> {
+    /// Groups lease requests by the address of their home; `None` is this entry.
+    fn group_by_home(&self, lease_requests: Vec<Borrow>) -> HashMap<Option<String>, Vec<Borrow>> {
         let own = rendezvous::hash(self.node.settings.node.id.as_bytes());
         let membership = self.node.membership.borrow();
         let connected: Vec<(u64, &str)> = membership
@@ -238,62 +255,63 @@
             .map(|(_, it)| (it.node, it.instance.peer.as_str()))
             .collect();
         let mut homes: HashMap<Option<String>, Vec<Borrow>> = HashMap::new();
-        for ask in asks {
+        for lease_request in lease_requests {
             let nodes = connected.iter().map(|it| it.0).chain([own]);
-            let home = rate_leases::home(&ask.team, nodes);
+            let home = rate_leases::home(&lease_request.team, nodes);
             let address = connected.iter().find(|it| Some(it.0) == home);
             homes
                 .entry(address.map(|it| it.1.to_owned()))
                 .or_default()
-                .push(ask);
+                .push(lease_request);
         }
         homes
     }
 
-    async fn borrow_from(&self, home: Option<String>, asks: Vec<Borrow>) {
-        let asked = self.node.clock.now();
+    async fn request_leases(&self, home: Option<String>, lease_requests: Vec<Borrow>) {
+        let asked_at = self.node.clock.now();
         let own = self.node.settings.node.id.clone();
-        self.limits.borrow_mut().asked(asked);
+        self.limits.borrow_mut().record_request(asked_at);
         let reply = match &home {
-            // Without a majority this is no home, and an own answer proves nothing.
-            None if !self.view().majority() => return,
-            None => self.lend(&own, &asks),
+            // Without a majority, this entry is no home, and its own answer does not show that
+            // homes can be reached.
+            None if !self.entry_counts().has_majority() => return,
+            None => self.grant(&own, &lease_requests),
             Some(address) => {
                 let call = Call::Borrow {
                     node: own,
-                    asks: asks.clone(),
+                    asks: lease_requests.clone(),
                 };
-                let asking = self.node.pool.call(address, Lane::Live, &call);
-                match timeout(Duration::from_millis(LEASE_MS), asking).await {
+                let calling = self.node.pool.call(address, Lane::Live, &call);
+                match timeout(Duration::from_millis(LEASE_MS), calling).await {
                     Ok(Ok(reply)) => reply,
                     _ => return,
                 }
             }
         };
-        let Reply::Lent(lent) = reply else {
+        let Reply::Lent(granted) = reply else {
             return;
         };
-        let entries = self.view().entries;
+        let entries = self.entry_counts().entries;
         let mut limits = self.limits.borrow_mut();
-        limits.answered();
-        for (ask, lent) in asks.iter().zip(lent) {
-            limits.granted(&ask.team, lent, asked);
+        limits.record_answer();
+        for (lease_request, granted) in lease_requests.iter().zip(granted) {
+            limits.record_grant(&lease_request.team, granted, asked_at);
         }
         limits.apply(entries, self.node.clock.now());
     }
 }
 
-fn units([requests, tokens]: [f64; 2]) -> Units {
-    let thousandths = |it: f64| (it * THOUSAND) as u64;
+fn to_units([requests, tokens]: [f64; 2]) -> Units {
+    let thousandths = |it: f64| (it * THOUSANDTHS_PER_UNIT) as u64;
     Units {
         requests: thousandths(requests),
         tokens: thousandths(tokens),
     }
 }
 
-fn rates(units: Units) -> [f64; 2] {
+fn to_rates(units: Units) -> [f64; 2] {
     [
-        units.requests as f64 / THOUSAND,
-        units.tokens as f64 / THOUSAND,
+        units.requests as f64 / THOUSANDTHS_PER_UNIT,
+        units.tokens as f64 / THOUSANDTHS_PER_UNIT,
     ]
 }
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -1,14 +1,14 @@
-//! The entry: tells callers which address to use, takes their requests, admits, routes, relays.
+//! The entry: answers address queries, and admits, routes and relays callers' requests.
 //!
-//! - [`addresses`]: the answer to "which address should I use".
-//! - [`border`]: callers' requests as typed values, and error answers.
-//! - [`dispatch`]: attempts at agents, until one answers.
+//! - [`addresses`]: answers to address queries.
+//! - [`api`]: parsing of callers' requests, and error responses.
+//! - [`dispatch`]: attempts at agents until one responds.
 //! - [`generate`]: streamed generate requests.
-//! - [`limits`]: teams' rates, borrowed from and lent to other entries.
-//! - [`service`]: calls to plain services.
+//! - [`limits`]: rate limits of teams, shared with other entries through leases.
+//! - [`service`]: calls to services.
 
 pub mod addresses;
-pub mod border;
+pub mod api;
 pub mod dispatch;
 pub mod generate;
 pub mod limits;
@@ -39,33 +39,33 @@
 use slog::info;
 use tokio::sync::watch;
 
-use self::border::Failure;
+use self::api::Failure;
 use crate::{
     node::{Node, admin, calls, config, peers},
     transport::{self, server::Outgoing},
 };
 
-/// How often a drain looks whether requests are left.
-const DRAIN_STEP: Duration = Duration::from_millis(20);
+/// Interval at which a drain checks whether requests are still in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// State of an entry, for the life of the process.
+/// State of an entry.
 pub struct Entry {
     node: Rc<Node>,
     settings: settings::Entry,
     scheme: Scheme,
-    /// Choices made so far by a baseline that counts them.
-    turn: Cell<usize>,
+    /// Number of replicas selected by baseline schemes, for round robin.
+    baseline_turn: Cell<usize>,
     limits: RefCell<limits::Limits>,
-    budget: RefCell<Budget>,
-    /// For each model and adapter of the bundle.
+    retry_budget: RefCell<Budget>,
+    /// Version pinners by model and adapter, for those in the bundle.
     pinners: RefCell<HashMap<(String, Option<String>), VersionPinner>>,
-    /// Callers' requests that are being answered.
-    running: Cell<usize>,
-    /// Where callers connect; set once it listens.
+    /// Number of callers' requests in flight.
+    in_flight: Cell<usize>,
+    /// Address of the public listener; set once it listens.
     public: Cell<Option<SocketAddr>>,
 }
 
-/// A running entry; dropping it ends it at once.
+/// A running entry. Dropping it ends all of its tasks at once.
 pub struct Handle {
     entry: Rc<Entry>,
     public: server::Server,
@@ -73,16 +73,14 @@
     peer: SocketAddr,
 }
 
-/// An entry about to start.
-///
-/// [`Builder::new`] takes what every entry needs; the rest has defaults.
+/// Configures and starts an entry.
 pub struct Builder {
     node: Node,
     scheme: Scheme,
 }
 
 impl Builder {
-    /// An entry on a node.
+    /// Creates a builder with the default routing scheme.
     pub fn new(node: Node) -> Builder {
         Builder {
             node,
@@ -90,24 +88,24 @@
         }
     }
 
-    /// Chooses replicas in another way, to measure against it.
+    /// Sets the routing scheme, to compare it with the default.
     pub fn scheme(mut self, scheme: Scheme) -> Builder {
         self.scheme = scheme;
         self
     }
 
-    /// Starts the entry. It is ready once it knows a bundle.
+    /// Starts the entry. It becomes ready once it has accepted a bundle.
     pub async fn start(self) -> std::io::Result<Handle> {
-        let entry = Rc::new(self.entry());
+        let entry = Rc::new(self.build());
         let node = &entry.node;
         let peer = listen_peers(&entry).await?;
         let report = Rc::clone(&entry) as Rc<dyn admin::Report>;
         let admin = admin::start(Rc::clone(node), report).await?;
-        let public = listen_callers(&entry).await?;
+        let public = listen_public(&entry).await?;
         entry.public.set(Some(public.address()));
         config::start(node);
         peers::start(node);
-        node.scope.spawn(apply(Rc::clone(&entry)));
+        node.scope.spawn(follow_bundles(Rc::clone(&entry)));
         node.scope.spawn(limits::run(Rc::clone(&entry)));
         info!(node.log, "entry started"; "public" => %public.address(), "peer" => %peer,
             "admin" => %admin.address());
@@ -119,16 +117,16 @@
         })
     }
 
-    fn entry(self) -> Entry {
+    fn build(self) -> Entry {
         let settings = self.node.settings.entry.clone().unwrap_or_default();
         Entry {
-            budget: RefCell::new(Budget::new(settings.retry_percent)),
+            retry_budget: RefCell::new(Budget::new(settings.retry_percent)),
             settings,
             scheme: self.scheme,
-            turn: Cell::default(),
+            baseline_turn: Cell::default(),
             limits: RefCell::default(),
             pinners: RefCell::default(),
-            running: Cell::default(),
+            in_flight: Cell::default(),
             public: Cell::default(),
             node: Rc::new(self.node),
         }
@@ -136,51 +134,53 @@
 }
 
 impl Handle {
-    /// Where callers connect.
+    /// Returns the address of the listener for callers.
     pub fn public(&self) -> SocketAddr {
         self.public.address()
     }
 
-    /// Where peers connect.
+    /// Returns the address of the listener for peers.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// The admin port.
+    /// Returns the address of the admin listener.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The node's shared state.
+    /// Returns the state that entries and agents have in common.
     pub fn node(&self) -> &Rc<Node> {
         &self.entry.node
     }
 
-    /// Shuts down: callers are told of other addresses, and what they still send here until they
-    /// ask again is answered if it is sure to be whole by the end; then the listener closes and the last requests end. Gives how many
-    /// were cut off, because the bound passed or `forced` fired.
+    /// Shuts down gracefully. Address queries return other entries only. Until callers have queried
+    /// again, requests are accepted if their deadline is before the end of the drain. Then the
+    /// listener closes and the requests in flight finish. Returns the number of requests cut off
+    /// because the drain timeout passed or `forced` became true.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> usize {
         let node = &self.entry.node;
         node.leave();
-        info!(node.log, "leaving"; "running" => self.entry.running.get());
-        let bound = Duration::from_millis(node.limits.drain_ms);
-        node.ends.set(Some(node.clock.now().after(bound)));
-        let ended = async {
+        info!(node.log, "leaving"; "running" => self.entry.in_flight.get());
+        let drain_timeout = Duration::from_millis(node.limits.drain_ms);
+        node.shutdown_deadline
+            .set(Some(node.clock.now().after(drain_timeout)));
+        let drained = async {
             let ttl = Duration::from_secs(self.entry.settings.address_ttl_s);
             actix_rt::time::sleep(ttl + peers::HEARTBEAT).await;
             self.public.close();
-            while 0 < self.entry.running.get() {
-                actix_rt::time::sleep(DRAIN_STEP).await;
+            while 0 < self.entry.in_flight.get() {
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         tokio::select! {
-            () = ended => {}
-            () = actix_rt::time::sleep(bound) => {}
+            () = drained => {}
+            () = actix_rt::time::sleep(drain_timeout) => {}
             _ = forced.wait_for(|it| *it) => {}
         }
-        let cut = self.entry.running.get();
-        info!(node.log, "left"; "cut_off" => cut);
-        cut
+        let cut_count = self.entry.in_flight.get();
+        info!(node.log, "left"; "cut_off" => cut_count);
+        cut_count
     }
 }
 
@@ -210,7 +210,7 @@
     }
 }
 
-async fn listen_callers(entry: &Rc<Entry>) -> std::io::Result<server::Server> {
+async fn listen_public(entry: &Rc<Entry>) -> std::io::Result<server::Server> {
     let node = &entry.node;
     let address = node.settings.listen.public.clone().unwrap_or_default();
     let limits = server::Limits {
@@ -220,15 +220,15 @@
         idle: node.idle_timeout(),
     };
     let entry = Rc::clone(entry);
-    let handler: Handler = Rc::new(move |request| answer(Rc::clone(&entry), request).boxed_local());
+    let handler: Handler = Rc::new(move |request| handle(Rc::clone(&entry), request).boxed_local());
     server::Server::start(&address, limits, handler).await
 }
 
-async fn answer(entry: Rc<Entry>, request: Request) -> Answer {
-    let id = border::request_id(&entry.node, &request);
-    let _running = Running::new(&entry);
+async fn handle(entry: Rc<Entry>, request: Request) -> Answer {
+    let id = api::request_id(&entry.node, &request);
+    let _guard = InFlightGuard::new(&entry);
     let result = route(&entry, request, &id).await;
-    result.unwrap_or_else(|failure| border::refuse(&entry, &failure, &id))
+    result.unwrap_or_else(|failure| api::error_response(&entry, &failure, &id))
 }
 
 async fn route(entry: &Rc<Entry>, request: Request, id: &str) -> Result<Answer, Failure> {
@@ -242,37 +242,37 @@
         (_, ["v1", "teams", team, "services", service, rest @ ..]) => {
             service::answer(entry, &request, id, team, service, rest).await
         }
-        _ => Err(Failure::because(Kind::NotFound, "no such route")),
+        _ => Err(Failure::with_detail(Kind::NotFound, "no such route")),
     }
 }
 
-/// Counts a caller's request as running until it is dropped.
-struct Running(Rc<Entry>);
+/// Counts a caller's request as in flight until dropped.
+struct InFlightGuard(Rc<Entry>);
 
-impl Running {
-    fn new(entry: &Rc<Entry>) -> Running {
-        entry.running.set(entry.running.get() + 1);
-        Running(Rc::clone(entry))
+impl InFlightGuard {
+    fn new(entry: &Rc<Entry>) -> InFlightGuard {
+        entry.in_flight.set(entry.in_flight.get() + 1);
+        InFlightGuard(Rc::clone(entry))
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.running.set(self.0.running.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
-struct PeerCalls(Rc<Entry>);
+struct PeerHandler(Rc<Entry>);
 
-impl transport::server::Handler for PeerCalls {
+impl transport::server::Handler for PeerHandler {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let entry = Rc::clone(&self.0);
         let scope = Rc::clone(&entry.node.scope);
         scope.spawn(async move {
             match call {
                 Call::Borrow { node, asks } => {
-                    let lent = entry.lend(&node, &asks);
-                    outgoing.finish(&lent).await;
+                    let granted = entry.grant(&node, &asks);
+                    outgoing.finish(&granted).await;
                 }
                 other => calls::answer(Rc::clone(&entry.node), other, outgoing).await,
             }
@@ -285,13 +285,13 @@
 }
 
 async fn listen_peers(entry: &Rc<Entry>) -> std::io::Result<SocketAddr> {
-    let handler = Rc::new(PeerCalls(Rc::clone(entry)));
+    let handler = Rc::new(PeerHandler(Rc::clone(entry)));
     calls::listen(&entry.node, handler).await
 }
 
-/// Takes over each bundle: rates, shares and versions.
-async fn apply(entry: Rc<Entry>) {
-    let mut bundle = entry.node.bundle.subscribe();
+/// Applies rate limits and version pins whenever the bundle or the membership changes.
+async fn follow_bundles(entry: Rc<Entry>) {
+    let mut bundle = entry.node.bundle_number.subscribe();
     let mut members = entry.node.membership_changes.subscribe();
     loop {
         entry.configure();
@@ -310,13 +310,13 @@
         let Some(head) = chain.head() else {
             return;
         };
-        let rate = |requests: u64, tokens: u64| Rate {
+        let to_rate = |requests: u64, tokens: u64| Rate {
             requests: requests as f64,
             tokens: tokens as f64,
         };
         let teams = head.bundle.teams.iter();
         let rates: Vec<(String, Rate)> = teams
-            .map(|it| (it.name.clone(), rate(it.requests_per_s, it.tokens_per_s)))
+            .map(|it| (it.name.clone(), to_rate(it.requests_per_s, it.tokens_per_s)))
             .collect();
         let now = self.node.clock.now();
         self.limits
--- a/crates/gradeloft_daemon/src/entry/service.rs
+++ b/crates/gradeloft_daemon/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to services.
 
 use std::{io, rc::Rc};
 
@@ -14,19 +14,19 @@
 use slog::info;
 
 use super::{
-    Entry, Running,
-    border::{self, Context, Failure},
-    dispatch::{self, Stream, Target},
+    Entry, InFlightGuard,
+    api::{self, Context, Failure},
+    dispatch::{self, ReplyStream, Target},
 };
-use crate::metrics::{self, Caller, Ending};
+use crate::metrics::{self, Caller, RequestOutcome};
 
 /// Header with the caller's idempotency key.
-const KEY: &str = "idempotency-key";
-/// Header by which a caller says whether the call may run more than once: `yes` or `no`.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header that states whether the call may run more than once: `yes` or `no`.
 const REPEATABLE: &str = "x-repeatable";
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
-/// Answers a call to a service with the service's own answer.
+/// Answers a call with the response of the service.
 pub async fn answer(
     entry: &Rc<Entry>,
     request: &Request,
@@ -36,14 +36,14 @@
     rest: &[&str],
 ) -> Result<Answer, Failure> {
     let (context, job) = parse(entry, request, id, team, service, rest)?;
-    let fail = |kind: Kind| Failure::from(kind).of(&context);
+    let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let now = entry.node.clock.now();
     entry
         .limits
         .borrow_mut()
         .admit(&context.team.name, 0.0, now)
         .map_err(fail)?;
-    let (repeat, home) = match &job {
+    let (repeat, key_hash) = match &job {
         Job::Service {
             repeat: Repeat::Allowed,
             ..
@@ -54,7 +54,7 @@
         } => (retry::Repeat::Never, Some(rendezvous::hash(key.as_bytes()))),
         _ => (retry::Repeat::Never, None),
     };
-    let target = Target::Service(service.to_owned(), home);
+    let target = Target::Service(service.to_owned(), key_hash);
     let stream = dispatch::dispatch(entry, &context, &target, job, repeat).await;
     let mut stream = stream.map_err(fail)?;
     let head = stream.next().await.map_err(fail)?;
@@ -67,9 +67,12 @@
         return Err(fail(Kind::Mismatch));
     };
     let relay = Relay::new(entry, context, service, stream);
-    let body = stream::unfold(Some(relay), |relay| async move { relay?.step().await });
+    let body = stream::unfold(
+        Some(relay),
+        |relay| async move { relay?.next_chunk().await },
+    );
     let answer = streamed(status, &content_type, body);
-    Ok(with_header(answer, border::REQUEST_ID, id))
+    Ok(with_header(answer, api::REQUEST_ID, id))
 }
 
 fn parse(
@@ -82,20 +85,20 @@
 ) -> Result<(Context, Job), Failure> {
     let chain = entry.node.chain.borrow();
     let bundle = &chain.head().ok_or(Kind::Starting)?.bundle;
-    let context = border::context(&entry.node, bundle, request, id, team)?;
+    let context = api::authenticate(&entry.node, bundle, request, id, team)?;
     let known = bundle.services.iter().find(|it| it.name == service);
     let allowed = context.team.services.iter().any(|it| it == service);
-    let Some(described) = known.filter(|_| allowed) else {
+    let Some(definition) = known.filter(|_| allowed) else {
         let kind = if known.is_some() {
             Kind::Forbidden
         } else {
             Kind::NotFound
         };
-        return Err(Failure::because(kind, format!("service {service}")).of(&context));
+        return Err(Failure::with_detail(kind, format!("service {service}")).for_caller(&context));
     };
-    let body = border::body(request).map_err(|it| it.of(&context))?;
+    let body = api::body(request).map_err(|it| it.for_caller(&context))?;
     let path = format!("/{}", rest.join("/"));
-    let repeat = repeat(request, described, &path).map_err(|it| it.of(&context))?;
+    let repeat = repeat_policy(request, definition, &path).map_err(|it| it.for_caller(&context))?;
     let query = if request.query.is_empty() {
         String::new()
     } else {
@@ -115,10 +118,10 @@
     Ok((context, job))
 }
 
-/// Whether a call may run more than once: not if the bundle or the caller says so, else as the
-/// HTTP standard has it for the method.
-fn repeat(request: &Request, service: &Service, path: &str) -> Result<Repeat, Failure> {
-    let marked = service
+/// Returns whether a call may run more than once. The bundle and the caller can forbid it.
+/// Otherwise the caller can allow it; by default it is allowed for the idempotent HTTP methods.
+fn repeat_policy(request: &Request, service: &Service, path: &str) -> Result<Repeat, Failure> {
+    let at_most_once = service
         .at_most_once
         .iter()
         .any(|it| it.method.eq_ignore_ascii_case(&request.method) && path.starts_with(&it.path));
@@ -128,64 +131,64 @@
     );
     let allowed = match request.header(REPEATABLE) {
         Some("no") => false,
-        Some("yes") => !marked,
-        None => !marked && idempotent,
+        Some("yes") => !at_most_once,
+        None => !at_most_once && idempotent,
         Some(_) => {
             let detail = format!("{REPEATABLE}: yes or no are allowed");
-            return Err(Failure::because(Kind::BadRequest, detail));
+            return Err(Failure::with_detail(Kind::BadRequest, detail));
         }
     };
     if allowed {
         return Ok(Repeat::Allowed);
     }
-    match request.header(KEY) {
-        Some(key) if key.is_empty() || LONGEST_KEY < key.len() => {
-            let detail = format!("{KEY}: 1 to {LONGEST_KEY} characters are allowed");
-            Err(Failure::because(Kind::BadRequest, detail))
+    match request.header(IDEMPOTENCY_KEY) {
+        Some(key) if key.is_empty() || MAX_KEY_BYTES < key.len() => {
+            let detail = format!("{IDEMPOTENCY_KEY}: 1 to {MAX_KEY_BYTES} characters are allowed");
+            Err(Failure::with_detail(Kind::BadRequest, detail))
         }
         Some(key) => Ok(Repeat::Key(key.to_owned())),
         None => Ok(Repeat::Never),
     }
 }
 
-/// A service's answer on its way to the caller; dropping it cancels the call.
+/// Relay of a service's response to the caller. Dropping it cancels the call.
 struct Relay {
     entry: Rc<Entry>,
     context: Context,
     service: String,
-    stream: Stream,
+    stream: ReplyStream,
     outcome: &'static str,
-    _running: Running,
+    _guard: InFlightGuard,
 }
 
-type Step = Option<(Result<Bytes, io::Error>, Option<Relay>)>;
+type NextChunk = Option<(Result<Bytes, io::Error>, Option<Relay>)>;
 
 impl Relay {
-    fn new(entry: &Rc<Entry>, context: Context, service: &str, stream: Stream) -> Relay {
+    fn new(entry: &Rc<Entry>, context: Context, service: &str, stream: ReplyStream) -> Relay {
         Relay {
             entry: Rc::clone(entry),
             context,
             service: service.to_owned(),
             stream,
             outcome: "cancelled",
-            _running: Running::new(entry),
+            _guard: InFlightGuard::new(entry),
         }
     }
 
-    async fn step(mut self) -> Step {
+    async fn next_chunk(mut self) -> NextChunk {
         match self.stream.next().await {
             Ok(Some(Reply::Piece { data, .. })) => Some((Ok(Bytes::from(data)), Some(self))),
             Ok(Some(Reply::End { .. })) => {
                 self.outcome = "ok";
                 None
             }
-            Ok(_) => self.broken(Kind::Mismatch),
-            Err(kind) => self.broken(kind),
+            Ok(_) => self.abort(Kind::Mismatch),
+            Err(kind) => self.abort(kind),
         }
     }
 
-    /// The status has gone out: breaking off the body tells the caller that it is not whole.
-    fn broken(&mut self, kind: Kind) -> Step {
+    /// Aborts the body: the status is already sent, so only this shows that the body is incomplete.
+    fn abort(&mut self, kind: Kind) -> NextChunk {
         self.outcome = kind.name();
         Some((Err(io::Error::other(kind.name())), None))
     }
@@ -207,11 +210,11 @@
         info!(node.log, "request done"; "request" => &self.context.id, "team" => &team,
             "class" => &class, "service" => &self.service, "replica" => &self.stream.replica,
             "outcome" => self.outcome, "ms" => whole.as_millis() as u64);
-        let ending = Ending {
+        let outcome_labels = RequestOutcome {
             team,
             class,
             outcome: self.outcome,
         };
-        node.metrics.requests.get_or_create(&ending).inc();
+        node.metrics.requests.get_or_create(&outcome_labels).inc();
     }
 }
--- a/crates/gradeloft_daemon/src/metrics.rs
+++ b/crates/gradeloft_daemon/src/metrics.rs
@@ -28,7 +28,7 @@
 
 /// A team, a class and how a request ended: `ok` or the name of an error kind.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Ending {
+pub struct RequestOutcome {
     /// Team; `-` while it is not proved.
     pub team: String,
     /// Class; `-` while the team is not proved.
@@ -55,7 +55,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Requests by how they ended.
-    pub requests: Family<Ending, Counter>,
+    pub requests: Family<RequestOutcome, Counter>,
     /// Seconds until the first token or the head of an answer.
     pub first_token: Timing<Caller>,
     /// Seconds between tokens.
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -133,7 +133,7 @@
         .head()
         .is_some_and(|it| it.digest == digest)
     {
-        node.recorded_ms.set(Some(record.time_ms));
+        node.last_record_ms.set(Some(record.time_ms));
     }
 }
 
@@ -144,7 +144,7 @@
             node.bundle_source.set(source);
             node.metrics.bundle.set(number as i64);
             node.notice.send_modify(|it| it.bundle = number);
-            node.bundle.send_replace(number);
+            node.bundle_number.send_replace(number);
             info!(node.log, "bundle in force"; "number" => number, "signer" => &signed.signer,
                 "digest" => %signed.digest(), "source" => source.name());
         }
@@ -166,7 +166,7 @@
         let draw = node.with_rng(rand::Rng::random);
         actix_rt::time::sleep(CHECKPOINT_LOOK).await;
         let head = node.chain.borrow().head().map(|it| it.signed.clone());
-        let (Some(signed), Some(last_ms)) = (head, node.recorded_ms.get()) else {
+        let (Some(signed), Some(last_ms)) = (head, node.last_record_ms.get()) else {
             continue;
         };
         if !chain::checkpoint_due(last_ms, wall_ms(), every_ms, draw) {
@@ -186,7 +186,7 @@
 }
 
 async fn ask_peers(node: Rc<Node>) {
-    let mut bundle = node.bundle.subscribe();
+    let mut bundle = node.bundle_number.subscribe();
     loop {
         let pause = node.with_rng(|it| it.random_range(GOSSIP_MS / 2..GOSSIP_MS * 3 / 2));
         tokio::select! {
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -118,15 +118,15 @@
     /// How it was learned.
     pub bundle_source: Cell<BundleSource>,
     /// When the log took the last record that holds the bundle in force, in milliseconds since 1970.
-    pub recorded_ms: Cell<Option<u64>>,
+    pub last_record_ms: Cell<Option<u64>>,
     /// Number of the bundle in force; tells whoever waits for a change.
-    pub bundle: watch::Sender<u64>,
+    pub bundle_number: watch::Sender<u64>,
     /// Peers.
     pub membership: RefCell<Membership>,
     /// Counts changes of membership; tells whoever waits for one.
     pub membership_changes: watch::Sender<u64>,
     /// When the process ends at the latest, once it leaves.
-    pub ends: Cell<Option<Time>>,
+    pub shutdown_deadline: Cell<Option<Time>>,
     /// The node's own state, as it is pushed to those who watch it.
     pub notice: watch::Sender<Notice>,
     rng: RefCell<ChaCha8Rng>,
@@ -162,11 +162,11 @@
             scope: Rc::default(),
             chain: RefCell::new(Chain::new(crate::settings::publishers(&settings))),
             bundle_source: Cell::default(),
-            recorded_ms: Cell::default(),
-            bundle: watch::Sender::new(0),
+            last_record_ms: Cell::default(),
+            bundle_number: watch::Sender::new(0),
             membership: RefCell::new(Membership::new(&settings.node.id)),
             membership_changes: watch::Sender::new(0),
-            ends: Cell::default(),
+            shutdown_deadline: Cell::default(),
             notice: watch::Sender::new(notice),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             settings,
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -65,7 +65,7 @@
             .entries
             .iter()
             .flatten()
-            .all(|it| *it.node().bundle.borrow() == 2)
+            .all(|it| *it.node().bundle_number.borrow() == 2)
     };
     fleet.until("bundle 2 is in force", in_force).await;
     answers(&fleet, &v1).await;
@@ -301,7 +301,8 @@
 
     fleet.start_entry(1).await.unwrap();
     let node = fleet.entries[1].as_ref().unwrap().node();
-    let learned = || node.bundle_source.get() == BundleSource::Peer && *node.bundle.borrow() == 2;
+    let learned =
+        || node.bundle_source.get() == BundleSource::Peer && *node.bundle_number.borrow() == 2;
     fleet
         .until("an entry started meanwhile learns it from peers", learned)
         .await;
@@ -332,7 +333,7 @@
             .entries
             .iter()
             .flatten()
-            .all(|it| *it.node().bundle.borrow() == 2)
+            .all(|it| *it.node().bundle_number.borrow() == 2)
     );
 }
 
@@ -525,7 +526,7 @@
     let node = fleet.entries[0].as_ref().unwrap().node();
     fleet
         .until("an entry started afresh knows it", || {
-            *node.bundle.borrow() == 1
+            *node.bundle_number.borrow() == 1
         })
         .await;
     assert_eq!(node.chain.borrow().head().unwrap().digest, digest(&first));
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -225,7 +225,7 @@
             .borrow()
             .iter()
             .any(|(_, it)| it.notice.is_some());
-        seen && *node.bundle.borrow() == 1
+        seen && *node.bundle_number.borrow() == 1
     };
     until("the entry knows the refuser and the bundle", ready).await;
     let caller = fleet.caller().with("x-request-id", "r-1");
