--- a/crates/gradeloft_daemon/src/clock.rs
+++ b/crates/gradeloft_daemon/src/clock.rs
@@ -1,8 +1,9 @@
-//! The process's clock, and timers that keep to it.
+//! Clock of the process, and timers that follow it.
 //!
-//! While a machine is suspended its steady clock stands still, on which the runtime's timers run. To everybody
-//! else the time has passed: keys are gone, versions are due, peers have told other things. So decisions get
-//! their time from a clock that counts it, and a timer that fires late by it is woken once the process looks.
+//! The runtime's timers use the monotonic clock, which stops while the machine is suspended. For
+//! other machines the time has passed: keys are revoked, versions are due, and peers have changed
+//! state. Decisions therefore use a clock that counts suspensions, and timers that are due by it
+//! are woken once the process detects a suspension.
 
 use std::{
     cell::Cell,
@@ -15,29 +16,30 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::sync::Notify;
 
-/// Shortest suspension that counts: the two clocks are not read at the same instant.
-const SHORTEST: Duration = Duration::from_millis(50);
+/// Shortest suspension that is detected. Smaller differences can arise because the two clocks are
+/// not read at the same instant.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Gives decisions their time.
+/// Clock that counts the time while the machine is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Time since the machine started, suspended or not, when the process did.
+    /// Time between the boot of the machine and the start of the clock, including suspensions.
     started: Duration,
-    /// Milliseconds for which a test has the machine suspended.
+    /// Simulated suspensions in total, in milliseconds; for tests.
     suspended_ms: Option<&'static AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Clock {
         Clock {
-            started: since_boot(),
+            started: time_since_boot(),
             suspended_ms: None,
         }
     }
 
-    /// A clock that starts now, on a machine that a test suspends by adding milliseconds: the clock counts them,
-    /// and the runtime's timers do not.
+    /// Starts a clock for a test that simulates suspensions by adding milliseconds to
+    /// `suspended_ms`. The clock counts them, and the runtime's timers don't.
     pub fn with_simulated_suspension(suspended_ms: &'static AtomicU64) -> Clock {
         Clock {
             suspended_ms: Some(suspended_ms),
@@ -45,79 +47,77 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the clock was started.
     pub fn now(&self) -> Time {
         let suspended_ms = self.suspended_ms.map_or(0, |it| it.load(Ordering::Relaxed));
-        let passed = since_boot().saturating_sub(self.started);
+        let passed = time_since_boot().saturating_sub(self.started);
         Time::ZERO.after(passed).after_ms(suspended_ms)
     }
 
-    /// How long until `time`; zero when it has passed.
+    /// Returns the duration until `time`; zero if it has passed.
     pub fn until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
 }
 
-/// Time since the machine started, counting what it was suspended for. Every kernel that this program runs on has
-/// this clock; where it could not be read the time would stand still, which no test passes.
-fn since_boot() -> Duration {
+/// Returns the time since the machine booted, including suspensions. All supported kernels have
+/// this clock. If it can't be read, the time stands still and the tests fail.
+fn time_since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
-/// The steady clock, on which the runtime's timers run.
-#[expect(
-    clippy::disallowed_methods,
-    reason = "compared with the clock, it tells of a suspension"
-)]
-fn steady() -> Instant {
+/// Reads the monotonic clock, which the runtime's timers use.
+#[expect(clippy::disallowed_methods, reason = "needed to detect suspensions")]
+fn monotonic_now() -> Instant {
     Instant::now()
 }
 
-/// A wait was over before what it waited for came.
+/// Error of a timeout: the time passed before the future completed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Elapsed;
 
 impl fmt::Display for Elapsed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("time is over")
+        f.write_str("the timeout has elapsed")
     }
 }
 
-/// Timers that keep to a clock.
+/// Timers that follow a clock.
 pub struct Timers {
     clock: Clock,
-    /// Told when the machine was suspended: timers look at the clock again.
-    woken: Notify,
-    /// Both clocks when this was looked at last.
-    looked: Cell<(Time, Instant)>,
+    /// Notified after a suspension, so that timers read the clock again.
+    resumed: Notify,
+    /// Both clocks at the last check for a suspension.
+    last_check: Cell<(Time, Instant)>,
 }
 
 impl Timers {
-    /// Timers of a clock.
+    /// Creates timers that follow `clock`.
     pub fn new(clock: Clock) -> Timers {
         Timers {
             clock,
-            woken: Notify::new(),
-            looked: Cell::new((clock.now(), steady())),
+            resumed: Notify::new(),
+            last_check: Cell::new((clock.now(), monotonic_now())),
         }
     }
 
-    /// Waits until a time. If the machine is suspended meanwhile, until the next look after it woke at the latest.
+    /// Waits until a time. If the machine is suspended in the meantime, the wait ends at the first
+    /// check after it resumes, at the latest.
     pub async fn sleep_until(&self, time: Time) {
         loop {
-            let woken = self.woken.notified();
+            let resumed = self.resumed.notified();
             let left = self.clock.until(time);
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
-                () = woken => {}
+                () = resumed => {}
             }
         }
     }
 
-    /// Waits for something until a time.
+    /// Runs a future until a time at most.
     pub async fn timeout_at<T>(
         &self,
         time: Time,
@@ -130,27 +130,28 @@
         }
     }
 
-    /// Waits for something for so long.
+    /// Runs a future for a duration at most.
     pub async fn timeout<T>(
         &self,
-        bound: Duration,
+        duration: Duration,
         future: impl Future<Output = T>,
     ) -> Result<T, Elapsed> {
-        self.timeout_at(self.clock.now().after(bound), future).await
+        self.timeout_at(self.clock.now().after(duration), future)
+            .await
     }
 
-    /// Looks whether the machine was suspended since the last look, and wakes timers that are due by now; gives
-    /// for how long it was.
+    /// Detects whether the machine was suspended since the last check, wakes timers that are due,
+    /// and returns the duration of the suspension.
     pub fn check_suspension(&self) -> Duration {
-        let now = (self.clock.now(), steady());
-        let before = self.looked.replace(now);
+        let now = (self.clock.now(), monotonic_now());
+        let before = self.last_check.replace(now);
         let passed = now.0.since(before.0);
         let ran = now.1.saturating_duration_since(before.1);
         let suspended = passed.saturating_sub(ran);
-        if suspended < SHORTEST {
+        if suspended < MIN_SUSPENSION {
             return Duration::ZERO;
         }
-        self.woken.notify_waiters();
+        self.resumed.notify_waiters();
         suspended
     }
 }
--- a/crates/gradeloft_daemon/src/entry/api.rs
+++ b/crates/gradeloft_daemon/src/entry/api.rs
@@ -199,7 +199,7 @@
     let token = request
         .header("authorization")
         .and_then(|it| it.strip_prefix("Bearer "));
-    let expected = blake3::Hash::from_hex(&team.token_digest);
+    let digest = blake3::Hash::from_hex(&team.token_digest);
     // The comparison of hashes takes constant time.
-    matches!((token, expected), (Some(token), Ok(expected)) if blake3::hash(token.as_bytes()) == expected)
+    matches!((token, digest), (Some(token), Ok(digest)) if blake3::hash(token.as_bytes()) == digest)
 }
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -167,7 +167,7 @@
             .set(Some(node.clock.now().after(drain_timeout)));
         let drained = async {
             let ttl = Duration::from_secs(self.entry.settings.address_ttl_s);
-            actix_rt::time::sleep(ttl + peers::HEARTBEAT).await;
+            actix_rt::time::sleep(ttl + peers::HEARTBEAT_INTERVAL).await;
             self.public.close();
             while 0 < self.entry.in_flight.get() {
                 actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
--- a/crates/gradeloft_daemon/src/lib.rs
+++ b/crates/gradeloft_daemon/src/lib.rs
@@ -1,14 +1,14 @@
-//! The daemon's two roles: I/O, scheduling and life cycle around the decisions of
+//! The two roles of the daemon: I/O, scheduling and life cycle. Decisions are made by
 //! `gradeloft_policy`.
 //!
 //! - [`agent`]: the process beside an endpoint.
-//! - [`entry`]: the process that callers talk to.
-//! - [`node`]: what both share: bundle, peers, admin port.
-//! - [`transport`]: streams between gradeloft's own processes.
-//! - [`settings`], [`logging`], [`metrics`], [`clock`], [`scope`]: the rest of a process.
+//! - [`entry`]: the process that callers connect to.
+//! - [`node`]: common parts of both: bundle, peers, admin port.
+//! - [`transport`]: streams between processes of the system.
+//! - [`settings`], [`logging`], [`metrics`], [`clock`], [`scope`]: support for these.
 //!
-//! Everything of one process runs on one thread, so its state is shared by `Rc` and `RefCell` and
-//! never locked; no borrow is held over an await.
+//! A process runs on one thread. Its state is shared by `Rc` and `RefCell` without locks, and no
+//! borrow is held across an await.
 
 pub mod agent;
 pub mod clock;
--- a/crates/gradeloft_daemon/src/main.rs
+++ b/crates/gradeloft_daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `gradeloftd`: the daemon, as an entry or as an agent.
+//! `gradeloftd`: the daemon, which runs as an entry or as an agent.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -7,7 +7,7 @@
     agent::{self, Endpoint},
     entry, logging,
     node::{Node, Platform},
-    settings::{self, Invalid},
+    settings::{self, SettingsError},
 };
 use gradeloft_wire::border::settings::{Role, Settings};
 use slog::{error, info};
@@ -16,12 +16,12 @@
     sync::watch,
 };
 
-/// Exit code when the settings can't be used.
-const BAD_SETTINGS: u8 = 2;
-/// Exit code when the process can't start.
-const NO_START: u8 = 1;
-/// Exit code when the shutdown cut requests off.
-const CUT_OFF: u8 = 3;
+/// Exit code if the settings are invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code if the process can't start.
+const EXIT_START_FAILED: u8 = 1;
+/// Exit code if the shutdown cut off requests.
+const EXIT_CUT_OFF: u8 = 3;
 
 /// The gradeloft daemon.
 ///
@@ -62,7 +62,7 @@
     };
     let settings = match settings::read(&source.settings) {
         Ok(settings) => settings,
-        Err(invalid) => return report(&source, &invalid),
+        Err(error) => return report(&source, &error),
     };
     let Some(role) = role else {
         println!("{}: ok, role {}", source.settings.display(), settings.role);
@@ -74,41 +74,41 @@
             source.settings.display(),
             settings.role
         );
-        return ExitCode::from(BAD_SETTINGS);
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     }
     actix_rt::System::new().block_on(run(settings))
 }
 
-fn report(source: &Source, invalid: &Invalid) -> ExitCode {
+fn report(source: &Source, error: &SettingsError) -> ExitCode {
     let path = source.settings.display();
-    match invalid {
-        Invalid::Unreadable { .. } => eprintln!("{invalid}"),
-        Invalid::Faulty(faults) => {
+    match error {
+        SettingsError::Unreadable { .. } => eprintln!("{error}"),
+        SettingsError::Invalid(faults) => {
             for fault in faults {
                 eprintln!("{path}: {fault}");
             }
         }
     }
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(EXIT_INVALID_SETTINGS)
 }
 
-/// Signals that end a process in order.
+/// Signals that shut a process down gracefully.
 struct Signals {
     interrupt: Signal,
     terminate: Signal,
 }
 
 impl Signals {
-    /// Heeds signals from now on. One that comes before ends the process at once, so this goes first: nothing has been
-    /// accepted from callers by then.
-    fn listen() -> std::io::Result<Signals> {
+    /// Installs the signal handlers. Must be called before requests are accepted, since an earlier
+    /// signal ends the process at once.
+    fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             interrupt: signal(SignalKind::interrupt())?,
             terminate: signal(SignalKind::terminate())?,
         })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     async fn next(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
@@ -119,16 +119,16 @@
 
 async fn run(settings: Settings) -> ExitCode {
     let log = logging::to_stderr(settings.log_level, &settings.node.id);
-    let signals = match Signals::listen() {
+    let signals = match Signals::install() {
         Ok(signals) => signals,
         Err(why) => {
-            error!(log, "no signals"; "why" => %why);
-            return ExitCode::from(NO_START);
+            error!(log, "can't install signal handlers"; "why" => %why);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let Ok(seed) = getrandom::u64() else {
-        error!(log, "no randomness from the system");
-        return ExitCode::from(NO_START);
+        error!(log, "can't get a random seed from the system");
+        return ExitCode::from(EXIT_START_FAILED);
     };
     let platform = Platform::http(&settings);
     let role = settings.role;
@@ -140,11 +140,11 @@
     };
     match result {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT_OFF),
+        Ok(_) => ExitCode::from(EXIT_CUT_OFF),
         Err(why) => {
             error!(log, "can't start"; "why" => %why);
             eprintln!("can't start: {why}");
-            ExitCode::from(NO_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
@@ -158,25 +158,25 @@
     let handle = agent::Builder::new(node, settings, endpoint)
         .start()
         .await?;
-    let forced = stop(handle.node(), signals).await;
+    let forced = wait_for_shutdown(handle.node(), signals).await;
     Ok(handle.drain(forced).await as usize)
 }
 
 async fn run_entry(node: Node, signals: Signals) -> std::io::Result<usize> {
     let handle = entry::Builder::new(node).start().await?;
-    let forced = stop(handle.node(), signals).await;
+    let forced = wait_for_shutdown(handle.node(), signals).await;
     Ok(handle.drain(forced).await)
 }
 
-/// Waits for the first SIGTERM or SIGINT; what it gives turns true with the second.
-async fn stop(node: &Node, mut signals: Signals) -> watch::Receiver<bool> {
+/// Waits for the first SIGTERM or SIGINT. The returned channel becomes true at the second one.
+async fn wait_for_shutdown(node: &Node, mut signals: Signals) -> watch::Receiver<bool> {
     signals.next().await;
-    info!(node.log, "signal"; "action" => "drain");
+    info!(node.log, "signal received"; "action" => "drain");
     let (force, forced) = watch::channel(false);
     let log = node.log.clone();
     actix_rt::spawn(async move {
         signals.next().await;
-        info!(log, "signal"; "action" => "force");
+        info!(log, "signal received"; "action" => "force");
         let _ = force.send(true);
     });
     forced
--- a/crates/gradeloft_daemon/src/metrics.rs
+++ b/crates/gradeloft_daemon/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of a process, in the OpenMetrics text format.
 //!
-//! Labels take their values from the bundle in force and from closed lists only, so that bad input
-//! can't grow them.
+//! Label values come only from the bundle in force and from closed lists, so that invalid input
+//! can't increase the number of time series.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     registry::Registry,
 };
 
-/// Histograms of durations, one for each label.
-pub type Timing<L> = Family<L, Histogram, fn() -> Histogram>;
+/// Histograms of durations in seconds by label.
+pub type DurationHistograms<L> = Family<L, Histogram, fn() -> Histogram>;
 
-/// A team of the bundle and a class of it.
+/// Team and class of a request, both from the bundle.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Caller {
     /// Team.
@@ -26,25 +26,25 @@
     pub class: String,
 }
 
-/// A team, a class and how a request ended: `ok` or the name of an error kind.
+/// Team, class and outcome of a request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct RequestOutcome {
-    /// Team; `-` while it is not proved.
+    /// Team; `-` if it was not authenticated.
     pub team: String,
-    /// Class; `-` while the team is not proved.
+    /// Class; `-` if the team was not authenticated.
     pub class: String,
-    /// How it ended.
+    /// `ok` or the name of an error kind.
     pub outcome: &'static str,
 }
 
-/// Where a chunk came from.
+/// Source of a chunk.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Source {
     /// `peer`, `store` or `origin`.
     pub source: &'static str,
 }
 
-/// Why something happened, from a closed list.
+/// Reason or cause, from a closed list.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Reason {
     /// The reason.
@@ -54,48 +54,48 @@
 /// All metrics of a process.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: Family<RequestOutcome, Counter>,
-    /// Seconds until the first token or the head of an answer.
-    pub first_token: Timing<Caller>,
+    /// Seconds until the first token.
+    pub first_token: DurationHistograms<Caller>,
     /// Seconds between tokens.
-    pub between_tokens: Timing<Caller>,
-    /// Seconds until the end of an answer.
-    pub whole_answer: Timing<Caller>,
+    pub between_tokens: DurationHistograms<Caller>,
+    /// Seconds until the end of a response.
+    pub whole_answer: DurationHistograms<Caller>,
     /// Attempts after the first.
     pub retries: Counter,
-    /// Answers that were not whole or not their request's own, by error kind.
+    /// Replies that were incomplete or did not match their request, by error kind.
     pub bad_answers: Family<Reason, Counter>,
     /// Seconds to fetch a chunk.
-    pub chunk_fetch: Timing<Source>,
+    pub chunk_fetch: DurationHistograms<Source>,
     /// Bytes of weights fetched.
     pub chunk_bytes: Family<Source, Counter>,
-    /// Chunks whose content did not have its digest.
+    /// Chunks whose content did not match their digest.
     pub corrupt_chunks: Counter,
-    /// Bytes of weights given to peers.
+    /// Bytes of weights uploaded to peers.
     pub uploaded_bytes: Counter,
-    /// Connections dropped because they carried no valid frames.
+    /// Connections dropped because of malformed frames.
     pub malformed: Counter,
     /// Number of the bundle in force.
     pub bundle: Gauge,
     /// Bundles refused.
     pub bundles_refused: Counter,
-    /// Calls to the platform that failed.
+    /// Failed calls to the platform.
     pub platform_faults: Family<Reason, Counter>,
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates and registers all metrics.
     pub fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("gradeloft"),
             requests: Family::default(),
-            first_token: Family::new_with_constructor(seconds as fn() -> Histogram),
-            between_tokens: Family::new_with_constructor(seconds as fn() -> Histogram),
-            whole_answer: Family::new_with_constructor(seconds as fn() -> Histogram),
+            first_token: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
+            between_tokens: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
+            whole_answer: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
             retries: Counter::default(),
             bad_answers: Family::default(),
-            chunk_fetch: Family::new_with_constructor(seconds as fn() -> Histogram),
+            chunk_fetch: Family::new_with_constructor(duration_histogram as fn() -> Histogram),
             chunk_bytes: Family::default(),
             corrupt_chunks: Counter::default(),
             uploaded_bytes: Counter::default(),
@@ -108,21 +108,17 @@
         metrics
     }
 
-    /// The metrics as text.
+    /// Returns the metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 
     fn register(&mut self) {
         let it = &mut self.registry;
-        it.register(
-            "requests",
-            "Requests by how they ended",
-            self.requests.clone(),
-        );
+        it.register("requests", "Requests by outcome", self.requests.clone());
         it.register(
             "first_token_seconds",
             "Time to the first token",
@@ -132,14 +128,14 @@
         it.register("between_tokens_seconds", "Time between tokens", between);
         it.register(
             "whole_answer_seconds",
-            "Time to the whole answer",
+            "Time to the end of the response",
             self.whole_answer.clone(),
         );
         it.register("retries", "Attempts after the first", self.retries.clone());
         let bad = self.bad_answers.clone();
         it.register(
             "bad_answers",
-            "Answers cut, crossed, mixed or repeated",
+            "Replies that were incomplete or did not match their request",
             bad,
         );
         it.register(
@@ -153,16 +149,20 @@
             self.chunk_bytes.clone(),
         );
         let corrupt = self.corrupt_chunks.clone();
-        it.register("corrupt_chunks", "Chunks with a wrong digest", corrupt);
+        it.register(
+            "corrupt_chunks",
+            "Chunks that did not match their digest",
+            corrupt,
+        );
         let uploaded = self.uploaded_bytes.clone();
         it.register(
             "uploaded_bytes",
-            "Bytes of weights given to peers",
+            "Bytes of weights uploaded to peers",
             uploaded,
         );
         it.register(
             "malformed_connections",
-            "Connections dropped",
+            "Connections dropped because of malformed frames",
             self.malformed.clone(),
         );
         it.register(
@@ -186,15 +186,15 @@
     }
 }
 
-/// Observes a duration, in seconds.
-pub fn observe<L>(family: &Timing<L>, label: &L, time: Duration)
+/// Records a duration in the histogram of a label.
+pub fn observe<L>(family: &DurationHistograms<L>, label: &L, time: Duration)
 where
     L: Clone + std::hash::Hash + Eq,
 {
     family.get_or_create(label).observe(time.as_secs_f64());
 }
 
-fn seconds() -> Histogram {
-    // From half a millisecond to a minute.
+fn duration_histogram() -> Histogram {
+    // Buckets from 0.5 ms to 65 s.
     Histogram::new(exponential_buckets(0.0005, 2.0, 18))
 }
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -16,17 +16,17 @@
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a role adds to the status.
+/// Status of a role, as the admin port reports it.
 pub trait Report {
-    /// Whether it takes work; the reason if not.
+    /// Returns `Ok` if the process accepts work, else the reason why not.
     fn ready(&self) -> Result<(), &'static str>;
-    /// Versions that it holds.
+    /// Returns the versions that the process holds.
     fn versions(&self) -> Vec<VersionStatus>;
-    /// Its epoch; 0 for none.
+    /// Returns the epoch of the process; 0 if it has none.
     fn epoch(&self) -> u64;
 }
 
-/// Starts the admin port.
+/// Starts the listener of the admin port.
 pub async fn start(node: Rc<Node>, report: Rc<dyn Report>) -> std::io::Result<Server> {
     let address = node.settings.listen.admin.clone();
     let limits = Limits {
--- a/crates/gradeloft_daemon/src/node/calls.rs
+++ b/crates/gradeloft_daemon/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! The listener for peers, and the calls that every node answers alike.
+//! The listener for peers, and the calls that both roles answer in the same way.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -19,7 +19,7 @@
     Ok(server.address())
 }
 
-/// Answers the calls that every node answers alike; others end without an answer.
+/// Answers the calls that both roles answer in the same way. Other calls end without a reply.
 pub async fn answer(node: Rc<Node>, call: Call, outgoing: Outgoing) {
     match call {
         Call::Watch => peers::serve_watch(node, outgoing).await,
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -1,12 +1,13 @@
-//! How a node learns which bundle is in force.
+//! Synchronization of the bundle in force, from the log and from peers.
 //!
-//! Entries tail the log. Every node also asks a random peer now and then, passes on what it has
-//! accepted, and looks at the notices of the peers that it watches; so an outage of the log stops
-//! new bundles, and neither the spread of the accepted one nor the start of new nodes. Agents read
-//! the log themselves only while they have no bundle, or hear of none from peers.
+//! Entries follow the log. In addition, every node periodically asks a random peer for a newer
+//! bundle, pushes each bundle that it accepts to its peers, and compares bundle numbers in the
+//! notices of the peers that it watches. An outage of the log therefore stops new bundles, but
+//! neither the spread of the accepted one nor the start of new nodes. Agents read the log
+//! frequently only while they have no bundle.
 //!
-//! Before the log's retention drops the bundle in force, an entry appends it again as a checkpoint;
-//! who reads the log later starts from there.
+//! Before the log's retention drops the bundle in force, an entry appends it again as a checkpoint,
+//! from which later readers of the log start.
 
 use std::{
     rc::Rc,
@@ -30,38 +31,38 @@
 use super::{BundleSource, Node, peers};
 use crate::transport::client::Lane;
 
-/// How long the log is asked to wait for something new, in milliseconds.
-const TAIL_WAIT_MS: u64 = 2_000;
-/// First and longest pause after the log failed, in milliseconds.
-const RETRY_MS: std::ops::Range<u64> = 100..1_000;
-/// How often an entry looks whether a checkpoint is due.
-const CHECKPOINT_LOOK: Duration = Duration::from_millis(500);
-/// Mean time between two questions to random peers, in milliseconds.
-const GOSSIP_MS: u64 = 1_000;
-/// Time without word of the bundle from a peer after which an agent reads the log, in seconds.
-const AGENT_LOG_S: u64 = 5;
+/// Time that a read of the log waits for new records, in milliseconds.
+const LOG_WAIT_MS: u64 = 2_000;
+/// Initial and maximum delay before a failed read of the log is retried, in milliseconds.
+const LOG_RETRY_DELAY_MS: std::ops::Range<u64> = 100..1_000;
+/// Interval at which an entry checks whether a checkpoint is due.
+const CHECKPOINT_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Mean interval between queries to random peers, in milliseconds.
+const GOSSIP_INTERVAL_MS: u64 = 1_000;
+/// Interval at which an agent that has a bundle reads the log, in seconds.
+const AGENT_LOG_INTERVAL_S: u64 = 5;
 
-/// Starts to learn.
+/// Starts the tasks that synchronize the bundle.
 pub fn start(node: &Rc<Node>) {
-    node.scope.spawn(tail(Rc::clone(node)));
-    node.scope.spawn(ask_peers(Rc::clone(node)));
+    node.scope.spawn(follow_log(Rc::clone(node)));
+    node.scope.spawn(sync_with_peers(Rc::clone(node)));
     if node.settings.role == Role::Entry {
-        node.scope.spawn(checkpoint(Rc::clone(node)));
+        node.scope.spawn(append_checkpoints(Rc::clone(node)));
     }
 }
 
-/// Takes over a bundle that a peer says is in force.
+/// Adopts a bundle that a peer reports as in force.
 pub fn adopt(node: &Node, signed: &SignedBundle) {
     let verdict = node.chain.borrow_mut().adopt(signed);
-    settle(node, signed, &verdict, BundleSource::Peer);
+    record_verdict(node, signed, &verdict, BundleSource::Peer);
 }
 
-/// Asks a peer for the bundle in force.
+/// Asks a peer for a newer bundle and adopts it. Returns whether the peer answered.
 pub async fn sync(node: &Node, address: &str) -> bool {
     let number = node.chain.borrow().number();
     let call = Call::Sync { number };
-    let asking = node.pool.call(address, Lane::Live, &call);
-    let Ok(Ok(Reply::Bundles(bundles))) = tokio::time::timeout(node.idle_timeout(), asking).await
+    let calling = node.pool.call(address, Lane::Live, &call);
+    let Ok(Ok(Reply::Bundles(bundles))) = tokio::time::timeout(node.idle_timeout(), calling).await
     else {
         return false;
     };
@@ -71,45 +72,45 @@
     true
 }
 
-async fn tail(node: Rc<Node>) {
+async fn follow_log(node: Rc<Node>) {
     let mut from = 0;
-    let mut pause_ms = RETRY_MS.start;
-    let entry = node.settings.role == Role::Entry;
+    let mut delay_ms = LOG_RETRY_DELAY_MS.start;
+    let is_entry = node.settings.role == Role::Entry;
     loop {
-        if !entry && node.bundle_source.get() != BundleSource::None {
+        if !is_entry && node.bundle_source.get() != BundleSource::None {
             let jitter = node.with_rng(|it| it.random_range(0..1000));
-            let pause = Duration::from_millis(AGENT_LOG_S * 1000 + jitter);
-            actix_rt::time::sleep(pause).await;
+            let delay = Duration::from_millis(AGENT_LOG_INTERVAL_S * 1000 + jitter);
+            actix_rt::time::sleep(delay).await;
         }
-        let wait_ms = if entry { TAIL_WAIT_MS } else { 0 };
+        let wait_ms = if is_entry { LOG_WAIT_MS } else { 0 };
         match node.platform.log.read(CONFIG, from, wait_ms).await {
             Ok(page) => {
-                pause_ms = RETRY_MS.start;
-                let whole = page.oldest <= from;
+                delay_ms = LOG_RETRY_DELAY_MS.start;
+                let contiguous = page.oldest <= from;
                 for record in &page.records {
-                    fold(&node, whole, record);
+                    apply_record(&node, contiguous, record);
                     from = record.offset + 1;
                 }
                 from = from.max(page.oldest);
-                if entry || node.bundle_source.get() != BundleSource::None {
+                if is_entry || node.bundle_source.get() != BundleSource::None {
                     continue;
                 }
             }
             Err(_) => node.count_platform_failure("log"),
         }
-        let jitter = node.with_rng(|it| it.random_range(0..pause_ms));
-        actix_rt::time::sleep(Duration::from_millis(pause_ms / 2 + jitter)).await;
-        pause_ms = (pause_ms * 2).min(RETRY_MS.end);
+        let jitter = node.with_rng(|it| it.random_range(0..delay_ms));
+        actix_rt::time::sleep(Duration::from_millis(delay_ms / 2 + jitter)).await;
+        delay_ms = (delay_ms * 2).min(LOG_RETRY_DELAY_MS.end);
     }
 }
 
-/// Folds one record; `whole` tells whether no record before it is missing.
-fn fold(node: &Node, whole: bool, record: &log::Record) {
+/// Applies a record of the log. `contiguous` states that no earlier record is missing.
+fn apply_record(node: &Node, contiguous: bool, record: &log::Record) {
     let (signed, verdict) = match Record::decode(&record.data) {
         Ok(Record::Bundle(signed)) => {
-            // With records missing, a bundle without its parent may be one that lost a race.
-            let known = whole || node.chain.borrow().head().is_some();
-            if !known {
+            // If earlier records are missing, this bundle may have lost against a concurrent one.
+            let decidable = contiguous || node.chain.borrow().head().is_some();
+            if !decidable {
                 return;
             }
             let verdict = node.chain.borrow_mut().fold(&signed);
@@ -121,12 +122,12 @@
         }
         Ok(_) => return,
         Err(why) => {
-            warn!(node.log, "record skipped"; "offset" => record.offset, "why" => ?why);
+            warn!(node.log, "skipping unreadable record"; "offset" => record.offset, "why" => ?why);
             return;
         }
     };
     let digest = signed.digest();
-    settle(node, &signed, &verdict, BundleSource::Log);
+    record_verdict(node, &signed, &verdict, BundleSource::Log);
     if node
         .chain
         .borrow()
@@ -137,7 +138,7 @@
     }
 }
 
-fn settle(node: &Node, signed: &SignedBundle, verdict: &Verdict, source: BundleSource) {
+fn record_verdict(node: &Node, signed: &SignedBundle, verdict: &Verdict, source: BundleSource) {
     match verdict {
         Verdict::Accepted => {
             let number = node.chain.borrow().number();
@@ -149,7 +150,7 @@
                 "digest" => %signed.digest(), "source" => source.name());
         }
         Verdict::Known => {}
-        // What was accepted before looks outrun when the log is read again.
+        // Bundles of peers that are older than the one in force are expected.
         Verdict::Refused(Refusal::Outrun { .. }) if source == BundleSource::Peer => {}
         Verdict::Refused(why) => {
             node.metrics.bundles_refused.inc();
@@ -159,51 +160,52 @@
     }
 }
 
-async fn checkpoint(node: Rc<Node>) {
+async fn append_checkpoints(node: Rc<Node>) {
     let settings = node.settings.entry.clone().unwrap_or_default();
     let every_ms = settings.checkpoint_s * 1000;
     loop {
         let draw = node.with_rng(rand::Rng::random);
-        actix_rt::time::sleep(CHECKPOINT_LOOK).await;
+        actix_rt::time::sleep(CHECKPOINT_POLL_INTERVAL).await;
         let head = node.chain.borrow().head().map(|it| it.signed.clone());
         let (Some(signed), Some(last_ms)) = (head, node.last_record_ms.get()) else {
             continue;
         };
-        if !chain::checkpoint_due(last_ms, wall_ms(), every_ms, draw) {
+        if !chain::checkpoint_due(last_ms, unix_time_ms(), every_ms, draw) {
             continue;
         }
         let record = Record::Checkpoint(signed).encode();
         match node.platform.log.append(CONFIG, &[record]).await {
-            Ok(offset) => info!(node.log, "checkpoint"; "offset" => offset),
+            Ok(offset) => info!(node.log, "checkpoint appended"; "offset" => offset),
             Err(_) => node.count_platform_failure("log"),
         }
     }
 }
 
-fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |it| it.as_millis() as u64)
+fn unix_time_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |it| it.as_millis() as u64)
 }
 
-async fn ask_peers(node: Rc<Node>) {
+async fn sync_with_peers(node: Rc<Node>) {
     let mut bundle = node.bundle_number.subscribe();
     loop {
-        let pause = node.with_rng(|it| it.random_range(GOSSIP_MS / 2..GOSSIP_MS * 3 / 2));
+        let delay =
+            node.with_rng(|it| it.random_range(GOSSIP_INTERVAL_MS / 2..GOSSIP_INTERVAL_MS * 3 / 2));
         tokio::select! {
-            () = actix_rt::time::sleep(Duration::from_millis(pause)) => {
+            () = actix_rt::time::sleep(Duration::from_millis(delay)) => {
                 if let Some(address) = random_peer(&node) {
                     sync(&node, &address).await;
                 }
             }
             Ok(()) = bundle.changed() => {
                 bundle.borrow_and_update();
-                push(&node);
+                push_bundle(&node);
             }
         }
     }
 }
 
-/// Address of one of the peers that this node gossips with.
+/// Returns the address of a random peer among those that this node gossips with.
 fn random_peer(node: &Node) -> Option<String> {
     let membership = node.membership.borrow();
     let now = node.clock.now();
@@ -213,13 +215,13 @@
         .filter(|it| !it.health.is_suspect(now))
         .collect();
     let own = rendezvous::hash(node.settings.node.id.as_bytes());
-    let drawn = gossip::select_peers(own, &peers);
-    let chosen = node.with_rng(|rng| drawn.into_iter().choose(rng));
+    let selected = gossip::select_peers(own, &peers);
+    let chosen = node.with_rng(|rng| selected.into_iter().choose(rng));
     chosen.map(|it| it.instance.peer.clone())
 }
 
-/// Passes the bundle in force on to the peers that this node watches.
-fn push(node: &Rc<Node>) {
+/// Pushes the bundle in force to the peers that this node watches.
+fn push_bundle(node: &Rc<Node>) {
     let Some(signed) = node.chain.borrow().head().map(|it| it.signed.clone()) else {
         return;
     };
@@ -228,8 +230,8 @@
         let call = Call::Push(signed.clone());
         let scope = Rc::clone(&node.scope);
         scope.spawn(async move {
-            let asking = node.pool.call(&address, Lane::Live, &call);
-            let _ = tokio::time::timeout(node.idle_timeout(), asking).await;
+            let calling = node.pool.call(&address, Lane::Live, &call);
+            let _ = tokio::time::timeout(node.idle_timeout(), calling).await;
         });
     }
 }
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! What both roles share: the bundle in force, the peers, the admin port.
+//! State and tasks of both roles: the bundle in force, the peers and the admin port.
 //!
 //! - [`admin`]: health, metrics and status.
-//! - [`calls`]: the calls that every node answers alike.
-//! - [`config`]: how a node learns which bundle is in force.
-//! - [`peers`]: the list, the connections to peers, the notices over them.
+//! - [`calls`]: calls of peers that both roles answer in the same way.
+//! - [`config`]: synchronization of the bundle in force.
+//! - [`peers`]: the list of instances, connections to peers, and notices.
 
 pub mod admin;
 pub mod calls;
@@ -35,11 +35,12 @@
     transport::{self, client::Pool},
 };
 
-/// Time for a platform service to begin its answer.
+/// Timeout until a platform service begins its response.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the weight store or the origin to begin an answer; their links are shared by many.
+/// Timeout until the weight store or the origin begins its response; their links are shared by
+/// many nodes.
 const WEIGHTS_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time to connect to a peer.
+/// Timeout to connect to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The platform's services.
@@ -55,7 +56,7 @@
 }
 
 impl Platform {
-    /// The services over HTTP, at the addresses of the settings.
+    /// Creates HTTP clients of the services at the addresses in the settings.
     pub fn http(settings: &Settings) -> Platform {
         let urls = &settings.platform;
         let source = settings
@@ -72,20 +73,20 @@
     }
 }
 
-/// How the node learned the bundle in force.
+/// Source from which a node got the bundle in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum BundleSource {
-    /// From the platform's log.
+    /// The platform's log.
     Log,
-    /// Not at all yet.
+    /// No bundle yet.
     #[default]
     None,
-    /// From a peer.
+    /// A peer.
     Peer,
 }
 
 impl BundleSource {
-    /// Name in logs and status.
+    /// Returns the name in logs and in the status.
     pub fn name(self) -> &'static str {
         match self {
             BundleSource::Log => "log",
@@ -95,11 +96,11 @@
     }
 }
 
-/// State that both roles have, for the life of the process.
+/// State that entries and agents have in common.
 pub struct Node {
     /// Settings.
     pub settings: Settings,
-    /// Bounds of the settings.
+    /// Limits of the settings.
     pub limits: Limits,
     /// Clock.
     pub clock: Clock,
@@ -113,27 +114,28 @@
     pub pool: Pool,
     /// Tasks of the process.
     pub scope: Rc<Scope>,
-    /// The bundle in force.
+    /// Accepted bundles; the head is in force.
     pub chain: RefCell<Chain>,
-    /// How it was learned.
+    /// Source of the bundle in force.
     pub bundle_source: Cell<BundleSource>,
-    /// When the log took the last record that holds the bundle in force, in milliseconds since 1970.
+    /// Time at which the log accepted the latest record of the bundle in force, in milliseconds
+    /// since 1970.
     pub last_record_ms: Cell<Option<u64>>,
-    /// Number of the bundle in force; tells whoever waits for a change.
+    /// Number of the bundle in force, for tasks that wait for a change.
     pub bundle_number: watch::Sender<u64>,
     /// Peers.
     pub membership: RefCell<Membership>,
-    /// Counts changes of membership; tells whoever waits for one.
+    /// Number of changes of the membership, for tasks that wait for one.
     pub membership_changes: watch::Sender<u64>,
-    /// When the process ends at the latest, once it leaves.
+    /// Time at which the process ends at the latest; set once it drains.
     pub shutdown_deadline: Cell<Option<Time>>,
-    /// The node's own state, as it is pushed to those who watch it.
+    /// State of this node, as sent to the peers that watch it.
     pub notice: watch::Sender<Notice>,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without peers or a bundle.
     pub fn new(settings: Settings, platform: Platform, log: Logger, seed: u64) -> Node {
         let limits = settings.limits.clone().unwrap_or_default();
         let source = settings
@@ -173,24 +175,24 @@
         }
     }
 
-    /// Whether the process takes no new work.
+    /// Returns whether the process is draining and accepts no new work.
     pub fn leaving(&self) -> bool {
         self.notice.borrow().leaving
     }
 
-    /// Tells all watchers that the process leaves.
+    /// Marks the process as leaving, and notifies the peers that watch it.
     pub fn leave(&self) {
         self.notice.send_modify(|it| it.leaving = true);
     }
 
-    /// A fresh id for an attempt.
+    /// Returns a new random id for an attempt.
     pub fn request_id(&self) -> RequestId {
         self.with_rng(|it| RequestId(it.random()))
     }
 
-    /// Lends the random generator.
-    pub fn with_rng<T>(&self, use_it: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
-        use_it(&mut self.rng.borrow_mut())
+    /// Calls a closure with the random number generator.
+    pub fn with_rng<T>(&self, use_rng: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
+        use_rng(&mut self.rng.borrow_mut())
     }
 
     /// Counts a failed call to the platform.
@@ -201,7 +203,7 @@
             .inc();
     }
 
-    /// Longest silence of a peer or an endpoint.
+    /// Returns the longest time without data from a peer or an endpoint.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.idle_ms)
     }
--- a/crates/gradeloft_daemon/src/node/peers.rs
+++ b/crates/gradeloft_daemon/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! The list, the connections to peers and the notices that come over them.
+//! The list of instances, connections to peers, and the notices received over them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,24 +12,25 @@
 use super::{Node, config};
 use crate::transport::{client::Lane, server::Outgoing};
 
-/// Longest time between two notices on one stream.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Silent heartbeats after which a connection counts as lost.
+/// Longest interval between two notices on a stream.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of missed heartbeats after which a connection counts as lost.
 const MISSED_HEARTBEATS: u32 = 3;
 
-/// Starts to follow the list and to watch the peers that this node has to know.
+/// Starts the task that reads the list and watches peers.
 pub fn start(node: &Rc<Node>) {
     node.scope.spawn(follow_list(Rc::clone(node)));
 }
 
-/// Addresses of the peers whose connections stand.
+/// Returns the addresses of connected peers.
 pub fn connected(node: &Node) -> Vec<String> {
     let membership = node.membership.borrow();
     let connected = membership.iter().filter(|(_, it)| it.connected);
     connected.map(|(_, it)| it.instance.peer.clone()).collect()
 }
 
-/// Sends this node's notice now, on each change and as a heartbeat, until the watcher goes.
+/// Sends this node's notice at once, on each change and as a heartbeat, until the watcher
+/// disconnects.
 pub async fn serve_watch(node: Rc<Node>, outgoing: Outgoing) {
     let mut notices = node.notice.subscribe();
     loop {
@@ -39,7 +40,7 @@
         }
         tokio::select! {
             changed = notices.changed() => if changed.is_err() { return },
-            () = actix_rt::time::sleep(HEARTBEAT) => {}
+            () = actix_rt::time::sleep(HEARTBEAT_INTERVAL) => {}
             () = outgoing.closed() => return,
         }
     }
@@ -51,8 +52,8 @@
         match node.platform.list.instances().await {
             Ok(instances) => {
                 interval_ms = membership::list_interval_ms(instances.len());
-                let fresh = node.membership.borrow_mut().apply_list(instances);
-                for key in fresh {
+                let added = node.membership.borrow_mut().apply_list(instances);
+                for key in added {
                     watch(&node, key);
                 }
                 node.membership_changes.send_modify(|it| *it += 1);
@@ -64,28 +65,28 @@
 }
 
 fn watch(node: &Rc<Node>, key: PeerKey) {
-    // Agents hear of bundles by gossip and from the entries that watch them, and of each other's
-    // chunks when they share them; so only entries watch.
+    // Only entries watch peers. Agents get bundles by gossip and from the entries that watch them,
+    // and learn of each other's chunks when they exchange them.
     if node.settings.role == Role::Entry {
         node.scope.spawn(watch_peer(Rc::clone(node), key));
     }
 }
 
 async fn watch_peer(node: Rc<Node>, key: PeerKey) {
-    let first = address(&node, key);
+    let initial_address = peer_address(&node, key);
     loop {
-        let Some(address) = address(&node, key) else {
+        let Some(address) = peer_address(&node, key) else {
             return;
         };
-        if first.as_ref() != Some(&address) {
-            // It moved; a task for its new address has been started.
+        if initial_address.as_ref() != Some(&address) {
+            // The peer has a new address, which another task watches.
             return;
         }
         let reason = watch_once(&node, key, &address).await;
         let now = node.clock.now();
         node.membership.borrow_mut().connection_lost(key, now);
         node.membership_changes.send_modify(|it| *it += 1);
-        debug!(node.log, "peer lost"; "peer" => &address, "why" => reason);
+        debug!(node.log, "connection to peer lost"; "peer" => &address, "why" => reason);
         let retry_at = node
             .membership
             .borrow()
@@ -103,36 +104,36 @@
         return "unreachable";
     };
     loop {
-        let silence = HEARTBEAT * MISSED_HEARTBEATS;
-        let Ok(next) = tokio::time::timeout(silence, incoming.next()).await else {
+        let idle_timeout = HEARTBEAT_INTERVAL * MISSED_HEARTBEATS;
+        let Ok(next) = tokio::time::timeout(idle_timeout, incoming.next()).await else {
             return "silent";
         };
         let Ok(Some(Reply::Notice(notice))) = next else {
             return "closed";
         };
-        if !is_at(node, key, &notice.node) {
+        if !is_instance(node, key, &notice.node) {
             return "another instance at its address";
         }
-        noticed(node, key, notice);
-        let ahead = node
+        apply_notice(node, key, notice);
+        let notice = node
             .membership
             .borrow()
             .get(key)
             .and_then(|it| it.notice.clone());
-        if ahead.is_some_and(|it| node.chain.borrow().number() < it.bundle) {
+        if notice.is_some_and(|it| node.chain.borrow().number() < it.bundle) {
             config::sync(node, address).await;
         }
     }
 }
 
-fn noticed(node: &Node, key: PeerKey, notice: Notice) {
+fn apply_notice(node: &Node, key: PeerKey, notice: Notice) {
     let now = node.clock.now();
     let mut membership = node.membership.borrow_mut();
     let before = membership.get(key).and_then(|it| it.notice.clone());
-    let told = |it: &Notice| (it.leaving, it.serving.clone(), it.service.clone());
-    let changed = before.as_ref().map(told) != Some(told(&notice));
+    let visible_state = |it: &Notice| (it.leaving, it.serving.clone(), it.service.clone());
+    let changed = before.as_ref().map(visible_state) != Some(visible_state(&notice));
     if changed {
-        info!(node.log, "peer state"; "peer" => &notice.node, "leaving" => notice.leaving,
+        info!(node.log, "peer state changed"; "peer" => &notice.node, "leaving" => notice.leaving,
             "serving" => notice.serving.len(), "bundle" => notice.bundle);
     }
     membership.receive_notice(key, notice, now);
@@ -142,13 +143,14 @@
     }
 }
 
-/// Whether a peer is the instance that the list names; an address can go to another one.
-fn is_at(node: &Node, key: PeerKey, name: &str) -> bool {
+/// Returns whether a peer is the instance on the list, since an address can be reused by another
+/// one.
+fn is_instance(node: &Node, key: PeerKey, name: &str) -> bool {
     let membership = node.membership.borrow();
     membership.get(key).is_some_and(|it| it.instance.id == name)
 }
 
-fn address(node: &Node, key: PeerKey) -> Option<String> {
+fn peer_address(node: &Node, key: PeerKey) -> Option<String> {
     node.membership
         .borrow()
         .get(key)
--- a/crates/gradeloft_daemon/src/settings.rs
+++ b/crates/gradeloft_daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: read from YAML, all faults reported at once.
+//! Settings of a process, read from YAML. All faults are reported together.
 
 use std::{fmt, fs, io, path::Path};
 
@@ -8,25 +8,25 @@
     schema::{self, Fault, Schema},
 };
 
-/// Why settings can't be used.
+/// Error of reading settings.
 #[derive(Debug)]
-pub enum Invalid {
+pub enum SettingsError {
     /// The file can't be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the read.
         error: io::Error,
     },
-    /// These faults are in it.
-    Faulty(Vec<Fault>),
+    /// The settings have these faults.
+    Invalid(Vec<Fault>),
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Invalid::Unreadable { path, error } => write!(f, "{path}: {error}"),
-            Invalid::Faulty(faults) => {
+            SettingsError::Unreadable { path, error } => write!(f, "{path}: {error}"),
+            SettingsError::Invalid(faults) => {
                 let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 f.write_str(&lines.join("\n"))
             }
@@ -35,15 +35,15 @@
 }
 
 /// Reads a settings file.
-pub fn read(path: &Path) -> Result<Settings, Invalid> {
-    let text = fs::read_to_string(path).map_err(|error| Invalid::Unreadable {
+pub fn read(path: &Path) -> Result<Settings, SettingsError> {
+    let text = fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
         path: path.display().to_string(),
         error,
     })?;
-    parse(&text).map_err(Invalid::Faulty)
+    parse(&text).map_err(SettingsError::Invalid)
 }
 
-/// Reads settings, or gives every fault in them.
+/// Parses settings, or returns all faults in them.
 pub fn parse(yaml: &str) -> Result<Settings, Vec<Fault>> {
     let settings = schema::from_yaml(Schema::Settings, yaml)?;
     let faults = check(&settings);
@@ -54,7 +54,7 @@
     }
 }
 
-/// The keys that are trusted before any bundle is in force.
+/// Returns the publishers that are trusted before a bundle is in force.
 pub fn publishers(settings: &Settings) -> Vec<Publisher> {
     settings
         .publishers
@@ -63,13 +63,13 @@
         .collect()
 }
 
-/// Faults that the schema can't express.
+/// Returns the faults that the schema can't express.
 fn check(settings: &Settings) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_addresses(settings, &mut faults);
     for (idx, publisher) in settings.publishers.iter().enumerate() {
         if Publisher::new(&publisher.name, &publisher.key).is_none() {
-            let message = format!("\"{}\" is no ed25519 public key", publisher.key);
+            let message = format!("\"{}\" is not an ed25519 public key", publisher.key);
             faults.push(Fault::new(format!("/publishers/{idx}/key"), message));
         }
     }
@@ -90,14 +90,14 @@
     if let Some(source) = &listen.source
         && source.parse::<std::net::IpAddr>().is_err()
     {
-        let message = format!("\"{source}\" is no IP address");
+        let message = format!("\"{source}\" is not an IP address");
         faults.push(Fault::new("/listen/source", message));
     }
     for (path, address) in addresses {
         if let Some(address) = address
             && address.parse::<std::net::SocketAddr>().is_err()
         {
-            let message = format!("\"{address}\" is no ip:port with a port from 0 to 65535");
+            let message = format!("\"{address}\" is not ip:port with a port from 0 to 65535");
             faults.push(Fault::new(path, message));
         }
     }
--- a/crates/gradeloft_daemon/src/transport/client.rs
+++ b/crates/gradeloft_daemon/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! A pool of connections to peers, and the answers that come over them.
+//! A pool of connections to peers, and replies received over them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,52 +26,52 @@
 
 use super::{CONNECTION_WINDOW, MAX_H2_FRAME, STREAM_WINDOW};
 
-/// Keeps weights and everything else on connections of their own, so that a request never waits
-/// behind a chunk.
+/// Class of traffic. Weights have connections of their own, so that a request never waits behind a
+/// chunk.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Lane {
-    /// Chunks.
+    /// Chunks of weights.
     Bulk,
-    /// Requests and control.
+    /// Requests and control traffic.
     Live,
 }
 
-/// Why a call got no answer.
+/// Reason why a call got no reply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallError {
-    /// The connection broke after the call was sent, or the answer can't be read.
+    /// The connection broke after the call was sent, or the reply is malformed.
     Lost,
-    /// The call was not sent, or the peer's transport refused it unread.
+    /// The call was not sent, or the peer refused its stream unprocessed.
     Unsent,
 }
 
-/// Time after which data that the peer does not acknowledge ends a connection: a peer behind a
-/// partition gives no other sign.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
-/// Time after which a connection that nothing was sent on is let go.
-const IDLE: Duration = Duration::from_secs(60);
+/// Time after which a connection is closed if sent data is not acknowledged. This is the only sign
+/// of a peer behind a network partition.
+const ACK_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which the pool drops a connection that no call has used.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Connection {
     sender: SendRequest<Bytes>,
-    used: Time,
-    /// When something came on it last, or it was made.
-    heard: Rc<Cell<Time>>,
+    last_used: Time,
+    /// Time at which data was last received, or the connection was opened.
+    last_received: Rc<Cell<Time>>,
 }
 
-/// Connections to peers, one for each address and lane, made when they are needed and let go when
-/// they have not been used for a while; answers that still come keep theirs.
+/// Pool of connections to peers, with one connection for each address and lane. Connections are
+/// opened on demand and dropped when idle. A reply in progress keeps its connection open.
 pub struct Pool {
     clock: Clock,
     connections: RefCell<HashMap<(String, Lane), Connection>>,
     max_frame: usize,
     connect_timeout: Duration,
-    /// Address of this instance that connections come from.
+    /// Local address to connect from.
     source: Option<IpAddr>,
 }
 
 impl Pool {
-    /// A pool whose answers have frames of at most `max_frame` bytes, with connections that come
-    /// from `source` if it is given.
+    /// Creates a pool that accepts frames of at most `max_frame` bytes and connects from the local
+    /// address `source`, if it is given.
     pub fn new(
         clock: Clock,
         max_frame: usize,
@@ -87,30 +87,30 @@
         }
     }
 
-    /// Sends a call and gives its answer, as it comes. Dropping the answer cancels the call.
+    /// Sends a call and returns its reply as a stream. Dropping the stream cancels the call.
     pub async fn open(
         &self,
         address: &str,
         lane: Lane,
         call: &Call,
     ) -> Result<Incoming, CallError> {
-        let (sender, heard) = self.sender(address, lane).await?;
+        let (sender, last_received) = self.connection(address, lane).await?;
         let result = send(sender, call).await;
         if result.is_err() {
-            self.drop_one(address, lane);
+            self.drop_connection(address, lane);
         }
         let (response, sending) = result?;
         Ok(Incoming {
             head: Some(response),
             body: None,
             decoder: Decoder::new(self.max_frame),
-            heard,
+            last_received,
             clock: self.clock,
             _sending: sending,
         })
     }
 
-    /// As [`Pool::open`], for calls that are answered with one frame.
+    /// Sends a call and returns the first frame of its reply.
     pub async fn call(&self, address: &str, lane: Lane, call: &Call) -> Result<Reply, CallError> {
         self.open(address, lane, call)
             .await?
@@ -119,20 +119,20 @@
             .ok_or(CallError::Lost)
     }
 
-    /// As [`Pool::call`], unless for as long as `silence` no byte comes: then it is dropped as by
-    /// [`Pool::drop_silent`]. An answer may take longer as a whole: how long depends on its size and on the
-    /// link, and says nothing of the peer.
+    /// Sends a call as [`Pool::call`] does, and fails if no data arrives for `idle_timeout`; the
+    /// connection is then dropped as by [`Pool::drop_silent`]. The whole reply may take longer,
+    /// since its duration depends on its size and on the link rather than on the peer.
     pub async fn call_within(
         &self,
         address: &str,
         lane: Lane,
         call: &Call,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<Result<Reply, CallError>, Elapsed> {
-        let asked = self.clock.now();
-        let reply = self.reply_within(address, lane, call, silence).await;
+        let sent_at = self.clock.now();
+        let reply = self.reply_within(address, lane, call, idle_timeout).await;
         if reply.is_err() {
-            self.drop_silent(address, lane, asked);
+            self.drop_silent(address, lane, sent_at);
         }
         reply
     }
@@ -142,59 +142,64 @@
         address: &str,
         lane: Lane,
         call: &Call,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<Result<Reply, CallError>, Elapsed> {
-        let mut incoming = match timeout(silence, self.open(address, lane, call)).await? {
+        let mut incoming = match timeout(idle_timeout, self.open(address, lane, call)).await? {
             Ok(incoming) => incoming,
             Err(fault) => return Ok(Err(fault)),
         };
-        let reply = incoming.next_within(silence).await?;
+        let reply = incoming.next_within(idle_timeout).await?;
         Ok(reply.and_then(|it| it.ok_or(CallError::Lost)))
     }
 
-    async fn sender(&self, address: &str, lane: Lane) -> Result<Sender, CallError> {
+    async fn connection(&self, address: &str, lane: Lane) -> Result<Sender, CallError> {
         let key = (address.to_owned(), lane);
-        let kept = self.kept(&key);
-        if let Some((kept, heard)) = kept
-            && let Ok(ready) = kept.ready().await
+        let cached = self.cached(&key);
+        if let Some((cached, last_received)) = cached
+            && let Ok(ready) = cached.ready().await
         {
-            return Ok((ready, heard));
+            return Ok((ready, last_received));
         }
         let connecting = timeout(self.connect_timeout, connect(address, self.source));
         let fresh = connecting
             .await
             .map_err(|_| CallError::Unsent)?
             .map_err(|_| CallError::Unsent)?;
-        let heard = Rc::new(Cell::new(self.clock.now()));
+        let last_received = Rc::new(Cell::new(self.clock.now()));
         let connection = Connection {
             sender: fresh.clone(),
-            used: self.clock.now(),
-            heard: Rc::clone(&heard),
+            last_used: self.clock.now(),
+            last_received: Rc::clone(&last_received),
         };
         self.connections.borrow_mut().insert(key, connection);
         let ready = fresh.ready().await.map_err(|_| CallError::Unsent)?;
-        Ok((ready, heard))
+        Ok((ready, last_received))
     }
 
-    fn kept(&self, key: &(String, Lane)) -> Option<Sender> {
+    fn cached(&self, key: &(String, Lane)) -> Option<Sender> {
         let mut connections = self.connections.borrow_mut();
         let now = self.clock.now();
-        connections.retain(|it, kept| it == key || now < kept.used.after(IDLE));
-        let kept = connections.get_mut(key)?;
-        kept.used = now;
-        Some((kept.sender.clone(), Rc::clone(&kept.heard)))
+        connections
+            .retain(|it, connection| it == key || now < connection.last_used.after(IDLE_TIMEOUT));
+        let connection = connections.get_mut(key)?;
+        connection.last_used = now;
+        Some((
+            connection.sender.clone(),
+            Rc::clone(&connection.last_received),
+        ))
     }
 
-    /// Drops a connection on which a call of the time `asked` got no answer, and those to other peers on
-    /// which nothing has come since then: connections go silent together, and each that is used all the
-    /// same costs a call its whole time. A connection anew costs a round trip.
-    pub fn drop_silent(&self, address: &str, lane: Lane, asked: Time) {
-        self.drop_one(address, lane);
+    /// Drops a connection on which a call sent at `sent_at` got no reply, and all other connections
+    /// on which no data has been received since then. Connections often go silent together, and
+    /// each call on a silent one costs its whole timeout, while a new connection costs one round
+    /// trip.
+    pub fn drop_silent(&self, address: &str, lane: Lane, sent_at: Time) {
+        self.drop_connection(address, lane);
         let mut connections = self.connections.borrow_mut();
-        connections.retain(|_, it| asked <= it.heard.get());
+        connections.retain(|_, it| sent_at <= it.last_received.get());
     }
 
-    fn drop_one(&self, address: &str, lane: Lane) {
+    fn drop_connection(&self, address: &str, lane: Lane) {
         self.connections
             .borrow_mut()
             .remove(&(address.to_owned(), lane));
@@ -213,7 +218,7 @@
     }
     let stream = socket.connect(address).await?;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
     let mut builder = h2::client::Builder::new();
     builder
         .initial_window_size(STREAM_WINDOW)
@@ -221,14 +226,14 @@
         .max_frame_size(MAX_H2_FRAME)
         .enable_push(false);
     let (sender, connection) = builder.handshake(stream).await.map_err(io::Error::other)?;
-    // Ends by itself once the pool and every answer have let go of the connection.
+    // Ends once the pool and all replies have dropped the connection.
     actix_rt::spawn(async move {
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// A connection, and when something came on it last.
+/// Connection, and the time at which data was last received on it.
 type Sender = (SendRequest<Bytes>, Rc<Cell<Time>>);
 
 type Sent = (h2::client::ResponseFuture, SendStream<Bytes>);
@@ -246,40 +251,41 @@
     Ok((response, sending))
 }
 
-/// An answer as it comes.
+/// Reply that is being received.
 pub struct Incoming {
     head: Option<h2::client::ResponseFuture>,
     body: Option<RecvStream>,
     decoder: Decoder,
-    heard: Rc<Cell<Time>>,
+    last_received: Rc<Cell<Time>>,
     clock: Clock,
     _sending: SendStream<Bytes>,
 }
 
 impl Incoming {
-    /// The next frame; `None` at the regular end.
+    /// Returns the next frame, or `None` at the regular end of the reply.
     pub async fn next(&mut self) -> Result<Option<Reply>, CallError> {
         loop {
-            if let Some(reply) = self.decoded()? {
+            if let Some(reply) = self.next_decoded()? {
                 return Ok(Some(reply));
             }
-            if !self.more().await? {
+            if !self.read_more().await? {
                 return Ok(None);
             }
         }
     }
 
-    /// As [`Incoming::next`], unless for as long as `silence` no byte comes.
+    /// Returns the next frame as [`Incoming::next`] does, or fails if no data arrives for
+    /// `idle_timeout`.
     async fn next_within(
         &mut self,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<Result<Option<Reply>, CallError>, Elapsed> {
         loop {
-            match self.decoded() {
+            match self.next_decoded() {
                 Ok(None) => {}
-                known => return Ok(known),
+                decoded => return Ok(decoded),
             }
-            match timeout(silence, self.more()).await? {
+            match timeout(idle_timeout, self.read_more()).await? {
                 Ok(true) => {}
                 Ok(false) => return Ok(Ok(None)),
                 Err(fault) => return Ok(Err(fault)),
@@ -287,15 +293,15 @@
         }
     }
 
-    fn decoded(&mut self) -> Result<Option<Reply>, CallError> {
+    fn next_decoded(&mut self) -> Result<Option<Reply>, CallError> {
         self.decoder.pop().map_err(|_| CallError::Lost)
     }
 
-    /// Waits for further bytes; gives `false` at the end.
-    async fn more(&mut self) -> Result<bool, CallError> {
+    /// Waits for more data. Returns `false` at the end of the reply.
+    async fn read_more(&mut self) -> Result<bool, CallError> {
         if let Some(head) = &mut self.head {
-            let response = head.await.map_err(|it| fault(&it))?;
-            self.heard.set(self.clock.now());
+            let response = head.await.map_err(|it| call_error(&it))?;
+            self.last_received.set(self.clock.now());
             self.head = None;
             self.body = Some(response.into_body());
         }
@@ -304,7 +310,7 @@
         };
         match body.data().await {
             Some(Ok(bytes)) => {
-                self.heard.set(self.clock.now());
+                self.last_received.set(self.clock.now());
                 let _ = body.flow_control().release_capacity(bytes.len());
                 self.decoder.feed(&bytes);
                 Ok(true)
@@ -315,8 +321,8 @@
     }
 }
 
-fn fault(error: &h2::Error) -> CallError {
-    // By the h2 standard a refused stream was not processed at all.
+fn call_error(error: &h2::Error) -> CallError {
+    // By the HTTP/2 standard, a refused stream was not processed at all.
     if error.reason() == Some(Reason::REFUSED_STREAM) {
         CallError::Unsent
     } else {
--- a/crates/gradeloft_daemon/src/transport/server.rs
+++ b/crates/gradeloft_daemon/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The listener for peers, and the answers that go out.
+//! The listener for peers, and replies sent over its connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,35 +20,35 @@
     sync::Notify,
 };
 
-use super::{CONNECTION_WINDOW, MAX_H2_FRAME, SEND_BUFFER, STREAM_WINDOW, UNSENT};
+use super::{CONNECTION_WINDOW, MAX_H2_FRAME, NOT_SENT_LOWAT, SEND_BUFFER, STREAM_WINDOW};
 use crate::scope::Scope;
 
-/// Bounds of the listener.
+/// Limits of the listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest call, in bytes.
+    /// Maximum size of a call, in bytes.
     pub frame_bytes: usize,
-    /// Streams open at once on one connection.
+    /// Maximum number of concurrent streams on one connection.
     pub streams: u32,
-    /// Connections open at once; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: usize,
 }
 
-/// Answers calls.
+/// Handler of received calls.
 pub trait Handler {
-    /// Takes a call over; returns at once.
+    /// Starts to answer a call. Must not block.
     fn call(&self, call: Call, outgoing: Outgoing);
-    /// A peer sent something that is no call; its connection has been dropped.
+    /// Called when a connection was dropped because the peer sent malformed data.
     fn malformed(&self);
 }
 
-/// A listener for peers; it ends with the scope that it runs in.
+/// Listener for peers. It runs until its scope ends.
 pub struct Server {
     address: SocketAddr,
 }
 
 impl Server {
-    /// Listens on `address`, ip:port; port 0 takes a free one.
+    /// Listens on `address`, given as ip:port. Port 0 selects a free port.
     pub async fn start(
         address: &str,
         limits: Limits,
@@ -62,50 +62,50 @@
         Ok(Server { address })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
 async fn accept(listener: TcpListener, limits: Limits, scope: Rc<Scope>, handler: Rc<dyn Handler>) {
-    let open = Rc::new(Cell::new(0));
+    let open_count = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors, most likely: let some go first.
+            // Most likely the process has no file descriptors left: wait until some are closed.
             actix_rt::time::sleep(std::time::Duration::from_millis(10)).await;
             continue;
         };
-        if limits.connections <= open.get() {
+        if limits.connections <= open_count.get() {
             continue;
         }
-        // Without these it works as well, with more delay.
+        // Failures are ignored: without these options, connections only have higher latency.
         let _ = stream.set_nodelay(true);
-        let _ = SockRef::from(&stream).set_tcp_notsent_lowat(UNSENT);
-        let counted = Counted::new(Rc::clone(&open));
+        let _ = SockRef::from(&stream).set_tcp_notsent_lowat(NOT_SENT_LOWAT);
+        let guard = ConnectionGuard::new(Rc::clone(&open_count));
         let connection = Connection {
             limits,
             scope: Rc::clone(&scope),
             handler: Rc::clone(&handler),
-            poisoned: Rc::default(),
+            malformed: Rc::default(),
         };
         scope.spawn(async move {
-            let _counted = counted;
+            let _guard = guard;
             connection.run(stream).await;
         });
     }
 }
 
-struct Counted(Rc<Cell<usize>>);
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
-    fn new(open: Rc<Cell<usize>>) -> Counted {
-        open.set(open.get() + 1);
-        Counted(open)
+impl ConnectionGuard {
+    fn new(open_count: Rc<Cell<usize>>) -> ConnectionGuard {
+        open_count.set(open_count.get() + 1);
+        ConnectionGuard(open_count)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -115,8 +115,8 @@
     limits: Limits,
     scope: Rc<Scope>,
     handler: Rc<dyn Handler>,
-    /// Notified when a stream of the connection carried something that is no call.
-    poisoned: Rc<Notify>,
+    /// Notified when a stream of the connection carried a malformed call.
+    malformed: Rc<Notify>,
 }
 
 impl Connection {
@@ -135,7 +135,7 @@
         loop {
             tokio::select! {
                 accepted = connection.accept() => match accepted {
-                    Some(Ok((request, respond))) => self.take(request.into_body(), respond),
+                    Some(Ok((request, respond))) => self.serve(request.into_body(), respond),
                     Some(Err(error)) => {
                         if !error.is_io() && error.reason() != Some(Reason::NO_ERROR) {
                             self.handler.malformed();
@@ -144,7 +144,7 @@
                     }
                     None => return,
                 },
-                () = self.poisoned.notified() => {
+                () = self.malformed.notified() => {
                     self.handler.malformed();
                     return;
                 }
@@ -152,9 +152,9 @@
         }
     }
 
-    fn take(&self, body: RecvStream, respond: SendResponse<Bytes>) {
+    fn serve(&self, body: RecvStream, respond: SendResponse<Bytes>) {
         let handler = Rc::clone(&self.handler);
-        let poisoned = Rc::clone(&self.poisoned);
+        let malformed = Rc::clone(&self.malformed);
         let frame_bytes = self.limits.frame_bytes;
         self.scope.spawn(async move {
             match read_call(body, frame_bytes).await {
@@ -164,7 +164,7 @@
                     }
                 }
                 Ok(None) => {}
-                Err(_) => poisoned.notify_one(),
+                Err(_) => malformed.notify_one(),
             }
         });
     }
@@ -184,14 +184,14 @@
                 let _ = body.flow_control().release_capacity(bytes.len());
                 decoder.feed(&bytes);
             }
-            // Cut off: nothing was asked.
+            // The stream was cut off before the call was complete.
             Some(Err(_)) | None => return Ok(None),
         }
     }
 }
 
-/// An answer that goes out frame by frame. Dropped before [`Outgoing::finish`], it reaches the
-/// peer as broken off.
+/// Reply that is being sent. If it is dropped before [`Outgoing::finish`] or [`Outgoing::end`], the
+/// peer sees the reply as cut off.
 pub struct Outgoing {
     stream: RefCell<SendStream<Bytes>>,
 }
@@ -204,7 +204,8 @@
         })
     }
 
-    /// Sends a frame once the peer has room for it. Gives `false` when the peer has gone.
+    /// Sends a frame as the peer's flow control allows. Returns `false` if the peer has closed the
+    /// stream.
     pub async fn send(&self, reply: &Reply) -> bool {
         let mut bytes = codec::frame(reply);
         while !bytes.is_empty() {
@@ -223,12 +224,12 @@
         true
     }
 
-    /// Sends the last frame and ends the answer.
+    /// Sends the last frame and ends the reply. Returns `false` if the peer has closed the stream.
     pub async fn finish(self, reply: &Reply) -> bool {
         self.send(reply).await && self.end()
     }
 
-    /// Ends the answer.
+    /// Ends the reply. Returns `false` if the peer has closed the stream.
     pub fn end(self) -> bool {
         self.stream
             .borrow_mut()
@@ -236,7 +237,7 @@
             .is_ok()
     }
 
-    /// Waits until the peer has gone.
+    /// Waits until the peer has closed the stream.
     pub async fn closed(&self) {
         let _ = poll_fn(|cx| self.stream.borrow_mut().poll_reset(cx)).await;
     }
