--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -22,7 +22,7 @@
 };
 use tokio::net::UdpSocket;
 
-use crate::support::{Shape, World, address, ok, run, until};
+use crate::support::{Harness, TestConfig, address, ok, run, wait_until};
 
 /// What another entry says of itself.
 fn datagram(zone: &str, store: Access) -> Datagram {
@@ -43,8 +43,8 @@
 }
 
 /// Another entry, which says again and again whether the store serves it.
-async fn telling_entry(last: u8, to: u8, store: Rc<Cell<Access>>) {
-    let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
+async fn telling_entry(octet: u8, to: u8, store: Rc<Cell<Access>>) {
+    let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         loop {
             let told = codec::body(&datagram("z", store.get()));
@@ -55,8 +55,8 @@
 }
 
 /// Another entry, which counts the datagrams that come to it.
-async fn counting_entry(last: u8, zone: &str) -> Rc<Cell<u32>> {
-    let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
+async fn counting_entry(octet: u8, zone: &str) -> Rc<Cell<u32>> {
+    let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
     let told = codec::body(&datagram(zone, Access::Served));
     let count = Rc::new(Cell::new(0));
     let counted = Rc::clone(&count);
@@ -92,8 +92,8 @@
 }
 
 impl Ear {
-    async fn at(last: u8, zone: &'static str) -> Ear {
-        let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
+    async fn at(octet: u8, zone: &'static str) -> Ear {
+        let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
         Ear { socket, zone }
     }
 
@@ -130,7 +130,7 @@
 #[test]
 fn a_speaker_tells_another_region_of_its_members_and_their_requests() {
     run(async {
-        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let near = Ear::at(3, "z").await;
         near.speak(1).await;
         let far = Ear::at(4, "elsewhere").await;
@@ -161,7 +161,7 @@
 #[test]
 fn only_the_speakers_of_a_large_region_tell_others_of_it() {
     run(async {
-        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         // Two of the region's entries come before the world's own in the draw.
         let ours = roster::hash(&address(1));
         let before: Vec<u8> = (10..90)
@@ -170,10 +170,10 @@
             .collect();
         assert!(before.iter().all(|it| roster::hash(&address(*it)) != ours));
         let mut near = Vec::new();
-        for last in before {
-            near.push(counting_entry(last, "z").await);
+        for octet in before {
+            near.push(counting_entry(octet, "z").await);
         }
-        until(|| async { near.iter().all(|it| 0 < it.get()) }).await;
+        wait_until(|| async { near.iter().all(|it| 0 < it.get()) }).await;
         let far = Ear::at(4, "elsewhere").await;
         let world_knows = |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
         far.hear(1, world_knows).await;
@@ -194,8 +194,8 @@
 #[test]
 fn what_another_region_tells_is_passed_on_to_the_own_region_and_not_further() {
     run(async {
-        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
-        let entry = world.entry.entry();
+        let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let entry = harness.entry.entry();
         let near = Ear::at(3, "z").await;
         near.hear(1, |it| {
             matches!(it.sender, Sender::Entry { .. }).then_some(())
@@ -245,7 +245,7 @@
 #[test]
 fn an_entry_that_asks_is_told_of_its_own_region() {
     run(async {
-        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let first = Ear::at(4, "elsewhere").await;
         first.speak(1).await;
         let second = UdpSocket::bind((address(5), 7700)).await.unwrap();
@@ -259,8 +259,8 @@
             let bytes = codec::body(&asking);
             second.send_to(&bytes, (address(1), 7700)).await.unwrap();
             let (length, _) = second.recv_from(&mut buffer).await.unwrap();
-            let answer: Datagram = codec::parse(&buffer[..length]).unwrap();
-            if let Sender::Entry { entries, .. } = answer.sender
+            let response: Datagram = codec::parse(&buffer[..length]).unwrap();
+            if let Sender::Entry { entries, .. } = response.sender
                 && entries.contains(&address(4))
             {
                 break entries;
@@ -275,10 +275,10 @@
 #[test]
 fn an_entry_that_reads_records_from_the_store_says_so_at_once() {
     run(async {
-        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let ear = Ear::at(3, "z").await;
-        for last in 10..90 {
-            let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
+        for octet in 10..90 {
+            let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
             let known = codec::body(&datagram("z", Access::Served));
             socket.send_to(&known, (address(1), 7700)).await.unwrap();
         }
@@ -288,7 +288,7 @@
             // At any time between two regular datagrams.
             let regular = |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
             ear.hear(1, regular).await;
-            world
+            harness
                 .tables
                 .write(Table::Operator, "config", Some(&version.to_string()));
             let written = clock.now();
@@ -305,13 +305,14 @@
 #[test]
 fn the_entries_of_a_region_are_registered_together() {
     run(async {
-        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let mut others = Vec::new();
-        for last in 2..12 {
-            others.push(world.another(last, &world.tables).await);
+        for octet in 2..12 {
+            others.push(harness.add_entry(octet, &harness.tables).await);
         }
-        until(|| async { world.tables.keys(Table::Entries).len() == 1 + others.len() }).await;
-        let writes = world.tables.writes.get();
+        wait_until(|| async { harness.tables.keys(Table::Entries).len() == 1 + others.len() })
+            .await;
+        let writes = harness.tables.writes.get();
         assert!(writes <= 3, "{writes}");
     });
 }
@@ -319,7 +320,7 @@
 #[test]
 fn the_agent_of_a_replica_that_is_not_listed_gets_an_answer() {
     run(async {
-        let _world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
+        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let agent = UdpSocket::bind((address(9), 7700)).await.unwrap();
         let report = Datagram {
             sender: Sender::Agent {
@@ -332,16 +333,20 @@
         agent.send_to(&sent, (address(1), 7700)).await.unwrap();
         let mut buffer = [0; MAX_BYTES];
         let (length, _) = agent.recv_from(&mut buffer).await.unwrap();
-        let answer: Datagram = codec::parse(&buffer[..length]).unwrap();
-        assert!(matches!(answer.sender, Sender::Entry { .. }));
+        let response: Datagram = codec::parse(&buffer[..length]).unwrap();
+        assert!(matches!(response.sender, Sender::Entry { .. }));
     });
 }
 
 #[test]
 fn an_entry_that_takes_over_reading_trusts_what_it_reads() {
     run(async {
-        let well = || vec![vec![Step::Read, ok("receipt")]];
-        let world = World::start(Shape::of(RouteKind::Once), vec![well(), well()]).await;
+        let ok_script = || vec![vec![Step::Read, ok("receipt")]];
+        let harness = Harness::start(
+            TestConfig::of(RouteKind::Once),
+            vec![ok_script(), ok_script()],
+        )
+        .await;
         // The third in order for the table, and the two before it. Which those are depends on the
         // addresses, and so on this process.
         let table = Table::Replicas;
@@ -349,27 +354,27 @@
             .map(|it| rendezvous::hash(&address(it).octets()))
             .collect();
         let order = rendezvous::order(table as u64, &nodes);
-        let last = |place: usize| 10 + order[place] as u8;
-        let another = world.another(last(2), &world.tables).await;
-        let entry = another.entry();
+        let octet = |place: usize| 10 + order[place] as u8;
+        let added = harness.add_entry(octet(2), &harness.tables).await;
+        let entry = added.entry();
         let store = Rc::new(Cell::new(Access::Served));
         for place in 0..2 {
-            telling_entry(last(place), last(2), Rc::clone(&store)).await;
+            telling_entry(octet(place), octet(2), Rc::clone(&store)).await;
         }
-        until(|| async {
+        wait_until(|| async {
             // Ends the read that waits.
-            world.list_all();
+            harness.list_all();
             entry.node.on_standby(table)
         })
         .await;
         store.set(Access::Unserved);
-        until(|| async { !entry.node.on_standby(table) }).await;
-        world.tables.write(table, "i-0", None);
+        wait_until(|| async { !entry.node.on_standby(table) }).await;
+        harness.tables.write(table, "i-0", None);
         let told = || {
             let records = entry.node.records(table);
             records.iter().all(|it| it.key != "i-0")
         };
-        until(|| async { told() }).await;
+        wait_until(|| async { told() }).await;
         assert_eq!(entry.replicas.borrow().len(), 1);
     });
 }
@@ -377,14 +382,14 @@
 #[test]
 fn a_word_that_lay_in_the_socket_while_the_process_stood_still_confirms_nothing() {
     run(async {
-        let world = World::unready(Shape::of(RouteKind::Once), Vec::new()).await;
+        let harness = Harness::start_unready(TestConfig::of(RouteKind::Once), Vec::new()).await;
         // Nobody else has a copy that is whole now.
-        world.tables.mood.set(Mood::Refusing);
-        world.tables.cut();
-        let another = world.another(2, &world.tables).await;
-        let node = &another.entry().node;
+        harness.tables.mood.set(Mood::Refusing);
+        harness.tables.cut();
+        let added = harness.add_entry(2, &harness.tables).await;
+        let node = &added.entry().node;
         // Looks whether it stands still, from here on.
-        until(|| async { node.access() == Access::Unserved }).await;
+        wait_until(|| async { node.access() == Access::Unserved }).await;
         let mut told = datagram("z", Access::Served);
         // Its copy of the operator's table is whole; of another it has more.
         told.unconfirmed_ms = [0; 3];
@@ -395,9 +400,9 @@
         tell().await.unwrap();
         let still = Some(node.clock.now());
         std::thread::sleep(Duration::from_millis(1_500));
-        until(|| async { node.behind(Table::Replicas).is_some() }).await;
+        wait_until(|| async { node.behind(Table::Replicas).is_some() }).await;
         assert!(node.confirmed_until(Table::Operator) < still);
-        until(|| async {
+        wait_until(|| async {
             tell().await.unwrap();
             still < node.confirmed_until(Table::Operator)
         })
@@ -411,8 +416,8 @@
 fn nothing_that_a_large_fleet_has_to_say_is_left_out() {
     const BUSY: u32 = 400;
     run(async {
-        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
-        let entry = world.entry.entry();
+        let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let entry = harness.entry.entry();
         let busy = |idx: u32| Listing {
             id: format!("busy-{idx}").into(),
             born: Some(1_700_000_000_000 + u64::from(idx)),
@@ -481,8 +486,8 @@
 #[test]
 fn models_of_a_region_that_is_silent_count_as_full_until_it_tells() {
     run(async {
-        let world = World::start(Shape::of(RouteKind::Once), one_replica()).await;
-        let entry = world.entry.entry();
+        let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let entry = harness.entry.entry();
         let far = |born: u64| Listing {
             id: "far".into(),
             born: Some(born),
@@ -497,7 +502,7 @@
         };
         let key = entry.replicas.borrow_mut().apply_listing(far(5));
         let others = || entry.replicas.borrow().get(key).unwrap().other_requests;
-        until(|| async { others() == 8 }).await;
+        wait_until(|| async { others() == 8 }).await;
         let hash = entry.replicas.borrow().get(key).unwrap().hash();
         let told = Datagram {
             sender: Sender::Region {
@@ -516,6 +521,6 @@
         let speaker = UdpSocket::bind((address(5), 7700)).await.unwrap();
         let bytes = codec::body(&told);
         speaker.send_to(&bytes, (address(1), 7700)).await.unwrap();
-        until(|| async { others() == 3 }).await;
+        wait_until(|| async { others() == 3 }).await;
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/main.rs
+++ b/crates/gradeloft_gateway/tests/entry/main.rs
@@ -1,16 +1,16 @@
-//! An entry before scripted replicas.
+//! Tests of an entry with scripted replicas, peers and stores.
 
-mod behind;
-mod callers_gone;
-mod crashing;
-mod cut_off;
+mod caller_disconnects;
+mod draining;
 mod forward;
 mod gossip;
-mod large;
-mod leaving;
-mod pauses;
-mod places;
-mod restarts;
+mod lagging_entry;
+mod large_records;
+mod placement;
+mod quarantine;
+mod queueing;
+mod replica_restarts;
+mod stalled_replicas;
+mod store_outage;
 mod support;
 mod suspended;
-mod waiting;
--- a/crates/gradeloft_gateway/tests/entry/crashing.rs
+++ b/crates/gradeloft_gateway/tests/entry/quarantine.rs
@@ -20,7 +20,7 @@
 };
 use gradeloft_wire::{frame::Table, id::Fingerprint};
 
-use crate::support::{self, HEADERS, Shape, World, address, id, run, until};
+use crate::support::{self, HEADERS, Harness, TestConfig, address, replica_id, run, wait_until};
 
 /// Replicas end when they begin a request with this in its body.
 const MARKED: &str = "ends replicas";
@@ -30,7 +30,7 @@
 
 /// Entries in two regions before replicas that some requests end.
 struct Fleet {
-    world: World,
+    harness: Harness,
     others: Vec<Handle>,
     replicas: Vec<Rc<Fragile>>,
 }
@@ -43,12 +43,17 @@
 
     /// Entry 1 in the region `z`, and others in their zones, each of which is a region.
     async fn start(replicas: u8, others: &[(u8, &str)]) -> Fleet {
-        let world = World::unready(Shape::of(RouteKind::Idempotent), Vec::new()).await;
+        let harness =
+            Harness::start_unready(TestConfig::of(RouteKind::Idempotent), Vec::new()).await;
         let mut started = Vec::new();
-        for (last, zone) in others {
-            started.push(world.in_zone(*last, zone, &world.tables).await);
+        for (octet, zone) in others {
+            started.push(
+                harness
+                    .add_entry_in_zone(*octet, zone, &harness.tables)
+                    .await,
+            );
         }
-        world.tables.write(Table::Operator, "config", Some("1"));
+        harness.tables.write(Table::Operator, "config", Some("1"));
         let mut fragile = Vec::new();
         for idx in 0..replicas {
             let nature = Nature {
@@ -61,7 +66,7 @@
             fragile.push(Rc::new(Fragile::start(at, nature).await.unwrap()));
         }
         let fleet = Fleet {
-            world,
+            harness,
             others: started,
             replicas: fragile,
         };
@@ -69,37 +74,37 @@
             fleet.list(idx);
             fleet.relist(idx);
         }
-        for last in [1].into_iter().chain(others.iter().map(|it| it.0)) {
+        for octet in [1].into_iter().chain(others.iter().map(|it| it.0)) {
             let ready = || async {
-                let answer = support::get(last, 8002, "/ready").await;
-                answer.starts_with("HTTP/1.1 200")
+                let response = support::get(octet, 8002, "/ready").await;
+                response.starts_with("HTTP/1.1 200")
             };
-            until(ready).await;
+            wait_until(ready).await;
         }
         fleet.whole().await;
         // Entries that have not met yet can't tell each other anything.
         let met = |handle: &Handle| {
             handle.entry().addresses(&Lookup::default()).len() == 1 + others.len()
         };
-        until(|| async { fleet.entries().all(met) }).await;
+        wait_until(|| async { fleet.entries().all(met) }).await;
         fleet
     }
 
     /// All entries.
     fn entries(&self) -> impl Iterator<Item = &Handle> {
-        [&self.world.entry].into_iter().chain(&self.others)
+        [&self.harness.entry].into_iter().chain(&self.others)
     }
 
     /// Lists a replica as it is now.
     fn list(&self, idx: usize) {
         let replica = &self.replicas[idx];
-        self.world.list(listing(idx, replica));
+        self.harness.list_replica(listing(idx, replica));
     }
 
     /// Lists a replica anew each time it has started again.
     fn relist(&self, idx: usize) {
         let replica = Rc::clone(&self.replicas[idx]);
-        let lists = self.world.lister();
+        let lists = self.harness.replica_lister();
         actix_rt::spawn(async move {
             let mut ends = 0;
             loop {
@@ -110,9 +115,9 @@
     }
 
     /// Asks an entry, and gives the status of its answer.
-    async fn ask(&self, last: u8, body: &str) -> String {
-        let answer = support::ask(last, &support::request("POST", body)).await;
-        let status = answer.split(' ').nth(1).unwrap_or("none");
+    async fn send(&self, octet: u8, body: &str) -> String {
+        let response = support::send(octet, &support::request("POST", body)).await;
+        let status = response.split(' ').nth(1).unwrap_or("none");
         status.to_owned()
     }
 
@@ -141,14 +146,14 @@
     async fn whole(&self) {
         let born = |handle: &Handle, idx: usize| {
             let replicas = handle.entry().replicas.borrow();
-            let key = replicas.key(&id(idx))?;
+            let key = replicas.key(&replica_id(idx))?;
             replicas.get(key)?.listing.born
         };
         let knows = |handle: &Handle| {
             let mut all = self.replicas.iter().enumerate();
             all.all(|(idx, replica)| born(handle, idx) == Some(replica.seen().born))
         };
-        until(|| async { self.entries().all(knows) }).await;
+        wait_until(|| async { self.entries().all(knows) }).await;
     }
 
     /// Sends the marked request to entries by turns; gives how many reached replicas. Each replica that ends stays
@@ -162,13 +167,13 @@
     }
 
     /// Sends the marked request to an entry, and waits until it has found out what ended, and all runs again.
-    async fn ask_once(&self, last: u8) {
+    async fn ask_once(&self, octet: u8) {
         self.replicas.iter().for_each(|it| it.stays_away(true));
-        self.ask(last, MARKED).await;
-        let asked = self.entry(last);
-        until(|| async { asked.entry().unsettled() == 0 }).await;
+        self.send(octet, MARKED).await;
+        let asked = self.entry(octet);
+        wait_until(|| async { asked.entry().unsettled() == 0 }).await;
         self.replicas.iter().for_each(|it| it.stays_away(false));
-        until(|| async { self.replicas.iter().all(|it| it.runs()) }).await;
+        wait_until(|| async { self.replicas.iter().all(|it| it.runs()) }).await;
     }
 
     /// Waits until nothing is to be found out any more, and all entries know the same.
@@ -178,21 +183,21 @@
             suspects.sort_unstable();
             suspects
         };
-        let first = &self.world.entry;
+        let first = &self.harness.entry;
         let settled = |it: &Handle| it.entry().unsettled() == 0 && known(it) == known(first);
-        until(|| async { self.entries().all(settled) }).await;
+        wait_until(|| async { self.entries().all(settled) }).await;
     }
 
     /// The entry of an instance.
-    fn entry(&self, last: u8) -> &Handle {
-        let own = |it: &&Handle| it.entry().node.settings().address == address(last);
+    fn entry(&self, octet: u8) -> &Handle {
+        let own = |it: &&Handle| it.entry().node.settings().address == address(octet);
         self.entries().find(own).unwrap()
     }
 }
 
 fn listing(idx: usize, replica: &Fragile) -> Listing {
     Listing {
-        id: id(idx).into(),
+        id: replica_id(idx).into(),
         born: Some(replica.seen().born),
         service: "s".into(),
         address: replica.address,
@@ -212,7 +217,7 @@
         for turn in 0..12 {
             fleet.ask_once(1).await;
             fleet.whole().await;
-            let innocent = fleet.ask(1, &format!("innocent {turn}")).await;
+            let innocent = fleet.send(1, &format!("innocent {turn}")).await;
             assert_eq!(innocent, "200");
         }
         assert!(fleet.marked() <= MOST, "{}", fleet.marked());
@@ -225,8 +230,8 @@
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far"), (4, "far")]).await;
         let marked = fleet.ask_marked(&[1, 3, 2, 4], 24).await;
         assert!(marked <= MOST, "{marked}");
-        for last in 1..=4 {
-            assert_eq!(fleet.ask(last, "innocent").await, "200");
+        for octet in 1..=4 {
+            assert_eq!(fleet.send(octet, "innocent").await, "200");
         }
     });
 }
@@ -236,27 +241,27 @@
     run(async {
         let fleet = Fleet::start(6, &[(2, "far")]).await;
         fleet.ask_marked(&[1, 2], 4).await;
-        until(|| async { fleet.world.has_request_record() }).await;
+        wait_until(|| async { fleet.harness.has_request_record() }).await;
         let Fleet {
-            world, replicas, ..
+            harness, replicas, ..
         } = fleet;
-        let world = world.restarted().await;
+        let harness = harness.restart_entry().await;
         let fleet = Fleet {
-            world,
+            harness,
             others: Vec::new(),
             replicas,
         };
         let marked = fleet.ask_marked(&[1], 8).await;
         assert!(marked <= MOST, "{marked}");
-        assert_eq!(fleet.ask(1, "innocent").await, "200");
+        assert_eq!(fleet.send(1, "innocent").await, "200");
     });
 }
 #[test]
 fn what_is_known_of_a_request_is_told_and_kept_though_the_store_was_away() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far")]).await;
-        fleet.world.tables.mood.set(Mood::Refusing);
-        fleet.world.tables.cut();
+        fleet.harness.tables.mood.set(Mood::Refusing);
+        fleet.harness.tables.cut();
         // The tables stand still: what ended is found out from its connections, and a replica that is back counts
         // as the start that is listed, so that its second end is no news.
         let counts = |handle: &Handle| {
@@ -264,24 +269,24 @@
             suspects.map(|it| it.1).max().unwrap_or(0)
         };
         for turn in 0.. {
-            let last = [1, 3, 2][turn % 3];
-            fleet.ask_once(last).await;
-            if 3 <= counts(fleet.entry(last)) {
+            let octet = [1, 3, 2][turn % 3];
+            fleet.ask_once(octet).await;
+            if 3 <= counts(fleet.entry(octet)) {
                 break;
             }
         }
-        until(|| async { fleet.entries().all(|it| 3 <= counts(it)) }).await;
+        wait_until(|| async { fleet.entries().all(|it| 3 <= counts(it)) }).await;
         let ended = fleet.replicas.iter().filter(|it| 0 < it.seen().ends);
         assert!(ended.count() <= MOST, "two at most for each entry");
         let marked = fleet.marked();
-        for last in [1, 2, 3] {
-            assert_eq!(fleet.ask(last, MARKED).await, "503");
+        for octet in [1, 2, 3] {
+            assert_eq!(fleet.send(octet, MARKED).await, "503");
         }
         assert_eq!(fleet.marked(), marked);
-        fleet.world.tables.mood.set(Mood::Well);
-        until(|| async { fleet.world.has_request_record() }).await;
+        fleet.harness.tables.mood.set(Mood::Well);
+        wait_until(|| async { fleet.harness.has_request_record() }).await;
         fleet.whole().await;
-        assert_eq!(fleet.ask(2, "innocent").await, "200");
+        assert_eq!(fleet.send(2, "innocent").await, "200");
     });
 }
 
@@ -293,26 +298,26 @@
         let bodies: Vec<String> = (0..16).map(|it| format!("innocent {it}")).collect();
         for failure in 0..2 {
             let asks = bodies.iter().zip([1, 2].into_iter().cycle());
-            let asks = asks.map(|(body, last)| fleet.ask(last, body));
+            let asks = asks.map(|(body, octet)| fleet.send(octet, body));
             let before = fleet.arrived();
             let ends = async {
-                until(|| async { before + 8 <= fleet.arrived() }).await;
+                wait_until(|| async { before + 8 <= fleet.arrived() }).await;
                 fleet.end_all().await;
             };
             join(join_all(asks), ends).await;
             fleet.agreed().await;
             assert!(
-                !fleet.world.entry.entry().suspects().is_empty(),
+                !fleet.harness.entry.entry().suspects().is_empty(),
                 "{failure}"
             );
         }
-        for (body, last) in bodies.iter().zip([2, 1].into_iter().cycle()) {
-            assert_eq!(fleet.ask(last, body).await, "200", "{body}");
+        for (body, octet) in bodies.iter().zip([2, 1].into_iter().cycle()) {
+            assert_eq!(fleet.send(octet, body).await, "200", "{body}");
         }
         // What they were suspected of, their answers have cleared.
-        let entry = fleet.world.entry.entry();
+        let entry = fleet.harness.entry.entry();
         let cleared = || entry.suspects().iter().all(|it| it.1 == 0);
-        until(|| async { cleared() }).await;
+        wait_until(|| async { cleared() }).await;
     });
 }
 
@@ -324,14 +329,14 @@
         let closes = || vec![Step::Read, Step::Close];
         let replica = || vec![breaks(), closes(), breaks(), closes(), breaks(), closes()];
         let scripts = vec![replica(), replica(), replica()];
-        let world = World::start(Shape::of(RouteKind::Idempotent), scripts).await;
-        let entry = world.entry.entry();
-        until(|| async { entry.replicas.borrow().len() == 3 }).await;
+        let harness = Harness::start(TestConfig::of(RouteKind::Idempotent), scripts).await;
+        let entry = harness.entry.entry();
+        wait_until(|| async { entry.replicas.borrow().len() == 3 }).await;
         for _ in 0..6 {
-            let answer = world.ask(&support::request("POST", "innocent")).await;
-            assert!(!answer.contains("quarantined"), "{answer}");
+            let response = harness.send(&support::request("POST", "innocent")).await;
+            assert!(!response.contains("quarantined"), "{response}");
         }
-        assert!(3 < world.arrivals(), "{}", world.arrivals());
+        assert!(3 < harness.request_count(), "{}", harness.request_count());
         assert_eq!(entry.suspects(), Vec::new());
     });
 }
@@ -344,10 +349,10 @@
         for _ in 0..2 {
             let before = fleet.arrived();
             let ends = async {
-                until(|| async { before < fleet.arrived() }).await;
+                wait_until(|| async { before < fleet.arrived() }).await;
                 fleet.end_all().await;
             };
-            join(fleet.ask(1, "innocent"), ends).await;
+            join(fleet.send(1, "innocent"), ends).await;
         }
         let counts = |handle: &Handle| -> Vec<usize> {
             handle
@@ -357,9 +362,9 @@
                 .map(|it| it.1)
                 .collect()
         };
-        until(|| async { fleet.entries().all(|it| counts(it) == [2]) }).await;
-        assert_eq!(fleet.ask(3, "innocent").await, "200");
-        until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
+        wait_until(|| async { fleet.entries().all(|it| counts(it) == [2]) }).await;
+        assert_eq!(fleet.send(3, "innocent").await, "200");
+        wait_until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
     });
 }
 
@@ -368,21 +373,24 @@
 fn an_entry_that_starts_while_the_store_is_away_is_told_of_what_ends_replicas() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z")]).await;
-        fleet.world.tables.mood.set(Mood::Refusing);
-        fleet.world.tables.cut();
+        fleet.harness.tables.mood.set(Mood::Refusing);
+        fleet.harness.tables.cut();
         for turn in 0..6 {
             fleet.ask_once([1, 2][turn % 2]).await;
         }
         let before = fleet.marked();
-        let newcomer = fleet.world.in_zone(3, "far", &fleet.world.tables).await;
-        until(|| async { !newcomer.entry().suspects().is_empty() }).await;
+        let newcomer = fleet
+            .harness
+            .add_entry_in_zone(3, "far", &fleet.harness.tables)
+            .await;
+        wait_until(|| async { !newcomer.entry().suspects().is_empty() }).await;
         let ready = || async {
             support::get(3, 8002, "/ready")
                 .await
                 .starts_with("HTTP/1.1 200")
         };
-        until(ready).await;
-        assert_eq!(fleet.ask(3, MARKED).await, "503");
+        wait_until(ready).await;
+        assert_eq!(fleet.send(3, MARKED).await, "503");
         assert_eq!(fleet.marked(), before);
     });
 }
@@ -393,16 +401,16 @@
     run(async {
         let fleet = Fleet::start(6, &[(2, "far")]).await;
         fleet.ask_marked(&[1, 2], 6).await;
-        let store = &*fleet.world.tables;
-        let known = fleet.world.entry.entry().suspects()[0];
+        let store = &*fleet.harness.tables;
+        let known = fleet.harness.entry.entry().suspects()[0];
         assert!(3 <= known.1, "{known:?}");
         let kept = || async {
             let rows = suspects::list(store).await.unwrap();
             rows.iter().any(|it| (it.request, it.crashes()) == known)
         };
-        until(kept).await;
+        wait_until(kept).await;
         let row = suspects::list(store).await.unwrap().remove(0);
-        assert_eq!(fleet.ask(2, MARKED).await, "503");
+        assert_eq!(fleet.send(2, MARKED).await, "503");
         assert_eq!(suspects::lift(store, row.request).await, Ok(true));
         let counts = |handle: &Handle| -> Vec<usize> {
             let suspects = handle.entry().suspects().into_iter();
@@ -411,9 +419,9 @@
                 .map(|it| it.1)
                 .collect()
         };
-        until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
+        wait_until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
         let before = fleet.marked();
-        fleet.ask(2, MARKED).await;
+        fleet.send(2, MARKED).await;
         assert!(before < fleet.marked(), "it is sent on again");
         let unknown = Fingerprint::of(None, ["h", "GET", "/"], b"");
         assert_eq!(suspects::lift(store, unknown).await, Ok(false));
--- a/crates/gradeloft_gateway/tests/entry/support/machine.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/machine.rs
@@ -1,10 +1,10 @@
-//! A machine that a test suspends.
+//! Simulated suspension of a machine.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use gradeloft_daemon::clock::Clock;
 
-/// A machine that a test suspends: its clock goes on meanwhile, its timers do not.
+/// A machine that a test suspends: its clock advances meanwhile, its timers don't.
 pub(crate) struct Machine {
     suspended_ms: &'static AtomicU64,
     started: Clock,
@@ -18,18 +18,18 @@
         }
     }
 
-    /// The clock of a process that starts on it now.
+    /// Returns the clock of a process that starts on the machine now.
     pub(crate) fn clock(&self) -> Clock {
         Clock::with_simulated_suspension(self.suspended_ms)
     }
 
-    /// Suspends it, and wakes it again.
+    /// Suspends the machine for `ms` milliseconds and wakes it.
     pub(crate) fn suspend_ms(&self, ms: u64) {
         self.suspended_ms.fetch_add(ms, Ordering::Relaxed);
     }
 
-    /// Milliseconds for which the test itself has run.
-    pub(crate) fn running_ms(&self) -> u64 {
+    /// Returns the milliseconds since the test started, without simulated suspension.
+    pub(crate) fn elapsed_ms(&self) -> u64 {
         self.started.now().0 / 1_000
     }
 }
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -1,7 +1,7 @@
-//! An entry before scripted replicas, on addresses of this test's own.
+//! Test harness: an entry with scripted replicas, on addresses private to the test process.
 
-mod answers;
 mod machine;
+mod responses;
 
 use std::{
     cell::RefCell,
@@ -41,11 +41,11 @@
 };
 
 pub(crate) use self::{
-    answers::{answer, last_chunk, ok, stream},
     machine::Machine,
+    responses::{last_chunk, ok, response, stream},
 };
 
-/// Names of headers in these tests.
+/// Header names of these tests.
 pub(crate) const HEADERS: Headers = Headers {
     request: "t-request",
     deadline: "t-deadline",
@@ -60,20 +60,22 @@
     not_run: "t-not-run",
 };
 
-/// A bound on every wait of a test; none comes near it unless something is wrong.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest duration of a test. A passing test stays well below it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Addresses of this test's process: the whole of 127.0.0.0/8 is this machine's, so two tests that
-/// run at once use the same ports on addresses of their own.
-pub(crate) fn address(last: u8) -> Ipv4Addr {
+/// Returns the loopback address of this test process with the given last octet. All of 127.0.0.0/8
+/// is local, so concurrent tests use the same ports on different addresses.
+pub(crate) fn address(octet: u8) -> Ipv4Addr {
     let pid = std::process::id();
-    Ipv4Addr::new(127, 1 + (pid >> 8) as u8 % 250, pid as u8, last)
+    Ipv4Addr::new(127, 1 + (pid >> 8) as u8 % 250, pid as u8, octet)
 }
 
-/// Runs a test on a runtime of its own, within the bound.
+/// Runs a test on its own runtime, for at most [`TEST_TIMEOUT`].
 pub(crate) fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(PATIENCE, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time");
     });
 }
 
@@ -122,7 +124,7 @@
         "/where"
     }
 
-    /// The query is a host and a region, with a comma between.
+    /// Parses a query of the form `host,region`.
     fn lookup(&self, query: &str) -> Lookup {
         let Some((host, region)) = query.split_once(',') else {
             return Lookup::default();
@@ -158,44 +160,45 @@
     }
 }
 
-/// What the service of a test is like.
+/// Configuration of a test's route, service and replicas.
 #[derive(Clone, Copy)]
-pub(crate) struct Shape {
-    /// What may be repeated.
+pub(crate) struct TestConfig {
+    /// Route kind, which determines whether requests may be repeated.
     pub(crate) kind: RouteKind,
-    /// Most replicas for one request.
+    /// Highest number of attempts of a request.
     pub(crate) max_attempts: u32,
-    /// Longest time for a request, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub(crate) timeout_ms: u64,
-    /// Largest body that callers may send, in bytes.
+    /// Largest request body, in bytes.
     pub(crate) body_bytes: usize,
-    /// Time within which an answer is in time, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub(crate) goal_ms: u64,
-    /// Slots of each replica, if they run a model; else they run none, and eight requests at once.
+    /// Slots of each replica if the replicas run a model. Otherwise each runs up to eight requests
+    /// at once.
     pub(crate) model_slots: Option<u32>,
-    /// The only region in which requests may be served, if there is such a one.
-    pub(crate) homes: Option<&'static str>,
-    /// What cold replicas bear.
+    /// The only region in which requests may run; without one, any region.
+    pub(crate) allowed_region: Option<&'static str>,
+    /// Request rate limit of cold replicas.
     pub(crate) warmup: Option<Warmup>,
 }
 
-impl Shape {
-    /// Two attempts within a long time.
-    pub(crate) fn of(kind: RouteKind) -> Shape {
-        Shape {
+impl TestConfig {
+    /// Returns the defaults for a route kind: two attempts and a timeout of 8 s.
+    pub(crate) fn of(kind: RouteKind) -> TestConfig {
+        TestConfig {
             kind,
             max_attempts: 2,
             timeout_ms: 8_000,
             body_bytes: 1 << 20,
             goal_ms: 100,
             model_slots: None,
-            homes: None,
+            allowed_region: None,
             warmup: None,
         }
     }
 }
 
-/// Engines that begin an answer a few milliseconds after its request.
+/// Speed of an engine that starts its response a few milliseconds after the request.
 const SPEED: Speed = Speed {
     step_ms: 1.0,
     step_ms_per_request: 0.0,
@@ -205,35 +208,37 @@
     usual_answer: 1.0,
 };
 
-/// An entry before replicas.
-pub(crate) struct World {
-    /// The platform's tables.
+/// An entry with its scripted replicas and the tables of its store.
+pub(crate) struct Harness {
+    /// Tables of the store.
     pub(crate) tables: Rc<Tables>,
-    /// The entry.
+    /// The entry under test.
     pub(crate) entry: Handle,
-    /// Replicas, in the order of their scripts.
+    /// Scripted replicas, in the order of their scripts.
     pub(crate) replicas: Vec<Scripted>,
     decoder: Rc<TestDecoder>,
 }
 
-fn document(shape: Shape) -> Document {
+fn document(config: TestConfig) -> Document {
     let route = Route {
         name: "r".into(),
         host: "h".to_owned(),
         prefix: "/r/".to_owned(),
-        kind: shape.kind,
+        kind: config.kind,
         targets: vec![Target {
             service: "s".into(),
             weight: 1.0,
         }],
-        timeout_ms: shape.timeout_ms,
-        goal_ms: shape.goal_ms,
-        max_attempts: shape.max_attempts,
+        timeout_ms: config.timeout_ms,
+        goal_ms: config.goal_ms,
+        max_attempts: config.max_attempts,
         priority: 1,
         public: false,
-        allowed_regions: shape.homes.map_or_else(AllowedRegions::default, |it| {
-            AllowedRegions::of([it.to_owned()])
-        }),
+        allowed_regions: config
+            .allowed_region
+            .map_or_else(AllowedRegions::default, |it| {
+                AllowedRegions::of([it.to_owned()])
+            }),
     };
     Document {
         version: 1,
@@ -242,27 +247,27 @@
             name: "s".into(),
             max_connections: 100,
             layout: None,
-            speed: shape.model_slots.map(|_| SPEED),
+            speed: config.model_slots.map(|_| SPEED),
             models: vec!["m".to_owned()],
-            warmup: shape.warmup,
+            warmup: config.warmup,
             origin: None,
         }],
         keys: HashMap::from([("secret".to_owned(), Rc::from("rangers"))]),
         allowed_regions: HashMap::new(),
         limits: CallerLimits {
             head_bytes: 4 << 10,
-            body_bytes: shape.body_bytes,
+            body_bytes: config.body_bytes,
             head_ms: 2_000,
             idle_ms: 5_000,
         },
     }
 }
 
-fn settings(last: u8) -> Settings {
-    let own = address(last);
+fn settings(octet: u8) -> Settings {
+    let own = address(octet);
     let at = |port| SocketAddr::from((own, port));
     Settings {
-        instance: format!("entry-{last}"),
+        instance: format!("entry-{octet}"),
         address: own,
         zone: "z".to_owned(),
         regions: BTreeMap::new(),
@@ -287,51 +292,58 @@
     }
 }
 
-impl World {
-    /// Starts an entry before one replica for each element of `scripts`, and waits until it is
+impl Harness {
+    /// Starts an entry and a replica for each element of `scripts`, and waits until the entry is
     /// ready.
-    pub(crate) async fn start(shape: Shape, scripts: Vec<Vec<Vec<Step>>>) -> World {
-        World::unready(shape, scripts).await.readied().await
+    pub(crate) async fn start(config: TestConfig, scripts: Vec<Vec<Vec<Step>>>) -> Harness {
+        Harness::start_unready(config, scripts)
+            .await
+            .make_ready()
+            .await
     }
 
-    /// Fills the tables, and waits until the entry is ready.
-    async fn readied(self) -> World {
+    /// Writes the configuration and all replicas to the tables, and waits until the entry is ready.
+    async fn make_ready(self) -> Harness {
         self.tables.write(Table::Operator, "config", Some("1"));
         self.list_all();
-        until(|| async { self.get(8002, "/ready").await.starts_with("HTTP/1.1 200") }).await;
+        wait_until(|| async { self.get(8002, "/ready").await.starts_with("HTTP/1.1 200") }).await;
         self
     }
 
-    /// As [`World::start`], with empty tables.
-    pub(crate) async fn unready(shape: Shape, scripts: Vec<Vec<Vec<Step>>>) -> World {
-        World::with_clock(Clock::start(), shape, scripts).await
+    /// Starts an entry and its replicas with empty tables, without waiting until the entry is ready.
+    pub(crate) async fn start_unready(config: TestConfig, scripts: Vec<Vec<Vec<Step>>>) -> Harness {
+        Harness::with_clock(Clock::start(), config, scripts).await
     }
 
-    /// As [`World::start`]; a machine that the test suspends carries the entry.
-    pub(crate) async fn on(machine: &Machine, shape: Shape, scripts: Vec<Vec<Vec<Step>>>) -> World {
-        World::on_unready(machine, shape, scripts)
+    /// Like [`Harness::start`], with the entry on a machine that the test suspends.
+    pub(crate) async fn start_on(
+        machine: &Machine,
+        config: TestConfig,
+        scripts: Vec<Vec<Vec<Step>>>,
+    ) -> Harness {
+        Harness::start_unready_on(machine, config, scripts)
             .await
-            .readied()
+            .make_ready()
             .await
     }
 
-    /// As [`World::unready`]; a machine that the test suspends carries the entry.
-    pub(crate) async fn on_unready(
+    /// Like [`Harness::start_unready`], with the entry on a machine that the test suspends.
+    pub(crate) async fn start_unready_on(
         machine: &Machine,
-        shape: Shape,
+        config: TestConfig,
         scripts: Vec<Vec<Vec<Step>>>,
-    ) -> World {
-        World::with_clock(machine.clock(), shape, scripts).await
+    ) -> Harness {
+        Harness::with_clock(machine.clock(), config, scripts).await
     }
 
-    async fn with_clock(clock: Clock, shape: Shape, scripts: Vec<Vec<Vec<Step>>>) -> World {
+    async fn with_clock(clock: Clock, config: TestConfig, scripts: Vec<Vec<Vec<Step>>>) -> Harness {
         let mut replicas = Vec::new();
         let mut listings = HashMap::new();
         for (idx, script) in scripts.into_iter().enumerate() {
             let bind = format!("{}:8540", address(100 + idx as u8));
             let replica = Scripted::start(&bind, script).await.unwrap();
             let mut listing = listing(idx, replica.address);
-            if let Some(slots) = shape.model_slots {
+            if let Some(slots) = config.model_slots {
                 listing.slots = slots;
                 listing.has_model = true;
                 listing.version = Some(1);
@@ -340,12 +352,12 @@
             replicas.push(replica);
         }
         let decoder = Rc::new(TestDecoder {
-            document: document(shape),
+            document: document(config),
             listings: RefCell::new(listings),
         });
         let tables = Rc::new(Tables::default());
         let entry = start_entry(clock, settings(1), &tables, &decoder).await;
-        World {
+        Harness {
             tables,
             entry,
             replicas,
@@ -353,40 +365,51 @@
         }
     }
 
-    /// Another entry on the same tables.
-    pub(crate) async fn another(&self, last: u8, tables: &Rc<Tables>) -> Handle {
-        start_entry(Clock::start(), settings(last), tables, &self.decoder).await
+    /// Starts another entry on `tables`.
+    pub(crate) async fn add_entry(&self, octet: u8, tables: &Rc<Tables>) -> Handle {
+        start_entry(Clock::start(), settings(octet), tables, &self.decoder).await
     }
 
-    /// As [`World::another`]; it knows only of the instance `seed`.
-    pub(crate) async fn follower(&self, last: u8, seed: u8, tables: &Rc<Tables>) -> Handle {
+    /// Starts another entry whose only seed is the instance with the last octet `seed`.
+    pub(crate) async fn add_entry_with_seed(
+        &self,
+        octet: u8,
+        seed: u8,
+        tables: &Rc<Tables>,
+    ) -> Handle {
         let settings = Settings {
             seeds: vec![address(seed)],
-            ..settings(last)
+            ..settings(octet)
         };
         start_entry(Clock::start(), settings, tables, &self.decoder).await
     }
 
-    /// Lists every replica as ready. The one of the first script is in the entry's own zone, and so
-    /// gets the first request.
+    /// Lists every replica as ready. The replica of the first script is in the entry's own
+    /// availability zone, so it gets the first request.
     pub(crate) fn list_all(&self) {
         for idx in 0..self.replicas.len() {
-            self.tables.write(Table::Replicas, &id(idx), Some("ready"));
+            self.tables
+                .write(Table::Replicas, &replica_id(idx), Some("ready"));
         }
     }
 
-    /// Another entry, in an availability zone.
-    pub(crate) async fn in_zone(&self, last: u8, zone: &str, tables: &Rc<Tables>) -> Handle {
+    /// Starts another entry in the given availability zone.
+    pub(crate) async fn add_entry_in_zone(
+        &self,
+        octet: u8,
+        zone: &str,
+        tables: &Rc<Tables>,
+    ) -> Handle {
         let settings = Settings {
             zone: zone.to_owned(),
-            ..settings(last)
+            ..settings(octet)
         };
         start_entry(Clock::start(), settings, tables, &self.decoder).await
     }
 
-    /// Kills the entry, and starts another on its instance, with the same tables.
-    pub(crate) async fn restarted(self) -> World {
-        let World {
+    /// Kills the entry and starts a new one on the same instance and tables.
+    pub(crate) async fn restart_entry(self) -> Harness {
+        let Harness {
             tables,
             entry,
             replicas,
@@ -395,9 +418,9 @@
         let node = Rc::downgrade(&entry.entry().node);
         entry.entry().node.scope.end();
         drop(entry);
-        until(|| async { node.strong_count() == 0 }).await;
+        wait_until(|| async { node.strong_count() == 0 }).await;
         let entry = start_entry(Clock::start(), settings(1), &tables, &decoder).await;
-        World {
+        Harness {
             tables,
             entry,
             replicas,
@@ -405,13 +428,13 @@
         }
     }
 
-    /// Lists a replica that is not one of the scripted ones, or lists it anew.
-    pub(crate) fn list(&self, listing: Listing) {
-        self.lister()(listing);
+    /// Adds or replaces the listing of a replica that isn't scripted.
+    pub(crate) fn list_replica(&self, listing: Listing) {
+        self.replica_lister()(listing);
     }
 
-    /// As [`World::list`], for a task.
-    pub(crate) fn lister(&self) -> impl Fn(Listing) + use<> {
+    /// Returns [`Harness::list_replica`] as a closure that a task can own.
+    pub(crate) fn replica_lister(&self) -> impl Fn(Listing) + use<> {
         let tables = Rc::clone(&self.tables);
         let decoder = Rc::clone(&self.decoder);
         move |listing| {
@@ -421,74 +444,75 @@
         }
     }
 
-    /// Whether the table that entries write names anything but entries.
+    /// Whether the table `Entries` has a key other than the address of an entry.
     pub(crate) fn has_request_record(&self) -> bool {
         let keys = self.tables.keys(Table::Entries);
         keys.iter().any(|it| it.parse::<Ipv4Addr>().is_err())
     }
 
-    /// Makes a replica one of a model that holds a version of its weights, once it is listed.
-    pub(crate) fn holds(&self, idx: usize, version: u64) {
+    /// Makes a replica one of a model with the given weights version. Takes effect when the replica is
+    /// listed again.
+    pub(crate) fn set_weights_version(&self, idx: usize, version: u64) {
         let mut listings = self.decoder.listings.borrow_mut();
-        let listing = listings.get_mut(&id(idx)).unwrap();
+        let listing = listings.get_mut(&replica_id(idx)).unwrap();
         listing.has_model = true;
         listing.version = Some(version);
     }
 
-    /// Makes a replica one that is cold for so many milliseconds, once it is listed again.
-    pub(crate) fn cold_for(&self, idx: usize, warmup_left_ms: u64) {
+    /// Sets how long a replica stays cold. Takes effect when the replica is listed again.
+    pub(crate) fn set_warmup_left(&self, idx: usize, warmup_left_ms: u64) {
         let mut listings = self.decoder.listings.borrow_mut();
-        listings.get_mut(&id(idx)).unwrap().warmup_left_ms = warmup_left_ms;
+        listings.get_mut(&replica_id(idx)).unwrap().warmup_left_ms = warmup_left_ms;
     }
 
-    /// Makes a replica one that started at a time, once it is listed again.
-    pub(crate) fn started_at(&self, idx: usize, born: u64) {
+    /// Sets the start time of a replica. Takes effect when the replica is listed again.
+    pub(crate) fn set_start_time(&self, idx: usize, born: u64) {
         let mut listings = self.decoder.listings.borrow_mut();
-        listings.get_mut(&id(idx)).unwrap().born = Some(born);
+        listings.get_mut(&replica_id(idx)).unwrap().born = Some(born);
     }
 
-    /// Makes what a replica writes of itself unreadable, once it is written again.
-    pub(crate) fn garble(&self, idx: usize) {
-        self.decoder.listings.borrow_mut().remove(&id(idx));
+    /// Makes the record of a replica unreadable. Takes effect when the record is written again.
+    pub(crate) fn make_unreadable(&self, idx: usize) {
+        self.decoder.listings.borrow_mut().remove(&replica_id(idx));
     }
 
-    /// Moves a replica to another address, once it is listed again.
-    pub(crate) fn listens_at(&self, idx: usize, address: SocketAddr) {
+    /// Sets the address of a replica. Takes effect when the replica is listed again.
+    pub(crate) fn set_address(&self, idx: usize, address: SocketAddr) {
         let mut listings = self.decoder.listings.borrow_mut();
-        listings.get_mut(&id(idx)).unwrap().address = address;
+        listings.get_mut(&replica_id(idx)).unwrap().address = address;
     }
 
-    /// Sends a request on a connection of its own, and gives all that comes until its end.
-    pub(crate) async fn ask(&self, request: &str) -> String {
-        ask(1, request).await
+    /// Sends a request on a new connection and returns all bytes until the connection ends.
+    pub(crate) async fn send(&self, request: &str) -> String {
+        send(1, request).await
     }
 
-    /// Connects to the entry.
+    /// Connects to the entry's public port.
     pub(crate) async fn connect(&self) -> TcpStream {
         TcpStream::connect((address(1), 8005)).await.unwrap()
     }
 
-    /// Gets a path at one of the entry's other ports.
+    /// Sends a GET request to another port of the entry.
     pub(crate) async fn get(&self, port: u16, path: &str) -> String {
         get(1, port, path).await
     }
 
-    /// How many requests reached all replicas together.
-    pub(crate) fn arrivals(&self) -> usize {
+    /// Returns the number of requests that have reached all replicas together.
+    pub(crate) fn request_count(&self) -> usize {
         self.replicas.iter().map(|it| it.requests().len()).sum()
     }
 }
 
-/// Sends a request to an entry on a connection of its own, and gives all that comes until its end.
-pub(crate) async fn ask(last: u8, request: &str) -> String {
-    let mut stream = TcpStream::connect((address(last), 8005)).await.unwrap();
+/// Sends a request to an entry on a new connection and returns all bytes until the connection ends.
+pub(crate) async fn send(octet: u8, request: &str) -> String {
+    let mut stream = TcpStream::connect((address(octet), 8005)).await.unwrap();
     stream.write_all(request.as_bytes()).await.unwrap();
     read_all(&mut stream).await
 }
 
-/// Gets a path at a port of an entry.
-pub(crate) async fn get(last: u8, port: u16, path: &str) -> String {
-    let mut stream = TcpStream::connect((address(last), port)).await.unwrap();
+/// Sends a GET request to a port of an entry.
+pub(crate) async fn get(octet: u8, port: u16, path: &str) -> String {
+    let mut stream = TcpStream::connect((address(octet), port)).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
     read_all(&mut stream).await
@@ -513,14 +537,14 @@
     Entry::start(node.await.unwrap()).await.unwrap()
 }
 
-/// Name of a replica.
-pub(crate) fn id(idx: usize) -> String {
+/// Returns the identifier of a replica.
+pub(crate) fn replica_id(idx: usize) -> String {
     format!("i-{idx}")
 }
 
 fn listing(idx: usize, address: SocketAddr) -> Listing {
     Listing {
-        id: id(idx).into(),
+        id: replica_id(idx).into(),
         born: None,
         service: "s".into(),
         address,
@@ -535,19 +559,19 @@
 
 async fn read_all(stream: &mut TcpStream) -> String {
     let mut all = Vec::new();
-    // A reset ends what came as well as a close does.
+    // A reset ends the response like a close: the bytes before it are returned.
     let _ = stream.read_to_end(&mut all).await;
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// Waits until something holds.
-pub(crate) async fn until<F: Future<Output = bool>>(holds: impl Fn() -> F) {
-    while !holds().await {
+/// Polls until the condition is true.
+pub(crate) async fn wait_until<F: Future<Output = bool>>(condition: impl Fn() -> F) {
+    while !condition().await {
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A request on a connection that ends after it.
+/// Returns a request that asks the entry to close the connection after the response.
 pub(crate) fn request(method: &str, body: &str) -> String {
     format!(
         "{method} /r/x?q=1 HTTP/1.1\r\nHost: h\r\nt-request: abc\r\nt-key: secret\r\n\
--- a/crates/gradeloft_gateway/tests/entry/support/answers.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/responses.rs
@@ -1,21 +1,21 @@
-//! What scripted replicas answer.
+//! Response steps of scripted replicas.
 
 use gradeloft_standin::scripted::Step;
 
-/// A replica's whole answer.
-pub(crate) fn answer(status: &str, headers: &str, body: &str) -> Step {
+/// Returns a step that sends a complete response.
+pub(crate) fn response(status: &str, headers: &str, body: &str) -> Step {
     Step::Send(format!(
         "HTTP/1.1 {status}\r\nt-request: abc\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-/// A replica's whole success.
+/// Returns a step that sends a complete response with status 200 and a seal.
 pub(crate) fn ok(body: &str) -> Step {
-    answer("200 OK", "t-seal: s1\r\n", body)
+    response("200 OK", "t-seal: s1\r\n", body)
 }
 
-/// Head of a stream, and its first bytes in one chunk.
+/// Returns a step that sends the head of a chunked event stream and its first events in one chunk.
 pub(crate) fn stream(seal: &str, events: &str) -> Step {
     Step::Send(format!(
         "HTTP/1.1 200 OK\r\nt-request: abc\r\nt-seal: {seal}\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -24,7 +24,7 @@
     ))
 }
 
-/// The end of a body in chunks.
+/// Returns a step that sends the last chunk of a chunked body.
 pub(crate) fn last_chunk() -> Step {
     Step::Send("0\r\n\r\n".to_owned())
 }
