--- a/crates/gradeloft_gateway/src/agent/change.rs
+++ b/crates/gradeloft_gateway/src/agent/change.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use gradeloft_platform::fleet::{Load, Taken};
+use gradeloft_platform::fleet::{Load, LoadOutcome};
 use gradeloft_policy::{
     clock::Time,
     version::{
@@ -240,9 +240,9 @@
             info!(log, "ordered"; "order" => ?load, "result" => ?ordered);
         }
         match ordered {
-            Ok(Taken::Started) => self.loaded(version, born).await,
-            Ok(Taken::Conflict) => Err("the replica is in another state".to_owned().into()),
-            Ok(Taken::Fenced) => Err("a higher fence has been used".to_owned().into()),
+            Ok(LoadOutcome::Started) => self.loaded(version, born).await,
+            Ok(LoadOutcome::Conflict) => Err("the replica is in another state".to_owned().into()),
+            Ok(LoadOutcome::Fenced) => Err("a higher fence has been used".to_owned().into()),
             // It may have been taken all the same; what the replica holds will show.
             Err(fault) => Err(fault.to_string().into()),
         }
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -26,7 +26,7 @@
 
 use gradeloft_daemon::transport::server::Server as PeerServer;
 use gradeloft_http::server::Server;
-use gradeloft_platform::fleet::{Engine as EngineApi, Order, State};
+use gradeloft_platform::fleet::{Engine as EngineApi, OperatorRecord, State};
 use gradeloft_policy::{
     clock::Time,
     connection::pace::Pacer,
@@ -308,13 +308,13 @@
             return;
         }
         for record in records.iter().filter(|it| it.value.is_some()) {
-            match self.node.platform.decoder.order(record) {
-                Ok(Order::Config(document)) => self.configure(*document),
-                Ok(Order::Weights { model, version }) => {
+            match self.node.platform.decoder.operator_record(record) {
+                Ok(OperatorRecord::Config(document)) => self.configure(*document),
+                Ok(OperatorRecord::Weights { model, version }) => {
                     let written = self.node.written_at(table, record);
                     self.name(model, version, written);
                 }
-                Ok(Order::Evacuation { .. } | Order::Other) => {}
+                Ok(OperatorRecord::Evacuation { .. } | OperatorRecord::Other) => {}
                 Err(error) => {
                     if let Some(log) = self.node.logs.line(Topic::State) {
                         warn!(log, "unreadable record"; "key" => &record.key, "error" => error);
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -381,7 +381,7 @@
             Failure::Refused
         });
     }
-    let marked = head.fields.get(headers.not_run).is_some();
+    let marked = head.fields.get(headers.not_executed).is_some();
     marked.then_some(Failure::Refused)
 }
 
@@ -406,7 +406,7 @@
 
 /// Returns whether a response belongs to this request. A response without a request id is assumed to.
 fn answers_request(entry: &Entry, job: &Job, head: &Response) -> bool {
-    let name = entry.node.platform.headers.request;
+    let name = entry.node.platform.headers.attempt_id;
     let echoed = head.fields.get(name);
     echoed.is_none() || echoed == job.received.head.fields.get(name)
 }
@@ -455,11 +455,11 @@
     out.put_slice(&received.head.target);
     out.put_slice(b" HTTP/1.1\r\n");
     let mut drop = vec![
-        headers.key,
+        headers.api_key,
         headers.team,
         headers.deadline,
-        headers.replica,
-        headers.version,
+        headers.target_replica,
+        headers.expected_version,
         headers.priority,
         "content-length",
         "expect",
@@ -473,7 +473,7 @@
     let left = job.deadline.since(entry.node.clock.now());
     let mut set = |name: &str, value: &str| put_header(&mut out, name.as_bytes(), value.as_bytes());
     set(headers.deadline, &left.as_millis().max(1).to_string());
-    set(headers.replica, id);
+    set(headers.target_replica, id);
     let rank = job.urgency.rank(job.route.priority);
     set(headers.priority, &rank.to_string());
     if let Some(team) = &job.team {
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -119,7 +119,7 @@
     head: Option<&Request>,
     close: bool,
 ) -> bool {
-    let name = entry.node.platform.headers.request;
+    let name = entry.node.platform.headers.attempt_id;
     let id = head.and_then(|it| it.fields.get(name));
     let bytes = refusal.encode(id.map(|it| (name, it)), close);
     let sent = entry
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -176,7 +176,7 @@
     let fields = &received.head.fields;
     let host = fields.get("host").unwrap_or_default();
     let route = config.route(host, received.head.path())?;
-    let key = fields.get(entry.node.platform.headers.key);
+    let key = fields.get(entry.node.platform.headers.api_key);
     let team = config.team(route, key)?;
     Ok((route.clone(), team))
 }
@@ -494,6 +494,6 @@
 }
 
 fn request_id<'a>(entry: &Entry, received: &'a ReceivedRequest) -> &'a str {
-    let name = entry.node.platform.headers.request;
+    let name = entry.node.platform.headers.attempt_id;
     received.head.fields.get(name).unwrap_or("-")
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -85,7 +85,7 @@
 
 /// Longest wait of one long poll of the operator's table. A connection to the store may go silent for good,
 /// which shows only when a wait ends, and the operator's writes have to be in force within two seconds: see
-/// [`gradeloft_platform::fleet::OVERDUE`]. While nothing is written, a reader makes 0.84 calls a second with
+/// [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a reader makes 0.84 calls a second with
 /// this wait, and 0.25 with a wait of 4 s; each region has two readers.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1_300);
 /// Longest wait of one long poll of the replicas' table.
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, rc::Rc};
 
-use gradeloft_platform::fleet::Order;
+use gradeloft_platform::fleet::OperatorRecord;
 use gradeloft_policy::{
     clock::Time,
     process::{
@@ -99,17 +99,17 @@
     }
 
     fn apply_order(&self, record: &Record) {
-        match self.node.platform.decoder.order(record) {
-            Ok(Order::Config(document)) => {
+        match self.node.platform.decoder.operator_record(record) {
+            Ok(OperatorRecord::Config(document)) => {
                 let written = self.node.written_at(Table::Operator, record);
                 self.configure(*document, written);
             }
-            Ok(Order::Weights { model, version }) => {
+            Ok(OperatorRecord::Weights { model, version }) => {
                 let written = self.node.written_at(Table::Operator, record);
                 self.set_target_version(model, version, written);
             }
-            Ok(Order::Evacuation { zone, active }) => self.evacuate(&zone, active),
-            Ok(Order::Other) => {}
+            Ok(OperatorRecord::Evacuation { zone, active }) => self.evacuate(&zone, active),
+            Ok(OperatorRecord::Other) => {}
             Err(error) => {
                 if let Some(log) = self.node.logs.line(Topic::State) {
                     warn!(log, "unreadable record"; "key" => &record.key, "error" => error);
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
 
-use gradeloft_platform::{Fault, fleet::Followed};
+use gradeloft_platform::{Fault, fleet::TableRead};
 use gradeloft_policy::{
     clock::Time,
     process::{
@@ -340,13 +340,13 @@
         }
         let wait_ms = wait.as_millis() as u64;
         match store.follow(table, self.end(table), wait_ms).await? {
-            Followed::Dropped => *fresh = false,
-            Followed::Part(update) => {
+            TableRead::Truncated => *fresh = false,
+            TableRead::Partial(update) => {
                 // The response broke off, so it confirms nothing about the time after the request.
                 self.note_read(table, &update, asked, Duration::ZERO);
                 self.apply_update(table, update, Source::Store, asked);
             }
-            Followed::Update(update) => {
+            TableRead::Complete(update) => {
                 let waited_in_full = update.records.is_empty();
                 self.note_read(table, &update, asked, wait);
                 // Applied before the copy is confirmed: records of an interruption are doubtful.
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -18,7 +18,9 @@
 };
 use gradeloft_platform::{
     Answer, Fault,
-    fleet::{Decoder, Directory, Engine, Headers, Load, Order, Origin, State, Taken},
+    fleet::{
+        Decoder, Directory, Engine, Headers, Load, LoadOutcome, OperatorRecord, Origin, State,
+    },
 };
 use gradeloft_policy::process::{
     document::{CallerLimits, Document, Layout, Service},
@@ -124,7 +126,7 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, Taken> {
+    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, LoadOutcome> {
         self.orders.borrow_mut().push((load.version, load.fence));
         let whole =
             (0..PIECES).all(|it| self.staged.borrow().get(&it) == Some(&content(load.version, it)));
@@ -135,7 +137,7 @@
         } else if !self.slow.get() {
             self.finish();
         }
-        Box::pin(async { Ok(Taken::Started) })
+        Box::pin(async { Ok(LoadOutcome::Started) })
     }
 }
 
@@ -202,13 +204,13 @@
 pub(crate) struct FakeDecoder;
 
 impl Decoder for FakeDecoder {
-    fn order(&self, record: &Record) -> Result<Order, String> {
+    fn operator_record(&self, record: &Record) -> Result<OperatorRecord, String> {
         if record.key == "config" {
-            return Ok(Order::Config(Box::new(document())));
+            return Ok(OperatorRecord::Config(Box::new(document())));
         }
         let value = record.value.as_deref().unwrap_or_default();
         let version = std::str::from_utf8(value).map_err(|it| it.to_string())?;
-        Ok(Order::Weights {
+        Ok(OperatorRecord::Weights {
             model: "w".to_owned(),
             version: version.parse().map_err(|_| "no version".to_owned())?,
         })
@@ -285,17 +287,17 @@
 }
 
 pub(crate) const HEADERS: Headers = Headers {
-    request: "a",
+    attempt_id: "a",
     deadline: "b",
-    key: "c",
+    api_key: "c",
     team: "d",
-    replica: "e",
+    target_replica: "e",
     replica_id: "f",
-    version: "g",
+    expected_version: "g",
     tokens: "h",
     priority: "h",
     seal: "i",
-    not_run: "j",
+    not_executed: "j",
 };
 
 pub(crate) struct World {
--- a/crates/gradeloft_gateway/tests/entry/crashing.rs
+++ b/crates/gradeloft_gateway/tests/entry/crashing.rs
@@ -53,7 +53,7 @@
         for idx in 0..replicas {
             let nature = Nature {
                 marker: MARKED.to_owned(),
-                request_header: HEADERS.request.to_owned(),
+                request_header: HEADERS.attempt_id.to_owned(),
                 seal_header: HEADERS.seal.to_owned(),
                 work: Duration::from_millis(20),
             };
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -21,7 +21,7 @@
 };
 use gradeloft_platform::{
     Answer, Fault,
-    fleet::{Decoder, Directory, Headers, Lookup, Order, Origin},
+    fleet::{Decoder, Directory, Headers, Lookup, OperatorRecord, Origin},
 };
 use gradeloft_policy::process::{
     allowed_regions::AllowedRegions,
@@ -47,17 +47,17 @@
 
 /// Names of headers in these tests.
 pub(crate) const HEADERS: Headers = Headers {
-    request: "t-request",
+    attempt_id: "t-request",
     deadline: "t-deadline",
-    key: "t-key",
+    api_key: "t-key",
     team: "t-team",
-    replica: "t-replica",
+    target_replica: "t-replica",
     replica_id: "t-replica-id",
-    version: "t-version",
+    expected_version: "t-version",
     tokens: "t-tokens",
     priority: "t-priority",
     seal: "t-seal",
-    not_run: "t-not-run",
+    not_executed: "t-not-run",
 };
 
 /// A bound on every wait of a test; none comes near it unless something is wrong.
@@ -83,24 +83,24 @@
 }
 
 impl Decoder for TestDecoder {
-    fn order(&self, record: &Record) -> Result<Order, String> {
+    fn operator_record(&self, record: &Record) -> Result<OperatorRecord, String> {
         if let Some(zone) = record.key.strip_prefix("evacuate/") {
-            return Ok(Order::Evacuation {
+            return Ok(OperatorRecord::Evacuation {
                 zone: zone.to_owned(),
                 active: record.value.is_some(),
             });
         }
         let Some(value) = record.value.as_deref() else {
-            return Ok(Order::Other);
+            return Ok(OperatorRecord::Other);
         };
         let version = std::str::from_utf8(value).map_err(|it| it.to_string())?;
         if let Some(model) = record.key.strip_prefix("weights/") {
-            return Ok(Order::Weights {
+            return Ok(OperatorRecord::Weights {
                 model: model.to_owned(),
                 version: version.parse().map_err(|_| "no version".to_owned())?,
             });
         }
-        Ok(Order::Config(Box::new(Document {
+        Ok(OperatorRecord::Config(Box::new(Document {
             version: version.parse().map_err(|_| "no version".to_owned())?,
             ..self.document.clone()
         })))
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -16,17 +16,17 @@
 /// Time after the end of a read's wait by which an answer begins that comes at all, where answers are
 /// quick. What is written is to be in force two seconds later: a wait of 1.3 s, this, and a read without a
 /// wait on a new connection, for which 0.3 s are left.
-pub const OVERDUE: Duration = Duration::from_millis(400);
+pub const READ_GRACE: Duration = Duration::from_millis(400);
 
 /// What reading a table gives.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Followed {
+pub enum TableRead {
     /// The records asked for were dropped: only a snapshot helps.
-    Dropped,
+    Truncated,
     /// The first of the records: the others follow from the end of these.
-    Part(Update),
+    Partial(Update),
     /// The records, none if the wait passed without any.
-    Update(Update),
+    Complete(Update),
 }
 
 /// A record that entries write into their table.
@@ -41,8 +41,8 @@
 /// The platform's tables.
 pub trait Store {
     /// The records from offset `from` on; waits up to `wait_ms` for the first. Fails once the answer is
-    /// overdue by [`OVERDUE`].
-    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, Followed>;
+    /// overdue by [`READ_GRACE`].
+    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, TableRead>;
     /// The newest record of every key.
     fn snapshot(&self, table: Table) -> Answer<'_, Update>;
     /// Writes records of the table of entries, all of them or none.
@@ -51,7 +51,7 @@
 
 /// A record that the operator wrote.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum OperatorRecord {
     /// A version of the configuration.
     Config(Box<Document>),
     /// Nothing more goes to the replicas of an availability zone, or that is taken back.
@@ -75,7 +75,7 @@
 /// Reads the platform's records.
 pub trait Decoder {
     /// A record of the operator's, which may be the removal of one.
-    fn order(&self, record: &Record) -> Result<Order, String>;
+    fn operator_record(&self, record: &Record) -> Result<OperatorRecord, String>;
     /// Value that tells an agent as much as a record of the operator's does: a configuration without
     /// keys, and with only so many routes that [`Document::resumes`] says the same of every service.
     /// `None` where it is the record's own.
@@ -116,7 +116,7 @@
 
 /// How an engine took an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum LoadOutcome {
     /// It does not fit the engine's state.
     Conflict,
     /// A higher fence has been used.
@@ -136,7 +136,7 @@
     /// Stages a piece in place of what lies there.
     fn stage<'a>(&'a self, model: &'a str, idx: u32, content: Bytes) -> Answer<'a, ()>;
     /// Orders it to load what is staged.
-    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, Taken>;
+    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, LoadOutcome>;
 }
 
 /// The origin of weights.
@@ -164,19 +164,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Headers {
     /// Names one attempt of a caller; replicas echo it.
-    pub request: &'static str,
+    pub attempt_id: &'static str,
     /// Milliseconds that the caller still waits.
     pub deadline: &'static str,
     /// Proves the caller's team; never passed on.
-    pub key: &'static str,
+    pub api_key: &'static str,
     /// Tells the replica the team.
     pub team: &'static str,
     /// Pins a request to one start of a replica.
-    pub replica: &'static str,
+    pub target_replica: &'static str,
     /// Names the replica that gives an answer.
     pub replica_id: &'static str,
     /// Pins a request to a version of weights.
-    pub version: &'static str,
+    pub expected_version: &'static str,
     /// Tokens of the prompt and the most that an answer may have, with a comma between.
     pub tokens: &'static str,
     /// Rank of a request in its replica's queue.
@@ -184,7 +184,7 @@
     /// Marks an answer as a replica's own.
     pub seal: &'static str,
     /// Says that the replica ran nothing.
-    pub not_run: &'static str,
+    pub not_executed: &'static str,
 }
 
 /// What a caller says when it asks for addresses.
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -6,7 +6,7 @@
 use futures_util::FutureExt;
 use gradeloft_platform::{
     Answer, Fault,
-    fleet::{Followed, OVERDUE, Put, Store},
+    fleet::{Put, READ_GRACE, Store, TableRead},
 };
 use gradeloft_policy::process::mirror::{Record, Update};
 use gradeloft_wire::frame::Table;
@@ -135,14 +135,14 @@
 }
 
 impl Store for Tables {
-    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, Followed> {
+    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, TableRead> {
         async move {
             self.called().await?;
             if from < self.dropped.borrow().get(&table).copied().unwrap_or(0) {
-                return Ok(Followed::Dropped);
+                return Ok(TableRead::Truncated);
             }
             let wait = Duration::from_millis(wait_ms);
-            let overdue = tokio::time::sleep(wait + OVERDUE);
+            let overdue = tokio::time::sleep(wait + READ_GRACE);
             let waiting = Waiting::begin(self, table);
             let waited = timeout(wait, async {
                 loop {
@@ -167,7 +167,7 @@
             }
             let records = self.since(table, from);
             let end = from + records.len() as u64;
-            Ok(Followed::Update(Update {
+            Ok(TableRead::Complete(Update {
                 snapshot: false,
                 records,
                 end,
