--- a/crates/gradeloft_cli/src/args.rs
+++ b/crates/gradeloft_cli/src/args.rs
@@ -5,7 +5,7 @@
 use clap::{Parser, Subcommand};
 use clap_complete::Shell;
 use gradeloft_platform::{
-    list::{self, List},
+    list::{self, InstanceList},
     log::{self, Log},
 };
 use gradeloft_policy::version::bundle::Publisher;
@@ -167,7 +167,7 @@
         Rc::new(log::Http::new(&self.log, PLATFORM_TIMEOUT))
     }
 
-    pub(crate) fn list(&self) -> Rc<dyn List> {
+    pub(crate) fn list(&self) -> Rc<dyn InstanceList> {
         Rc::new(list::Http::new(&self.list, PLATFORM_TIMEOUT))
     }
 }
--- a/crates/gradeloft_cli/src/command.rs
+++ b/crates/gradeloft_cli/src/command.rs
@@ -19,7 +19,7 @@
     traffic,
 };
 use gradeloft_daemon::settings;
-use gradeloft_platform::{Fault, list::List};
+use gradeloft_platform::{Fault, list::InstanceList};
 use gradeloft_policy::version::bundle::canonical;
 use gradeloft_wire::{border::bundle::Bundle, id::Digest, record::SignedBundle};
 use serde_json::{Value, json};
@@ -303,7 +303,12 @@
     }
 }
 
-async fn wait_in_force(list: &Rc<dyn List>, number: u64, wait: Duration, as_json: bool) -> Output {
+async fn wait_in_force(
+    list: &Rc<dyn InstanceList>,
+    number: u64,
+    wait: Duration,
+    as_json: bool,
+) -> Output {
     if wait.is_zero() {
         return Output::done(
             format!("number {number} accepted"),
--- a/crates/gradeloft_cli/src/fleet.rs
+++ b/crates/gradeloft_cli/src/fleet.rs
@@ -5,8 +5,8 @@
 use futures_util::future::join_all;
 use gradeloft_platform::{
     Fault,
-    http::{Base, Reuse},
-    list::List,
+    http::{BaseClient, ConnectionReuse},
+    list::InstanceList,
 };
 use gradeloft_wire::border::{
     caller::Status,
@@ -40,7 +40,7 @@
 }
 
 /// Asks every node of the list, all at once.
-pub async fn status(list: &Rc<dyn List>) -> Result<Vec<Member>, Fault> {
+pub async fn status(list: &Rc<dyn InstanceList>) -> Result<Vec<Member>, Fault> {
     let instances = list.instances().await?;
     Ok(join_all(instances.into_iter().map(member)).await)
 }
@@ -48,7 +48,11 @@
 async fn member(instance: Instance) -> Member {
     let status = match &instance.admin {
         Some(admin) => {
-            let base = Base::new(&format!("http://{admin}"), NODE_TIMEOUT, Reuse::Fresh);
+            let base = BaseClient::new(
+                &format!("http://{admin}"),
+                NODE_TIMEOUT,
+                ConnectionReuse::PerCall,
+            );
             let status: Option<Status> = base.get("/v1/status").await.ok();
             // Its address may have gone to another instance meanwhile.
             status.filter(|it| it.node == instance.id)
--- a/crates/gradeloft_cli/src/publish.rs
+++ b/crates/gradeloft_cli/src/publish.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, rc::Rc, time::Duration};
 
-use gradeloft_platform::{Fault, list::List, log::Log};
+use gradeloft_platform::{Fault, list::InstanceList, log::Log};
 use gradeloft_policy::version::{
     bundle::Publisher,
     chain::{Refusal, Verdict},
@@ -77,7 +77,7 @@
 
 /// Waits until a bundle is in force on every live node, at most `bound`; shows each progress.
 pub async fn in_force(
-    list: &Rc<dyn List>,
+    list: &Rc<dyn InstanceList>,
     number: u64,
     bound: Duration,
     mut show: impl FnMut(&Progress),
--- a/crates/gradeloft_daemon/src/agent/generate.rs
+++ b/crates/gradeloft_daemon/src/agent/generate.rs
@@ -5,7 +5,7 @@
 use futures_util::StreamExt;
 use gradeloft_platform::{
     Fault,
-    endpoint::{Engine, Generation, Output},
+    endpoint::{Engine, GenerationEvent, GenerationStream},
 };
 use gradeloft_policy::request::response::ResponseChecker;
 use gradeloft_wire::{
@@ -80,18 +80,18 @@
 impl Relay<'_> {
     async fn run(
         &mut self,
-        mut generation: Generation,
+        mut generation: GenerationStream,
         deadline: gradeloft_policy::clock::Time,
     ) -> Result<(), Kind> {
         loop {
             let left = self.agent.node.clock.until(deadline);
             let patience: Duration = left.min(self.agent.node.idle_timeout());
             match timeout(patience, generation.next()).await {
-                Ok(Some(Ok(Output::Token(token)))) => {
+                Ok(Some(Ok(GenerationEvent::Token(token)))) => {
                     self.owns(&token.request_id)?;
                     self.token(&token.version, token.seq, token.text).await?;
                 }
-                Ok(Some(Ok(Output::End(end)))) => {
+                Ok(Some(Ok(GenerationEvent::End(end)))) => {
                     self.owns(&end.request_id)?;
                     return self.end(&end.version, end.count).await;
                 }
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use bytes::Bytes;
-use gradeloft_platform::{Fault, weights::Weights};
+use gradeloft_platform::{Fault, weights::WeightSource};
 use gradeloft_policy::{
     rendezvous,
     version::{
@@ -65,7 +65,7 @@
     Ok(content)
 }
 
-async fn outside(from: &dyn Weights, digest: Digest, size: u64) -> Result<Bytes, Failure> {
+async fn outside(from: &dyn WeightSource, digest: Digest, size: u64) -> Result<Bytes, Failure> {
     from.content(digest, size as usize)
         .await
         .map_err(|it| match it {
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use futures_util::StreamExt;
-use gradeloft_platform::endpoint::{Request, Response, Service};
+use gradeloft_platform::endpoint::{Service, ServiceRequest, ServiceResponse};
 use gradeloft_policy::request::{
     at_most_once::{self, Step},
     response::ResponseChecker,
@@ -35,7 +35,10 @@
 /// Tells watchers whether the service answers at all.
 pub async fn probe(agent: Rc<Agent>, name: String, service: Rc<dyn Service>) {
     loop {
-        let alive = matches!(timeout(PROBE_EVERY, service.alive()).await, Ok(Ok(())));
+        let alive = matches!(
+            timeout(PROBE_EVERY, service.check_health()).await,
+            Ok(Ok(()))
+        );
         let told = alive.then(|| name.clone());
         agent.node.notice.send_if_modified(|it| {
             let changed = it.service != told;
@@ -69,7 +72,7 @@
         return Err(Kind::NotServing);
     }
     agent.live_in(body.len());
-    let request = Request {
+    let request = ServiceRequest {
         id: work.request,
         method: method.clone(),
         path: path.clone(),
@@ -96,16 +99,16 @@
     }
 }
 
-fn check_echo(response: &Response, request: RequestId) -> Result<(), Kind> {
+fn check_echo(response: &ServiceResponse, request: RequestId) -> Result<(), Kind> {
     // A service that echoes no id is met on a connection of its own, which can't be crossed.
-    let own = response.echo.is_none_or(|it| it == request);
+    let own = response.echoed_id.is_none_or(|it| it == request);
     if own { Ok(()) } else { Err(Kind::Mismatch) }
 }
 
 async fn relay(
     agent: &Agent,
     request: RequestId,
-    mut response: Response,
+    mut response: ServiceResponse,
     outgoing: &Outgoing,
 ) -> Result<(), Kind> {
     check_echo(&response, request)?;
@@ -195,7 +198,7 @@
 async fn keyed(
     agent: &Rc<Agent>,
     service: &Rc<dyn Service>,
-    request: Request,
+    request: ServiceRequest,
     key: Digest,
 ) -> Result<Outcome, Kind> {
     let now = agent.node.clock.now();
@@ -230,7 +233,7 @@
     agent: &Agent,
     service: &dyn Service,
     key: Digest,
-    request: Request,
+    request: ServiceRequest,
 ) -> Result<Outcome, Kind> {
     let id = request.id;
     let called = service.call(request).await.map_err(|it| kind(&it));
@@ -249,7 +252,11 @@
     result
 }
 
-async fn collect(agent: &Agent, id: RequestId, mut response: Response) -> Result<Outcome, Kind> {
+async fn collect(
+    agent: &Agent,
+    id: RequestId,
+    mut response: ServiceResponse,
+) -> Result<Outcome, Kind> {
     check_echo(&response, id)?;
     let mut body = Vec::new();
     loop {
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -47,11 +47,11 @@
     /// Append-only log.
     pub log: Rc<dyn log::Log>,
     /// List of instances.
-    pub list: Rc<dyn list::List>,
+    pub list: Rc<dyn list::InstanceList>,
     /// Weight store.
-    pub store: Rc<dyn weights::Weights>,
+    pub store: Rc<dyn weights::WeightSource>,
     /// Origin of weights.
-    pub origin: Rc<dyn weights::Weights>,
+    pub origin: Rc<dyn weights::WeightSource>,
 }
 
 impl Platform {
--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -198,7 +198,7 @@
         let mut bundle = self.fleet.bundle(1, None, version);
         bundle.models[0].replicas = self.engines.len() as u32;
         self.fleet.publish(&bundle).await.expect("it is accepted");
-        let list: std::rc::Rc<dyn gradeloft_platform::list::List> = std::rc::Rc::new(
+        let list: std::rc::Rc<dyn gradeloft_platform::list::InstanceList> = std::rc::Rc::new(
             gradeloft_platform::list::Http::new(&self.fleet.list.url(), Duration::from_secs(2)),
         );
         let progress = publish::in_force(&list, 1, Duration::from_secs(20), |_| {})
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -17,7 +17,7 @@
     settings::{Role, Settings},
 };
 use gradeloft_platform::{
-    Answer, Fault,
+    CallFuture, Fault,
     fleet::{
         Decoder, Directory, Engine, Headers, Load, LoadOutcome, OperatorRecord, Origin, State,
     },
@@ -91,7 +91,7 @@
 }
 
 impl Engine for FakeEngine {
-    fn state(&self) -> Answer<'_, State> {
+    fn state(&self) -> CallFuture<'_, State> {
         let state = State {
             born: self.born.get(),
             version: self.version.get(),
@@ -102,12 +102,12 @@
         Box::pin(async move { Ok(state) })
     }
 
-    fn staged<'a>(&'a self, _: &'a str) -> Answer<'a, Vec<u32>> {
+    fn staged<'a>(&'a self, _: &'a str) -> CallFuture<'a, Vec<u32>> {
         let staged = self.staged.borrow().keys().copied().collect();
         Box::pin(async move { Ok(staged) })
     }
 
-    fn piece<'a>(&'a self, _: &'a str, idx: u32) -> Answer<'a, Bytes> {
+    fn piece<'a>(&'a self, _: &'a str, idx: u32) -> CallFuture<'a, Bytes> {
         Box::pin(async move {
             if self.slow_reads.get() {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
@@ -117,7 +117,7 @@
         })
     }
 
-    fn stage<'a>(&'a self, _: &'a str, idx: u32, content: Bytes) -> Answer<'a, ()> {
+    fn stage<'a>(&'a self, _: &'a str, idx: u32, content: Bytes) -> CallFuture<'a, ()> {
         if self.refused.get() == Some(idx) {
             self.refusals.set(self.refusals.get() + 1);
             return Box::pin(async { Err(Fault::Unreachable) });
@@ -126,7 +126,7 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, LoadOutcome> {
+    fn load<'a>(&'a self, load: Load<'a>) -> CallFuture<'a, LoadOutcome> {
         self.orders.borrow_mut().push((load.version, load.fence));
         let whole =
             (0..PIECES).all(|it| self.staged.borrow().get(&it) == Some(&content(load.version, it)));
@@ -160,7 +160,12 @@
 }
 
 impl Origin for FakeOrigin {
-    fn manifest<'a>(&'a self, _: SocketAddr, _: &'a str, version: u64) -> Answer<'a, Vec<Digest>> {
+    fn manifest<'a>(
+        &'a self,
+        _: SocketAddr,
+        _: &'a str,
+        version: u64,
+    ) -> CallFuture<'a, Vec<Digest>> {
         Box::pin(async move {
             if self.manifests.replace(self.manifests.get() + 1) == 0 {
                 self.connections_before.set(self.peer_connections.get());
@@ -177,7 +182,13 @@
         })
     }
 
-    fn piece<'a>(&'a self, _: SocketAddr, _: &'a str, version: u64, idx: u32) -> Answer<'a, Bytes> {
+    fn piece<'a>(
+        &'a self,
+        _: SocketAddr,
+        _: &'a str,
+        version: u64,
+        idx: u32,
+    ) -> CallFuture<'a, Bytes> {
         Box::pin(async move {
             if self.down.get() {
                 return Err(Fault::Unreachable);
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -20,7 +20,7 @@
     settings::{Role, Settings},
 };
 use gradeloft_platform::{
-    Answer, Fault,
+    CallFuture, Fault,
     fleet::{Decoder, Directory, Headers, Lookup, OperatorRecord, Origin},
 };
 use gradeloft_policy::process::{
@@ -145,11 +145,11 @@
 struct NoOrigin;
 
 impl Origin for NoOrigin {
-    fn manifest<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64) -> Answer<'a, Vec<Digest>> {
+    fn manifest<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64) -> CallFuture<'a, Vec<Digest>> {
         Box::pin(async { Err(Fault::Missing) })
     }
 
-    fn piece<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64, _: u32) -> Answer<'a, Bytes> {
+    fn piece<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64, _: u32) -> CallFuture<'a, Bytes> {
         Box::pin(async { Err(Fault::Missing) })
     }
 
--- a/crates/gradeloft_platform/src/endpoint.rs
+++ b/crates/gradeloft_platform/src/endpoint.rs
@@ -12,8 +12,8 @@
 };
 
 use crate::{
-    Answer, Fault,
-    http::{Base, Reuse, sent, success},
+    CallFuture, Fault,
+    http::{BaseClient, ConnectionReuse, error_for_status, send_error},
 };
 
 /// Header that carries a request's id to an endpoint and back.
@@ -22,7 +22,7 @@
 
 /// One event of a generated answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Output {
+pub enum GenerationEvent {
     /// A token.
     Token(EngineToken),
     /// The end of a whole answer.
@@ -30,23 +30,23 @@
 }
 
 /// A generated answer as it comes; dropping it cancels the request.
-pub type Generation = LocalBoxStream<'static, Result<Output, Fault>>;
+pub type GenerationStream = LocalBoxStream<'static, Result<GenerationEvent, Fault>>;
 
 /// A service's answer; dropping the body ends the call.
-pub struct Response {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type; empty for none.
     pub content_type: String,
     /// The id that the endpoint echoes, if it does.
-    pub echo: Option<RequestId>,
+    pub echoed_id: Option<RequestId>,
     /// Body as it comes.
     pub body: LocalBoxStream<'static, Result<Bytes, Fault>>,
 }
 
 /// A call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Request {
+pub struct ServiceRequest {
     /// Id to echo.
     pub id: RequestId,
     /// HTTP method.
@@ -62,42 +62,42 @@
 /// A model engine, as its agent uses it.
 pub trait Engine {
     /// What it serves and how busy it is.
-    fn state(&self) -> Answer<'_, EngineState>;
+    fn state(&self) -> CallFuture<'_, EngineState>;
     /// Hands over content that a later order loads.
-    fn stage(&self, digest: Digest, content: Bytes) -> Answer<'_, ()>;
+    fn stage(&self, digest: Digest, content: Bytes) -> CallFuture<'_, ()>;
     /// Digests of the content that it holds.
-    fn staged(&self) -> Answer<'_, Vec<Digest>>;
+    fn staged(&self) -> CallFuture<'_, Vec<Digest>>;
     /// Gives an order; [`Fault::Refused`] when its fence is stale or content is missing.
-    fn order<'a>(&'a self, order: &'a Order) -> Answer<'a, ()>;
+    fn order<'a>(&'a self, order: &'a Order) -> CallFuture<'a, ()>;
     /// Starts to generate; [`Fault::Refused`] and [`Fault::Limited`] mean that nothing ran.
-    fn generate<'a>(&'a self, request: &'a EngineRequest) -> Answer<'a, Generation>;
+    fn generate<'a>(&'a self, request: &'a EngineRequest) -> CallFuture<'a, GenerationStream>;
 }
 
 /// A plain service, as its agent uses it.
 pub trait Service {
     /// Calls it once, on a connection of its own.
-    fn call(&self, request: Request) -> Answer<'_, Response>;
+    fn call(&self, request: ServiceRequest) -> CallFuture<'_, ServiceResponse>;
     /// Whether it answers at all.
-    fn alive(&self) -> Answer<'_, ()>;
+    fn check_health(&self) -> CallFuture<'_, ()>;
 }
 
 /// An engine over HTTP.
 #[derive(Clone)]
-pub struct HttpEngine(Base);
+pub struct HttpEngine(BaseClient);
 
 impl HttpEngine {
     /// An engine at a base URL.
     pub fn new(url: &str, timeout: Duration) -> HttpEngine {
-        HttpEngine(Base::new(url, timeout, Reuse::Kept))
+        HttpEngine(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
 }
 
 impl Engine for HttpEngine {
-    fn state(&self) -> Answer<'_, EngineState> {
+    fn state(&self) -> CallFuture<'_, EngineState> {
         async move { self.0.get("/v1/state").await }.boxed_local()
     }
 
-    fn stage(&self, digest: Digest, content: Bytes) -> Answer<'_, ()> {
+    fn stage(&self, digest: Digest, content: Bytes) -> CallFuture<'_, ()> {
         async move {
             let url = self.0.url(&format!("/v1/content/{digest}"));
             let res = self
@@ -106,13 +106,13 @@
                 .put(url)
                 .send_body(content)
                 .await
-                .map_err(sent)?;
-            success(res).await.map(|_| ())
+                .map_err(send_error)?;
+            error_for_status(res).await.map(|_| ())
         }
         .boxed_local()
     }
 
-    fn staged(&self) -> Answer<'_, Vec<Digest>> {
+    fn staged(&self) -> CallFuture<'_, Vec<Digest>> {
         async move {
             let names: Vec<String> = self.0.get("/v1/content").await?;
             names
@@ -123,20 +123,20 @@
         .boxed_local()
     }
 
-    fn order<'a>(&'a self, order: &'a Order) -> Answer<'a, ()> {
+    fn order<'a>(&'a self, order: &'a Order) -> CallFuture<'a, ()> {
         async move {
             let request = self.0.client().post(self.0.url("/v1/orders"));
-            let res = request.send_json(order).await.map_err(sent)?;
-            success(res).await.map(|_| ())
+            let res = request.send_json(order).await.map_err(send_error)?;
+            error_for_status(res).await.map(|_| ())
         }
         .boxed_local()
     }
 
-    fn generate<'a>(&'a self, request: &'a EngineRequest) -> Answer<'a, Generation> {
+    fn generate<'a>(&'a self, request: &'a EngineRequest) -> CallFuture<'a, GenerationStream> {
         async move {
             let call = self.0.client().post(self.0.url("/v1/generate"));
-            let res = call.send_json(request).await.map_err(sent)?;
-            let events = success(res).await?.eventsource();
+            let res = call.send_json(request).await.map_err(send_error)?;
+            let events = error_for_status(res).await?.eventsource();
             let events = events.map(|it| it.map_err(|_| Fault::Lost).and_then(|it| event(&it)));
             Ok(events.boxed_local())
         }
@@ -144,28 +144,28 @@
     }
 }
 
-fn event(event: &Event) -> Result<Output, Fault> {
+fn event(event: &Event) -> Result<GenerationEvent, Fault> {
     let parsed = if event.event == END_EVENT {
-        serde_json::from_str(&event.data).map(Output::End)
+        serde_json::from_str(&event.data).map(GenerationEvent::End)
     } else {
-        serde_json::from_str(&event.data).map(Output::Token)
+        serde_json::from_str(&event.data).map(GenerationEvent::Token)
     };
     parsed.map_err(|_| Fault::Malformed)
 }
 
 /// A plain service over HTTP.
 #[derive(Clone)]
-pub struct HttpService(Base);
+pub struct HttpService(BaseClient);
 
 impl HttpService {
     /// A service at a base URL.
     pub fn new(url: &str, timeout: Duration) -> HttpService {
-        HttpService(Base::new(url, timeout, Reuse::Fresh))
+        HttpService(BaseClient::new(url, timeout, ConnectionReuse::PerCall))
     }
 }
 
 impl Service for HttpService {
-    fn call(&self, request: Request) -> Answer<'_, Response> {
+    fn call(&self, request: ServiceRequest) -> CallFuture<'_, ServiceResponse> {
         async move {
             let method = Method::from_bytes(request.method.as_bytes());
             let method = method.map_err(|_| Fault::Unreachable)?;
@@ -177,28 +177,28 @@
             if !request.content_type.is_empty() {
                 call = call.insert_header((header::CONTENT_TYPE, request.content_type));
             }
-            let res = call.send_body(request.body).await.map_err(sent)?;
+            let res = call.send_body(request.body).await.map_err(send_error)?;
             let text = |name: &str| {
                 res.headers()
                     .get(name)
                     .and_then(|it| it.to_str().ok())
                     .unwrap_or_default()
             };
-            let echo = text(REQUEST_ID).parse().ok();
+            let echoed_id = text(REQUEST_ID).parse().ok();
             let content_type = text(header::CONTENT_TYPE.as_str()).to_owned();
             let status = res.status().as_u16();
             let body = res.map(|it| it.map_err(|_| Fault::Lost)).boxed_local();
-            Ok(Response {
+            Ok(ServiceResponse {
                 status,
                 content_type,
-                echo,
+                echoed_id,
                 body,
             })
         }
         .boxed_local()
     }
 
-    fn alive(&self) -> Answer<'_, ()> {
+    fn check_health(&self) -> CallFuture<'_, ()> {
         async move {
             let res = self
                 .0
@@ -206,8 +206,8 @@
                 .get(self.0.url("/healthz"))
                 .send()
                 .await
-                .map_err(sent)?;
-            success(res).await.map(|_| ())
+                .map_err(send_error)?;
+            error_for_status(res).await.map(|_| ())
         }
         .boxed_local()
     }
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -11,7 +11,7 @@
 use gradeloft_policy::version::waves::RunningRequests;
 use gradeloft_wire::{frame::Table, id::Digest};
 
-use crate::Answer;
+use crate::CallFuture;
 
 /// Time after the end of a read's wait by which an answer begins that comes at all, where answers are
 /// quick. What is written is to be in force two seconds later: a wait of 1.3 s, this, and a read without a
@@ -42,11 +42,11 @@
 pub trait Store {
     /// The records from offset `from` on; waits up to `wait_ms` for the first. Fails once the answer is
     /// overdue by [`READ_GRACE`].
-    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, TableRead>;
+    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> CallFuture<'_, TableRead>;
     /// The newest record of every key.
-    fn snapshot(&self, table: Table) -> Answer<'_, Update>;
+    fn snapshot(&self, table: Table) -> CallFuture<'_, Update>;
     /// Writes records of the table of entries, all of them or none.
-    fn write(&self, rows: Vec<Put>) -> Answer<'_, ()>;
+    fn write(&self, rows: Vec<Put>) -> CallFuture<'_, ()>;
 }
 
 /// A record that the operator wrote.
@@ -128,15 +128,15 @@
 /// The engine on this agent's own instance.
 pub trait Engine {
     /// What it serves and how busy it is.
-    fn state(&self) -> Answer<'_, State>;
+    fn state(&self) -> CallFuture<'_, State>;
     /// Positions of the pieces that lie staged.
-    fn staged<'a>(&'a self, model: &'a str) -> Answer<'a, Vec<u32>>;
+    fn staged<'a>(&'a self, model: &'a str) -> CallFuture<'a, Vec<u32>>;
     /// Content of a staged piece; whether it is the right one is the caller's to check.
-    fn piece<'a>(&'a self, model: &'a str, idx: u32) -> Answer<'a, Bytes>;
+    fn piece<'a>(&'a self, model: &'a str, idx: u32) -> CallFuture<'a, Bytes>;
     /// Stages a piece in place of what lies there.
-    fn stage<'a>(&'a self, model: &'a str, idx: u32, content: Bytes) -> Answer<'a, ()>;
+    fn stage<'a>(&'a self, model: &'a str, idx: u32, content: Bytes) -> CallFuture<'a, ()>;
     /// Orders it to load what is staged.
-    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, LoadOutcome>;
+    fn load<'a>(&'a self, load: Load<'a>) -> CallFuture<'a, LoadOutcome>;
 }
 
 /// The origin of weights.
@@ -147,7 +147,7 @@
         address: SocketAddr,
         model: &'a str,
         version: u64,
-    ) -> Answer<'a, Vec<Digest>>;
+    ) -> CallFuture<'a, Vec<Digest>>;
     /// Content of a piece; the caller checks its digest.
     fn piece<'a>(
         &'a self,
@@ -155,7 +155,7 @@
         model: &'a str,
         version: u64,
         idx: u32,
-    ) -> Answer<'a, Bytes>;
+    ) -> CallFuture<'a, Bytes>;
     /// Digest of content, by the function that the manifest uses.
     fn digest(&self, content: &[u8]) -> Digest;
 }
--- a/crates/gradeloft_platform/src/http.rs
+++ b/crates/gradeloft_platform/src/http.rs
@@ -19,41 +19,46 @@
 
 /// Whether a connection serves several calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reuse {
+pub enum ConnectionReuse {
     /// Kept open for the next call.
-    Kept,
+    KeepAlive,
     /// A fresh one for each call, so that a connection that the other side closed meanwhile
     /// can't be mistaken for a lost reply.
-    Fresh,
+    PerCall,
 }
 
 /// One service's base URL and the client for it.
 #[derive(Clone)]
-pub struct Base {
+pub struct BaseClient {
     client: Client,
     url: String,
 }
 
-impl Base {
+impl BaseClient {
     /// A client for `url` whose answers begin within `timeout`.
-    pub fn new(url: &str, timeout: Duration, reuse: Reuse) -> Base {
-        Base::from(url, timeout, reuse, None)
+    pub fn new(url: &str, timeout: Duration, reuse: ConnectionReuse) -> BaseClient {
+        BaseClient::from(url, timeout, reuse, None)
     }
 
-    /// As [`Base::new`], with connections that come from an address of this instance.
-    pub fn from(url: &str, timeout: Duration, reuse: Reuse, source: Option<IpAddr>) -> Base {
+    /// As [`BaseClient::new`], with connections that come from an address of this instance.
+    pub fn from(
+        url: &str,
+        timeout: Duration,
+        reuse: ConnectionReuse,
+        source: Option<IpAddr>,
+    ) -> BaseClient {
         let mut connector = Connector::new().timeout(timeout).limit(0);
         if let Some(source) = source {
             connector = connector.local_address(source);
         }
-        if reuse == Reuse::Fresh {
+        if reuse == ConnectionReuse::PerCall {
             connector = connector.conn_keep_alive(Duration::ZERO);
         }
         let client = Client::builder()
             .connector(connector)
             .timeout(timeout)
             .finish();
-        Base {
+        BaseClient {
             client,
             url: url.trim_end_matches('/').to_owned(),
         }
@@ -71,19 +76,29 @@
 
     /// Gets JSON.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Fault> {
-        let res = self.client.get(self.url(path)).send().await.map_err(sent)?;
-        json(success(res).await?).await
+        let res = self
+            .client
+            .get(self.url(path))
+            .send()
+            .await
+            .map_err(send_error)?;
+        json(error_for_status(res).await?).await
     }
 
     /// Gets bytes, at most `max_bytes` of them.
     pub async fn bytes(&self, path: &str, max_bytes: usize) -> Result<Bytes, Fault> {
-        let res = self.client.get(self.url(path)).send().await.map_err(sent)?;
-        success(res)
+        let res = self
+            .client
+            .get(self.url(path))
+            .send()
+            .await
+            .map_err(send_error)?;
+        error_for_status(res)
             .await?
             .body()
             .limit(max_bytes)
             .await
-            .map_err(received)
+            .map_err(receive_error)
     }
 
     /// Posts JSON and reads JSON.
@@ -97,13 +112,13 @@
             .post(self.url(path))
             .send_json(body)
             .await
-            .map_err(sent)?;
-        json(success(res).await?).await
+            .map_err(send_error)?;
+        json(error_for_status(res).await?).await
     }
 }
 
 /// Gives the answer back if it is a success, else the fault that it stands for.
-pub async fn success<S>(mut res: ClientResponse<S>) -> Result<ClientResponse<S>, Fault>
+pub async fn error_for_status<S>(mut res: ClientResponse<S>) -> Result<ClientResponse<S>, Fault>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
@@ -125,7 +140,7 @@
 }
 
 /// The fault behind a failure to send.
-pub fn sent(error: SendRequestError) -> Fault {
+pub fn send_error(error: SendRequestError) -> Fault {
     match error {
         // The client's name for a connection that closed after the request went out.
         SendRequestError::Connect(ConnectError::Disconnected) => Fault::Lost,
@@ -140,12 +155,12 @@
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
     res.json().limit(MAX_JSON).await.map_err(|it| match it {
-        JsonPayloadError::Payload(it) => received(it),
+        JsonPayloadError::Payload(it) => receive_error(it),
         _ => Fault::Malformed,
     })
 }
 
-fn received(error: PayloadError) -> Fault {
+fn receive_error(error: PayloadError) -> Fault {
     match error {
         PayloadError::Overflow | PayloadError::EncodingCorrupted => Fault::Malformed,
         _ => Fault::Lost,
--- a/crates/gradeloft_platform/src/lib.rs
+++ b/crates/gradeloft_platform/src/lib.rs
@@ -24,7 +24,7 @@
 use futures_util::future::LocalBoxFuture;
 
 /// What a call gives, later.
-pub type Answer<'a, T> = LocalBoxFuture<'a, Result<T, Fault>>;
+pub type CallFuture<'a, T> = LocalBoxFuture<'a, Result<T, Fault>>;
 
 /// Why a call to the platform or an endpoint failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -72,6 +72,7 @@
 /// The names that most users of this crate want.
 pub mod prelude {
     pub use crate::{
-        Answer, Fault, endpoint::Engine, endpoint::Service, list::List, log::Log, weights::Weights,
+        CallFuture, Fault, endpoint::Engine, endpoint::Service, list::InstanceList, log::Log,
+        weights::WeightSource,
     };
 }
--- a/crates/gradeloft_platform/src/list.rs
+++ b/crates/gradeloft_platform/src/list.rs
@@ -6,29 +6,29 @@
 use gradeloft_wire::border::platform::{Instance, Instances};
 
 use crate::{
-    Answer,
-    http::{Base, Reuse},
+    CallFuture,
+    http::{BaseClient, ConnectionReuse},
 };
 
 /// The list, as gradeloft uses it.
-pub trait List {
+pub trait InstanceList {
     /// All instances that the platform knows of.
-    fn instances(&self) -> Answer<'_, Vec<Instance>>;
+    fn instances(&self) -> CallFuture<'_, Vec<Instance>>;
 }
 
 /// The list over HTTP.
 #[derive(Clone)]
-pub struct Http(Base);
+pub struct Http(BaseClient);
 
 impl Http {
     /// A list at a base URL.
     pub fn new(url: &str, timeout: Duration) -> Http {
-        Http(Base::new(url, timeout, Reuse::Kept))
+        Http(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
 }
 
-impl List for Http {
-    fn instances(&self) -> Answer<'_, Vec<Instance>> {
+impl InstanceList for Http {
+    fn instances(&self) -> CallFuture<'_, Vec<Instance>> {
         async move {
             let list: Instances = self.0.get("/v1/instances").await?;
             Ok(list.instances)
--- a/crates/gradeloft_platform/src/log.rs
+++ b/crates/gradeloft_platform/src/log.rs
@@ -7,8 +7,8 @@
 use gradeloft_wire::border::platform;
 
 use crate::{
-    Answer, Fault,
-    http::{Base, Reuse},
+    CallFuture, Fault,
+    http::{BaseClient, ConnectionReuse},
 };
 
 /// A record of a stream.
@@ -36,24 +36,24 @@
 /// The log, as gradeloft uses it.
 pub trait Log {
     /// Appends records in one step and gives the offset of the first.
-    fn append<'a>(&'a self, stream: &'a str, records: &'a [Vec<u8>]) -> Answer<'a, u64>;
+    fn append<'a>(&'a self, stream: &'a str, records: &'a [Vec<u8>]) -> CallFuture<'a, u64>;
     /// Reads from `from`, or from the oldest kept; waits up to `wait_ms` for something new.
-    fn read<'a>(&'a self, stream: &'a str, from: u64, wait_ms: u64) -> Answer<'a, Page>;
+    fn read<'a>(&'a self, stream: &'a str, from: u64, wait_ms: u64) -> CallFuture<'a, Page>;
 }
 
 /// The log over HTTP.
 #[derive(Clone)]
-pub struct Http(Base);
+pub struct Http(BaseClient);
 
 impl Http {
     /// A log at a base URL.
     pub fn new(url: &str, timeout: Duration) -> Http {
-        Http(Base::new(url, timeout, Reuse::Kept))
+        Http(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
 }
 
 impl Log for Http {
-    fn append<'a>(&'a self, stream: &'a str, records: &'a [Vec<u8>]) -> Answer<'a, u64> {
+    fn append<'a>(&'a self, stream: &'a str, records: &'a [Vec<u8>]) -> CallFuture<'a, u64> {
         async move {
             let records = records.iter().map(|it| STANDARD.encode(it)).collect();
             let body = platform::Append { records };
@@ -66,7 +66,7 @@
         .boxed_local()
     }
 
-    fn read<'a>(&'a self, stream: &'a str, from: u64, wait_ms: u64) -> Answer<'a, Page> {
+    fn read<'a>(&'a self, stream: &'a str, from: u64, wait_ms: u64) -> CallFuture<'a, Page> {
         async move {
             let path = format!("/v1/streams/{stream}/records?from={from}&wait_ms={wait_ms}");
             let page: platform::Page = self.0.get(&path).await?;
--- a/crates/gradeloft_platform/src/weights.rs
+++ b/crates/gradeloft_platform/src/weights.rs
@@ -7,29 +7,34 @@
 use gradeloft_wire::id::Digest;
 
 use crate::{
-    Answer,
-    http::{Base, Reuse},
+    CallFuture,
+    http::{BaseClient, ConnectionReuse},
 };
 
 /// A source of weights outside the fleet.
-pub trait Weights {
+pub trait WeightSource {
     /// Content named by a digest, at most `max_bytes`; the caller checks the digest.
-    fn content(&self, digest: Digest, max_bytes: usize) -> Answer<'_, Bytes>;
+    fn content(&self, digest: Digest, max_bytes: usize) -> CallFuture<'_, Bytes>;
 }
 
 /// A source over HTTP.
 #[derive(Clone)]
-pub struct Http(Base);
+pub struct Http(BaseClient);
 
 impl Http {
     /// A source at a base URL, read from an address of this instance if one is given.
     pub fn new(url: &str, timeout: Duration, source: Option<IpAddr>) -> Http {
-        Http(Base::from(url, timeout, Reuse::Kept, source))
+        Http(BaseClient::from(
+            url,
+            timeout,
+            ConnectionReuse::KeepAlive,
+            source,
+        ))
     }
 }
 
-impl Weights for Http {
-    fn content(&self, digest: Digest, max_bytes: usize) -> Answer<'_, Bytes> {
+impl WeightSource for Http {
+    fn content(&self, digest: Digest, max_bytes: usize) -> CallFuture<'_, Bytes> {
         async move {
             self.0
                 .bytes(&format!("/v1/content/{digest}"), max_bytes)
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use gradeloft_platform::{
-    Answer, Fault,
+    CallFuture, Fault,
     fleet::{Put, READ_GRACE, Store, TableRead},
 };
 use gradeloft_policy::process::mirror::{Record, Update};
@@ -135,7 +135,7 @@
 }
 
 impl Store for Tables {
-    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> Answer<'_, TableRead> {
+    fn follow(&self, table: Table, from: u64, wait_ms: u64) -> CallFuture<'_, TableRead> {
         async move {
             self.called().await?;
             if from < self.dropped.borrow().get(&table).copied().unwrap_or(0) {
@@ -176,7 +176,7 @@
         .boxed_local()
     }
 
-    fn snapshot(&self, table: Table) -> Answer<'_, Update> {
+    fn snapshot(&self, table: Table) -> CallFuture<'_, Update> {
         async move {
             *self.snapshots.borrow_mut().entry(table).or_default() += 1;
             self.called().await?;
@@ -196,7 +196,7 @@
         .boxed_local()
     }
 
-    fn write(&self, rows: Vec<Put>) -> Answer<'_, ()> {
+    fn write(&self, rows: Vec<Put>) -> CallFuture<'_, ()> {
         async move {
             self.writes.set(self.writes.get() + 1);
             self.called().await?;
