--- a/crates/gradeloft_platform/src/endpoint.rs
+++ b/crates/gradeloft_platform/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints beside agents: model engines and plain services.
+//! Clients for the endpoints behind agents: model engines and plain services.
 
 use std::time::Duration;
 
@@ -16,77 +16,79 @@
     http::{BaseClient, ConnectionReuse, error_for_status, send_error},
 };
 
-/// Header that carries a request's id to an endpoint and back.
+/// Header with the request id, sent to an endpoint and echoed in its response.
 pub const REQUEST_ID: &str = "x-request-id";
+/// Name of the server-sent event that ends a generation.
 const END_EVENT: &str = "end";
 
-/// One event of a generated answer.
+/// An event of a generation stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GenerationEvent {
     /// A token.
     Token(EngineToken),
-    /// The end of a whole answer.
+    /// The end of a complete generation.
     End(EngineEnd),
 }
 
-/// A generated answer as it comes; dropping it cancels the request.
+/// Events of a generation as they arrive; dropping the stream cancels the request.
 pub type GenerationStream = LocalBoxStream<'static, Result<GenerationEvent, Fault>>;
 
-/// A service's answer; dropping the body ends the call.
+/// A response of a plain service; dropping the body ends the call.
 pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type; empty for none.
+    /// Content type; empty if the header is missing.
     pub content_type: String,
-    /// The id that the endpoint echoes, if it does.
+    /// Request id that the endpoint echoed, if any.
     pub echoed_id: Option<RequestId>,
-    /// Body as it comes.
+    /// Body, streamed as it arrives.
     pub body: LocalBoxStream<'static, Result<Bytes, Fault>>,
 }
 
-/// A call to a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceRequest {
-    /// Id to echo.
+    /// Request id, which the endpoint echoes.
     pub id: RequestId,
     /// HTTP method.
     pub method: String,
-    /// Path and query; begins with a slash.
+    /// Path and query, with the leading slash.
     pub path: String,
-    /// Content type; empty for none.
+    /// Content type; empty if the header is missing.
     pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A model engine, as its agent uses it.
+/// Interface of a model engine to its agent.
 pub trait Engine {
-    /// What it serves and how busy it is.
+    /// Returns the weights that the engine serves and its load.
     fn state(&self) -> CallFuture<'_, EngineState>;
-    /// Hands over content that a later order loads.
+    /// Stages content for a later load order.
     fn stage(&self, digest: Digest, content: Bytes) -> CallFuture<'_, ()>;
-    /// Digests of the content that it holds.
+    /// Returns the digests of the staged content.
     fn staged(&self) -> CallFuture<'_, Vec<Digest>>;
-    /// Gives an order; [`Fault::Refused`] when its fence is stale or content is missing.
+    /// Sends an order; [`Fault::Refused`] if its fence is stale or content is missing.
     fn order<'a>(&'a self, order: &'a Order) -> CallFuture<'a, ()>;
-    /// Starts to generate; [`Fault::Refused`] and [`Fault::Limited`] mean that nothing ran.
+    /// Starts a generation; [`Fault::Refused`] and [`Fault::Limited`] mean that nothing ran.
     fn generate<'a>(&'a self, request: &'a EngineRequest) -> CallFuture<'a, GenerationStream>;
 }
 
-/// A plain service, as its agent uses it.
+/// Interface of a plain service to its agent.
 pub trait Service {
-    /// Calls it once, on a connection of its own.
+    /// Sends a request once, on a new connection.
     fn call(&self, request: ServiceRequest) -> CallFuture<'_, ServiceResponse>;
-    /// Whether it answers at all.
+    /// Checks that the service responds to a health check.
     fn check_health(&self) -> CallFuture<'_, ()>;
 }
 
-/// An engine over HTTP.
+/// A client of an engine over HTTP.
 #[derive(Clone)]
 pub struct HttpEngine(BaseClient);
 
 impl HttpEngine {
-    /// An engine at a base URL.
+    /// Creates a client of the engine at a base URL; `timeout` limits the time to the response
+    /// head.
     pub fn new(url: &str, timeout: Duration) -> HttpEngine {
         HttpEngine(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
@@ -114,8 +116,8 @@
 
     fn staged(&self) -> CallFuture<'_, Vec<Digest>> {
         async move {
-            let names: Vec<String> = self.0.get("/v1/content").await?;
-            names
+            let digests: Vec<String> = self.0.get("/v1/content").await?;
+            digests
                 .iter()
                 .map(|it| it.parse().map_err(|_| Fault::Malformed))
                 .collect()
@@ -137,14 +139,15 @@
             let call = self.0.client().post(self.0.url("/v1/generate"));
             let res = call.send_json(request).await.map_err(send_error)?;
             let events = error_for_status(res).await?.eventsource();
-            let events = events.map(|it| it.map_err(|_| Fault::Lost).and_then(|it| event(&it)));
+            let events =
+                events.map(|it| it.map_err(|_| Fault::Lost).and_then(|it| decode_event(&it)));
             Ok(events.boxed_local())
         }
         .boxed_local()
     }
 }
 
-fn event(event: &Event) -> Result<GenerationEvent, Fault> {
+fn decode_event(event: &Event) -> Result<GenerationEvent, Fault> {
     let parsed = if event.event == END_EVENT {
         serde_json::from_str(&event.data).map(GenerationEvent::End)
     } else {
@@ -153,12 +156,13 @@
     parsed.map_err(|_| Fault::Malformed)
 }
 
-/// A plain service over HTTP.
+/// A client of a plain service over HTTP.
 #[derive(Clone)]
 pub struct HttpService(BaseClient);
 
 impl HttpService {
-    /// A service at a base URL.
+    /// Creates a client of the service at a base URL; `timeout` limits the time to the response
+    /// head.
     pub fn new(url: &str, timeout: Duration) -> HttpService {
         HttpService(BaseClient::new(url, timeout, ConnectionReuse::PerCall))
     }
@@ -178,14 +182,14 @@
                 call = call.insert_header((header::CONTENT_TYPE, request.content_type));
             }
             let res = call.send_body(request.body).await.map_err(send_error)?;
-            let text = |name: &str| {
+            let header_text = |name: &str| {
                 res.headers()
                     .get(name)
                     .and_then(|it| it.to_str().ok())
                     .unwrap_or_default()
             };
-            let echoed_id = text(REQUEST_ID).parse().ok();
-            let content_type = text(header::CONTENT_TYPE.as_str()).to_owned();
+            let echoed_id = header_text(REQUEST_ID).parse().ok();
+            let content_type = header_text(header::CONTENT_TYPE.as_str()).to_owned();
             let status = res.status().as_u16();
             let body = res.map(|it| it.map_err(|_| Fault::Lost)).boxed_local();
             Ok(ServiceResponse {
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A platform that keeps tables of records, and model engines that take weights in numbered pieces.
+//! Interface to a platform with tables of records, and with model engines that load weights from
+//! numbered pieces.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,23 +14,23 @@
 
 use crate::CallFuture;
 
-/// Time after the end of a read's wait by which an answer begins that comes at all, where answers are
-/// quick. What is written is to be in force two seconds later: a wait of 1.3 s, this, and a read without a
-/// wait on a new connection, for which 0.3 s are left.
+/// Time after the end of a long poll's wait within which its response has to begin, if the store
+/// responds quickly. A write has to be in force within two seconds, which have to suffice for a
+/// wait of 1.3 s, this time, and a read without a wait on a new connection (0.3 s).
 pub const READ_GRACE: Duration = Duration::from_millis(400);
 
-/// What reading a table gives.
+/// The result of reading a table from an offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TableRead {
-    /// The records asked for were dropped: only a snapshot helps.
+    /// The store no longer has the requested records; a snapshot has to be read instead.
     Truncated,
-    /// The first of the records: the others follow from the end of these.
+    /// The first records; a read from the end of these returns more.
     Partial(Update),
-    /// The records, none if the wait passed without any.
+    /// All records from the offset on; empty if none was written during the wait.
     Complete(Update),
 }
 
-/// A record that entries write into their table.
+/// A record for the table of entries.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Put {
     /// Key.
@@ -38,32 +39,33 @@
     pub value: Option<Bytes>,
 }
 
-/// The platform's tables.
+/// The tables in the platform's store.
 pub trait Store {
-    /// The records from offset `from` on; waits up to `wait_ms` for the first. Fails once the answer is
-    /// overdue by [`READ_GRACE`].
+    /// Reads the records from offset `from` on, with a long poll of up to `wait_ms` for the first
+    /// one. Fails if the response has not begun [`READ_GRACE`] after the wait.
     fn follow(&self, table: Table, from: u64, wait_ms: u64) -> CallFuture<'_, TableRead>;
-    /// The newest record of every key.
+    /// Reads the latest record of each key.
     fn snapshot(&self, table: Table) -> CallFuture<'_, Update>;
-    /// Writes records of the table of entries, all of them or none.
+    /// Writes records to the table of entries atomically.
     fn write(&self, rows: Vec<Put>) -> CallFuture<'_, ()>;
 }
 
-/// A record that the operator wrote.
+/// A decoded record of the operator's table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRecord {
     /// A version of the configuration.
     Config(Box<Document>),
-    /// Nothing more goes to the replicas of an availability zone, or that is taken back.
+    /// The start or end of the evacuation of an availability zone: its replicas get no new
+    /// requests.
     Evacuation {
         /// Availability zone.
         zone: String,
-        /// Whether it is in force.
+        /// Whether the evacuation is in force.
         active: bool,
     },
-    /// Nothing that concerns gradeloft.
+    /// A record that gradeloft does not use.
     Other,
-    /// The version of a model's weights that replicas are to serve.
+    /// The version of a model's weights that replicas have to serve.
     Weights {
         /// Model.
         model: String,
@@ -72,83 +74,83 @@
     },
 }
 
-/// Reads the platform's records.
+/// Decodes the platform's records.
 pub trait Decoder {
-    /// A record of the operator's, which may be the removal of one.
+    /// Decodes a record of the operator's table; a record without a value is a deletion.
     fn operator_record(&self, record: &Record) -> Result<OperatorRecord, String>;
-    /// Value that tells an agent as much as a record of the operator's does: a configuration without
-    /// keys, and with only so many routes that [`Document::resumes`] says the same of every service.
-    /// `None` where it is the record's own.
+    /// Returns a shorter value of an operator's record with all that agents use: a configuration
+    /// without keys, and with only the routes that [`Document::resumes`] needs for the same result
+    /// for each service. Returns `None` if the record can't be shortened.
     fn abridge(&self, _record: &Record) -> Result<Option<Bytes>, String> {
         Ok(None)
     }
-    /// A replica's record.
+    /// Decodes a record of the replicas' table.
     fn listing(&self, record: &Record) -> Result<Listing, String>;
 }
 
-/// What an engine says of itself.
+/// State that an engine reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct State {
-    /// Unix millisecond of its start, where it says so.
+    /// Start time of the engine in Unix milliseconds, if reported.
     pub born: Option<u64>,
-    /// Version of the layers that it holds, if it holds all of them.
+    /// Version of the loaded weights, if all layers are loaded.
     pub version: Option<u64>,
-    /// Whether an order is in progress.
+    /// Whether a load order is in progress.
     pub busy: bool,
-    /// Requests that run.
+    /// Number of running requests.
     pub active: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
 }
 
-/// An order to load what is staged.
+/// An order to load the staged weights.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Load<'a> {
     /// Model.
     pub model: &'a str,
-    /// Version of what is staged.
+    /// Version of the staged weights.
     pub version: u64,
-    /// Refused by engines that have seen a higher one.
+    /// Fencing token; engines refuse orders with a lower one than they have seen.
     pub fence: u64,
-    /// What becomes of the requests that run.
+    /// Whether running requests are cut off or finish first.
     pub running: RunningRequests,
 }
 
-/// How an engine took an order.
+/// Response of an engine to a load order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadOutcome {
-    /// It does not fit the engine's state.
+    /// The order conflicts with the engine's state.
     Conflict,
-    /// A higher fence has been used.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// It has begun, or is in effect already.
+    /// Loading has started, or the weights are loaded already.
     Started,
 }
 
-/// The engine on this agent's own instance.
+/// Interface of the model engine on the agent's instance.
 pub trait Engine {
-    /// What it serves and how busy it is.
+    /// Returns the engine's state.
     fn state(&self) -> CallFuture<'_, State>;
-    /// Positions of the pieces that lie staged.
+    /// Returns the positions of the staged pieces.
     fn staged<'a>(&'a self, model: &'a str) -> CallFuture<'a, Vec<u32>>;
-    /// Content of a staged piece; whether it is the right one is the caller's to check.
+    /// Returns the content of a staged piece; the caller checks its digest.
     fn piece<'a>(&'a self, model: &'a str, idx: u32) -> CallFuture<'a, Bytes>;
-    /// Stages a piece in place of what lies there.
+    /// Stages a piece, replacing the one at this position.
     fn stage<'a>(&'a self, model: &'a str, idx: u32, content: Bytes) -> CallFuture<'a, ()>;
-    /// Orders it to load what is staged.
+    /// Orders the engine to load the staged weights.
     fn load<'a>(&'a self, load: Load<'a>) -> CallFuture<'a, LoadOutcome>;
 }
 
-/// The origin of weights.
+/// Interface of the origin of weights.
 pub trait Origin {
-    /// Digests of a version's pieces, in order.
+    /// Returns the digests of a version's pieces, in order.
     fn manifest<'a>(
         &'a self,
         address: SocketAddr,
         model: &'a str,
         version: u64,
     ) -> CallFuture<'a, Vec<Digest>>;
-    /// Content of a piece; the caller checks its digest.
+    /// Returns the content of a piece; the caller checks its digest.
     fn piece<'a>(
         &'a self,
         address: SocketAddr,
@@ -156,56 +158,57 @@
         version: u64,
         idx: u32,
     ) -> CallFuture<'a, Bytes>;
-    /// Digest of content, by the function that the manifest uses.
+    /// Returns the digest of content, computed with the manifest's hash function.
     fn digest(&self, content: &[u8]) -> Digest;
 }
 
-/// Names of the headers that callers, entries and replicas use. All are in lower case.
+/// Names of the headers that callers, entries and replicas use.
 #[derive(Clone, Copy, Debug)]
 pub struct Headers {
-    /// Names one attempt of a caller; replicas echo it.
+    /// Id of a caller's attempt; replicas echo it.
     pub attempt_id: &'static str,
-    /// Milliseconds that the caller still waits.
+    /// Time left until the caller's deadline, in milliseconds.
     pub deadline: &'static str,
-    /// Proves the caller's team; never passed on.
+    /// API key of the caller's team; never forwarded.
     pub api_key: &'static str,
-    /// Tells the replica the team.
+    /// Team of the caller, set for the replica.
     pub team: &'static str,
-    /// Pins a request to one start of a replica.
+    /// Id of the replica, including its start, that has to run the request.
     pub target_replica: &'static str,
-    /// Names the replica that gives an answer.
+    /// Id of the replica that responds.
     pub replica_id: &'static str,
-    /// Pins a request to a version of weights.
+    /// Version of weights that has to run the request.
     pub expected_version: &'static str,
-    /// Tokens of the prompt and the most that an answer may have, with a comma between.
+    /// Number of prompt tokens and limit of output tokens, separated by a comma.
     pub tokens: &'static str,
-    /// Rank of a request in its replica's queue.
+    /// Priority of the request in the replica's queue.
     pub priority: &'static str,
-    /// Marks an answer as a replica's own.
+    /// Marks a response as created by a replica.
     pub seal: &'static str,
-    /// Says that the replica ran nothing.
+    /// Marks a response to a request that the replica did not execute.
     pub not_executed: &'static str,
 }
 
-/// What a caller says when it asks for addresses.
+/// Parameters of a caller's address lookup.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Lookup {
-    /// Host that it is to reach; empty if it does not say.
+    /// Host to look up; empty if not given.
     pub host: String,
-    /// Its region, if it says.
+    /// Region of the caller, if given.
     pub region: Option<String>,
 }
 
-/// How callers and the platform ask an entry for what is no request to forward.
+/// Protocol of the address lookups and readiness checks that an entry answers itself.
 pub trait Directory {
-    /// Path at which callers ask for addresses.
+    /// Returns the path of address lookups.
     fn lookup_path(&self) -> &str;
-    /// What the query of a look-up says.
+    /// Parses the query of an address lookup.
     fn lookup(&self, _query: &str) -> Lookup {
         Lookup::default()
     }
-    /// Path at which the platform asks whether an entry is ready.
+    /// Returns the path of readiness checks.
     fn readiness_path(&self) -> &str;
-    /// Body of an answer that names addresses, which callers keep for `ttl_s` seconds.
+    /// Returns the response body with the addresses of a lookup, which callers cache for `ttl_s`
+    /// seconds.
     fn addresses(&self, addresses: &[SocketAddr], ttl_s: u64) -> Vec<u8>;
 }
--- a/crates/gradeloft_platform/src/http.rs
+++ b/crates/gradeloft_platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the adapters share.
+//! HTTP client shared by the adapters.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -13,21 +13,22 @@
 
 use crate::Fault;
 
-/// Largest JSON answer read, in bytes.
-const MAX_JSON: usize = 8 << 20;
+/// Limit for a JSON response body, in bytes.
+const MAX_JSON_BYTES: usize = 8 << 20;
+/// Delay before a retry if the response names none, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
 
-/// Whether a connection serves several calls.
+/// Whether a connection is used for several calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionReuse {
-    /// Kept open for the next call.
+    /// Connections stay open for the next call.
     KeepAlive,
-    /// A fresh one for each call, so that a connection that the other side closed meanwhile
-    /// can't be mistaken for a lost reply.
+    /// Each call opens a connection, so that an idle connection that the server has closed is not
+    /// mistaken for a lost reply.
     PerCall,
 }
 
-/// One service's base URL and the client for it.
+/// An HTTP client for one base URL.
 #[derive(Clone)]
 pub struct BaseClient {
     client: Client,
@@ -35,12 +36,13 @@
 }
 
 impl BaseClient {
-    /// A client for `url` whose answers begin within `timeout`.
+    /// Creates a client for `url`; `timeout` limits the time to connect and the time to the
+    /// response head.
     pub fn new(url: &str, timeout: Duration, reuse: ConnectionReuse) -> BaseClient {
         BaseClient::from(url, timeout, reuse, None)
     }
 
-    /// As [`BaseClient::new`], with connections that come from an address of this instance.
+    /// Creates a client as [`BaseClient::new`] does, with a local address to connect from.
     pub fn from(
         url: &str,
         timeout: Duration,
@@ -64,17 +66,17 @@
         }
     }
 
-    /// The client, for calls that are no plain JSON.
+    /// Returns the HTTP client, for calls without JSON.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Whole URL of `path`, which begins with a slash.
+    /// Returns the URL of `path`, which begins with a slash.
     pub fn url(&self, path: &str) -> String {
         format!("{}{path}", self.url)
     }
 
-    /// Gets JSON.
+    /// Sends a GET request and decodes the JSON response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Fault> {
         let res = self
             .client
@@ -82,10 +84,10 @@
             .send()
             .await
             .map_err(send_error)?;
-        json(error_for_status(res).await?).await
+        decode_json(error_for_status(res).await?).await
     }
 
-    /// Gets bytes, at most `max_bytes` of them.
+    /// Sends a GET request and returns the response body of at most `max_bytes`.
     pub async fn bytes(&self, path: &str, max_bytes: usize) -> Result<Bytes, Fault> {
         let res = self
             .client
@@ -101,7 +103,7 @@
             .map_err(receive_error)
     }
 
-    /// Posts JSON and reads JSON.
+    /// Sends a POST request with a JSON body and decodes the JSON response.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -113,11 +115,11 @@
             .send_json(body)
             .await
             .map_err(send_error)?;
-        json(error_for_status(res).await?).await
+        decode_json(error_for_status(res).await?).await
     }
 }
 
-/// Gives the answer back if it is a success, else the fault that it stands for.
+/// Returns the response if its status is a success, or else the matching fault.
 pub async fn error_for_status<S>(mut res: ClientResponse<S>) -> Result<ClientResponse<S>, Fault>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
@@ -129,37 +131,41 @@
     match status {
         StatusCode::NOT_FOUND => Err(Fault::Missing),
         StatusCode::TOO_MANY_REQUESTS => Err(Fault::Limited {
-            retry_after_ms: retry_after(&res),
+            retry_after_ms: retry_after_ms(&res),
         }),
         StatusCode::CONFLICT | StatusCode::SERVICE_UNAVAILABLE => {
-            let body = res.body().limit(MAX_JSON).await.unwrap_or_default();
-            Err(Fault::Refused(reason(&body)))
+            let body = res.body().limit(MAX_JSON_BYTES).await.unwrap_or_default();
+            Err(Fault::Refused(refusal_reason(&body)))
         }
         _ => Err(Fault::Status(status.as_u16())),
     }
 }
 
-/// The fault behind a failure to send.
+/// Maps an error of sending a request to a fault.
 pub fn send_error(error: SendRequestError) -> Fault {
     match error {
-        // The client's name for a connection that closed after the request went out.
+        // awc returns this if the connection closed after the request was sent.
         SendRequestError::Connect(ConnectError::Disconnected) => Fault::Lost,
         SendRequestError::Connect(_) | SendRequestError::Url(_) => Fault::Unreachable,
         _ => Fault::Lost,
     }
 }
 
-async fn json<T, S>(mut res: ClientResponse<S>) -> Result<T, Fault>
+async fn decode_json<T, S>(mut res: ClientResponse<S>) -> Result<T, Fault>
 where
     T: DeserializeOwned,
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
-    res.json().limit(MAX_JSON).await.map_err(|it| match it {
-        JsonPayloadError::Payload(it) => receive_error(it),
-        _ => Fault::Malformed,
-    })
+    res.json()
+        .limit(MAX_JSON_BYTES)
+        .await
+        .map_err(|it| match it {
+            JsonPayloadError::Payload(it) => receive_error(it),
+            _ => Fault::Malformed,
+        })
 }
 
+/// Maps an error of receiving a response body to a fault.
 fn receive_error(error: PayloadError) -> Fault {
     match error {
         PayloadError::Overflow | PayloadError::EncodingCorrupted => Fault::Malformed,
@@ -167,7 +173,8 @@
     }
 }
 
-fn retry_after<S>(res: &ClientResponse<S>) -> u64 {
+/// Returns the delay of the `Retry-After` header, in milliseconds.
+fn retry_after_ms<S>(res: &ClientResponse<S>) -> u64 {
     let seconds = res
         .headers()
         .get(header::RETRY_AFTER)
@@ -177,7 +184,8 @@
         .map_or(DEFAULT_RETRY_AFTER_MS, |it| (it * 1000.0) as u64)
 }
 
-fn reason(body: &[u8]) -> String {
+/// Returns the reason in the body of a refusal.
+fn refusal_reason(body: &[u8]) -> String {
     let refused: Result<gradeloft_wire::border::platform::Refused, _> =
         serde_json::from_slice(body);
     refused.map_or_else(|_| "no reason given".to_owned(), |it| it.reason)
--- a/crates/gradeloft_platform/src/lib.rs
+++ b/crates/gradeloft_platform/src/lib.rs
@@ -1,16 +1,16 @@
-//! The platform's services and the endpoints, as gradeloft uses them: a trait for each, and its
-//! HTTP adapter.
+//! Interfaces to the platform's services and to endpoints: a trait for each, with an HTTP
+//! implementation.
 //!
 //! - [`endpoint`]: model engines and plain services.
-//! - [`fleet`]: the store, engines and origin of a platform that keeps tables and cuts weights into
+//! - [`fleet`]: the store, engines and origin of a platform with tables of records and weights in
 //!   numbered pieces.
-//! - [`http`]: the client that the adapters share.
+//! - [`http`]: the HTTP client shared by the implementations.
 //! - [`list`]: the list of instances.
 //! - [`log`]: the append-only log.
 //! - [`weights`]: the weight store and the origin.
 //!
-//! Decisions know the traits only, so an adapter for another protocol replaces one of these
-//! without touching them.
+//! The other crates depend on the traits only, so an implementation can be replaced by one for
+//! another protocol without changes to them.
 
 pub mod endpoint;
 pub mod fleet;
@@ -23,33 +23,33 @@
 
 use futures_util::future::LocalBoxFuture;
 
-/// What a call gives, later.
+/// Future of a call to the platform or an endpoint.
 pub type CallFuture<'a, T> = LocalBoxFuture<'a, Result<T, Fault>>;
 
 /// Why a call to the platform or an endpoint failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// The answer began, and broke off or stopped: the call may have taken effect.
+    /// The response was interrupted after it began; the call may have taken effect.
     Broken,
-    /// The other side asks to come back after so many milliseconds; it did nothing.
+    /// The call was rate limited and had no effect.
     Limited {
-        /// Milliseconds to wait.
+        /// Time until a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The connection broke, or the time ran out, after something was sent: the call may have
+    /// The connection failed, or the call timed out, after something was sent; the call may have
     /// taken effect.
     Lost,
-    /// The answer can't be read.
+    /// The response can't be decoded.
     Malformed,
-    /// It is not there.
+    /// The requested item does not exist.
     Missing,
-    /// The other side refused and did nothing.
+    /// The call was refused for this reason and had no effect.
     Refused(String),
-    /// Another HTTP status.
+    /// The response has another HTTP status.
     Status(u16),
-    /// The answer is larger than what is read at once.
+    /// The response exceeds the size limit.
     TooLarge,
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established; nothing was sent.
     Unreachable,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// The names that most users of this crate want.
+/// Commonly used items of this crate.
 pub mod prelude {
     pub use crate::{
         CallFuture, Fault, endpoint::Engine, endpoint::Service, list::InstanceList, log::Log,
--- a/crates/gradeloft_platform/src/list.rs
+++ b/crates/gradeloft_platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances, which lags.
+//! The platform's list of live and leaving instances, which may be stale.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
     http::{BaseClient, ConnectionReuse},
 };
 
-/// The list, as gradeloft uses it.
+/// Interface of the list of instances.
 pub trait InstanceList {
-    /// All instances that the platform knows of.
+    /// Returns all instances on the list.
     fn instances(&self) -> CallFuture<'_, Vec<Instance>>;
 }
 
-/// The list over HTTP.
+/// A client of the list over HTTP.
 #[derive(Clone)]
 pub struct Http(BaseClient);
 
 impl Http {
-    /// A list at a base URL.
+    /// Creates a client of the list at a base URL; `timeout` limits the time to the response head.
     pub fn new(url: &str, timeout: Duration) -> Http {
         Http(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
--- a/crates/gradeloft_platform/src/log.rs
+++ b/crates/gradeloft_platform/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log.
+//! The platform's append-only log.
 
 use std::time::Duration;
 
@@ -16,37 +16,38 @@
 pub struct Record {
     /// Position in the stream.
     pub offset: u64,
-    /// When the log took it, in milliseconds since 1970 by the log's clock.
+    /// Time of the append in Unix milliseconds, by the log's clock.
     pub time_ms: u64,
     /// Content.
     pub data: Vec<u8>,
 }
 
-/// Part of a stream.
+/// A range of consecutive records of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Page {
     /// Records in order of offset.
     pub records: Vec<Record>,
-    /// Oldest offset still kept.
+    /// Offset of the oldest retained record.
     pub oldest: u64,
-    /// Offset that the next append gets.
+    /// Offset of the next append.
     pub next: u64,
 }
 
-/// The log, as gradeloft uses it.
+/// Interface of the log.
 pub trait Log {
-    /// Appends records in one step and gives the offset of the first.
+    /// Appends records atomically and returns the offset of the first.
     fn append<'a>(&'a self, stream: &'a str, records: &'a [Vec<u8>]) -> CallFuture<'a, u64>;
-    /// Reads from `from`, or from the oldest kept; waits up to `wait_ms` for something new.
+    /// Reads records from offset `from`, or from the oldest retained one if that is later; waits up
+    /// to `wait_ms` for new records.
     fn read<'a>(&'a self, stream: &'a str, from: u64, wait_ms: u64) -> CallFuture<'a, Page>;
 }
 
-/// The log over HTTP.
+/// A client of the log over HTTP.
 #[derive(Clone)]
 pub struct Http(BaseClient);
 
 impl Http {
-    /// A log at a base URL.
+    /// Creates a client of the log at a base URL; `timeout` limits the time to the response head.
     pub fn new(url: &str, timeout: Duration) -> Http {
         Http(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
@@ -73,7 +74,7 @@
             let records = page
                 .records
                 .into_iter()
-                .map(record)
+                .map(decode_record)
                 .collect::<Result<_, _>>()?;
             Ok(Page {
                 records,
@@ -85,7 +86,7 @@
     }
 }
 
-fn record(record: platform::Record) -> Result<Record, Fault> {
+fn decode_record(record: platform::Record) -> Result<Record, Fault> {
     let data = STANDARD.decode(record.data).map_err(|_| Fault::Malformed)?;
     Ok(Record {
         offset: record.offset,
--- a/crates/gradeloft_platform/src/weights.rs
+++ b/crates/gradeloft_platform/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store and the origin: content by digest.
+//! The weight store and the origin, which serve content by digest.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -11,18 +11,20 @@
     http::{BaseClient, ConnectionReuse},
 };
 
-/// A source of weights outside the fleet.
+/// Interface of a weight source other than the instances.
 pub trait WeightSource {
-    /// Content named by a digest, at most `max_bytes`; the caller checks the digest.
+    /// Returns the content with this digest, of at most `max_bytes`; the caller verifies the
+    /// digest.
     fn content(&self, digest: Digest, max_bytes: usize) -> CallFuture<'_, Bytes>;
 }
 
-/// A source over HTTP.
+/// A client of a source over HTTP.
 #[derive(Clone)]
 pub struct Http(BaseClient);
 
 impl Http {
-    /// A source at a base URL, read from an address of this instance if one is given.
+    /// Creates a client of the source at a base URL, with the local address `source` if one is
+    /// given; `timeout` limits the time to the response head.
     pub fn new(url: &str, timeout: Duration, source: Option<IpAddr>) -> Http {
         Http(BaseClient::from(
             url,
