--- a/crates/gradeloft_daemon/src/agent/chunks.rs
+++ b/crates/gradeloft_daemon/src/agent/chunks.rs
@@ -1,4 +1,4 @@
-//! Content held for peers and for the engine, bounded in memory.
+//! In-memory store of chunks and manifests for peers and the engine, bounded in size.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,27 +9,27 @@
 use gradeloft_policy::version::manifest::Manifest;
 use gradeloft_wire::id::Digest;
 
-/// Content by digest. When it outgrows its bound, what came first is dropped first: the chunks of
-/// the oldest version, which the engine has long had.
+/// Content by digest. Beyond the size limit the oldest content is evicted first: it belongs to the
+/// oldest version, which the engine already holds.
 pub struct Chunks {
     content: HashMap<Digest, Bytes>,
     /// Digests in order of arrival, oldest first.
     order: VecDeque<Digest>,
-    /// Sum of the content's sizes; at most `max_bytes`, but for the newest piece.
+    /// Total size of the content. Exceeds `max_bytes` only if the newest item alone does.
     bytes: u64,
     max_bytes: u64,
-    manifests: HashMap<Digest, Known>,
+    manifests: HashMap<Digest, KnownManifest>,
 }
 
-struct Known {
+struct KnownManifest {
     manifest: Rc<Manifest>,
     positions: HashMap<Digest, u32>,
-    /// Positions in order of arrival, so that a follower needs only to remember how many it got.
+    /// Positions in order of arrival, so that the state of a follower is the number sent to it.
     arrived: Vec<u32>,
 }
 
 impl Chunks {
-    /// Nothing yet, and never more than `max_bytes`.
+    /// Creates an empty store for at most `max_bytes` of content.
     pub fn new(max_bytes: u64) -> Chunks {
         Chunks {
             content: HashMap::new(),
@@ -40,24 +40,24 @@
         }
     }
 
-    /// Content that is held.
+    /// Returns content, if it is held.
     pub fn get(&self, digest: Digest) -> Option<Bytes> {
         self.content.get(&digest).cloned()
     }
 
-    /// Whether it is held.
+    /// Returns whether content is held.
     pub fn holds(&self, digest: Digest) -> bool {
         self.content.contains_key(&digest)
     }
 
-    /// Whether a manifest taken in names it.
-    pub fn knows(&self, digest: Digest) -> bool {
+    /// Returns whether a known manifest lists a chunk.
+    pub fn is_listed(&self, digest: Digest) -> bool {
         self.manifests
             .values()
             .any(|it| it.positions.contains_key(&digest))
     }
 
-    /// Keeps content whose digest has been checked.
+    /// Adds content, whose digest must have been verified.
     pub fn insert(&mut self, digest: Digest, content: Bytes) {
         if self.holds(digest) {
             return;
@@ -71,12 +71,12 @@
             }
         }
         while self.max_bytes < self.bytes && 1 < self.order.len() {
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Takes in a manifest, so that peers can follow it.
-    pub fn learn(&mut self, manifest: Rc<Manifest>) {
+    /// Adds a manifest, so that peers can follow its chunks.
+    pub fn insert_manifest(&mut self, manifest: Rc<Manifest>) {
         if self.manifests.contains_key(&manifest.digest) {
             return;
         }
@@ -94,7 +94,7 @@
         let digest = manifest.digest;
         self.manifests.insert(
             digest,
-            Known {
+            KnownManifest {
                 manifest,
                 positions,
                 arrived,
@@ -102,19 +102,19 @@
         );
     }
 
-    /// Forgets the manifests that are not among `wanted`.
+    /// Removes the manifests for which `wanted` returns false.
     pub fn retain_manifests(&mut self, wanted: impl Fn(Digest) -> bool) {
         self.manifests.retain(|digest, _| wanted(*digest));
     }
 
-    /// A manifest taken in before.
+    /// Returns a manifest, if it is known.
     pub fn manifest(&self, digest: Digest) -> Option<Rc<Manifest>> {
         self.manifests
             .get(&digest)
             .map(|it| Rc::clone(&it.manifest))
     }
 
-    /// Positions that arrived after the first `seen` ones.
+    /// Returns the positions of a manifest's chunks in order of arrival, without the first `seen`.
     pub fn arrived(&self, manifest: Digest, seen: usize) -> &[u32] {
         let arrived = self
             .manifests
@@ -123,7 +123,7 @@
         arrived.and_then(|it| it.get(seen..)).unwrap_or_default()
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.order.pop_front() else {
             return;
         };
--- a/crates/gradeloft_daemon/src/agent/claims.rs
+++ b/crates/gradeloft_daemon/src/agent/claims.rs
@@ -1,7 +1,7 @@
-//! Claims on keyed calls, appended to the log in groups and read back.
+//! Claims for keyed calls, appended to the log in batches and read back.
 //!
-//! One task appends whatever waits in one record, then reads the stream past it, so a burst of
-//! calls costs few appends, and a claim is settled only after every claim before it is known.
+//! One task appends all waiting claims as one record, then reads the stream past it. So a burst of
+//! calls needs few appends, and a claim is settled only after every earlier claim is known.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -20,14 +20,14 @@
 use super::{Agent, service::Outcome};
 use crate::node::Node;
 
-/// A claim must be settled within this, in milliseconds.
+/// Time limit from requesting a claim to settling it, in milliseconds.
 const EXPIRY_MS: u64 = 60_000;
-/// Claims appended as one record.
-const GROUP: usize = 256;
+/// Maximum number of claims in one record.
+const MAX_BATCH: usize = 256;
 
 /// Claims of the agent's service.
 pub struct Claims {
-    /// What is known of them.
+    /// Claims and outcomes known to this agent.
     pub table: RefCell<ClaimTable<Outcome>>,
     waiting: RefCell<Vec<(Claim, oneshot::Sender<bool>)>>,
     queued: Notify,
@@ -44,19 +44,19 @@
 }
 
 impl Claims {
-    /// Waits until the claim stands on the log and every record before it has been folded; gives
-    /// `false` when that can't be had now.
-    pub async fn settled(&self, claim: Claim) -> bool {
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().push((claim, tell));
+    /// Appends a claim to the log, and waits until the stream has been read past it. Returns
+    /// `false` if the log fails.
+    pub async fn append(&self, claim: Claim) -> bool {
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().push((claim, sender));
         self.queued.notify_one();
-        told.await.unwrap_or(false)
+        receiver.await.unwrap_or(false)
     }
 
-    /// What to do with a call once its claim is settled, or could not be.
-    pub fn settle(&self, key: Digest, settled: bool, now: Time) -> Step<Outcome> {
+    /// Returns the next step for a call after [`Claims::append`], which returned `appended`.
+    pub fn settle(&self, key: Digest, appended: bool, now: Time) -> Step<Outcome> {
         let mut table = self.table.borrow_mut();
-        if settled {
+        if appended {
             return table.settle(key, now);
         }
         table.abandon(key);
@@ -64,26 +64,26 @@
     }
 }
 
-/// Appends and reads claims as long as the agent runs.
+/// Appends and reads claims while the agent runs.
 pub async fn run(agent: Rc<Agent>, service: String) {
     let stream = format!("{CLAIMS}.{service}");
     let claims = &agent.claims;
-    // Claims of earlier processes; if the log is down now, the next group reads them.
+    // Reads the claims of earlier processes. If this fails, the next batch reads them.
     let _ = read_to_end(&agent.node, claims, &stream).await;
     loop {
         claims.queued.notified().await;
         loop {
-            let group = take(claims);
-            if group.is_empty() {
+            let batch = take_batch(claims);
+            if batch.is_empty() {
                 break;
             }
-            let settled = commit(&agent.node, claims, &stream, &group).await;
-            if let Err(fault) = &settled {
+            let appended = append_batch(&agent.node, claims, &stream, &batch).await;
+            if let Err(fault) = &appended {
                 agent.node.count_platform_failure("log");
-                warn!(agent.node.log, "claims not settled"; "claims" => group.len(), "why" => %fault);
+                warn!(agent.node.log, "claims not settled"; "claims" => batch.len(), "why" => %fault);
             }
-            for (_, tell) in group {
-                let _ = tell.send(settled.is_ok());
+            for (_, sender) in batch {
+                let _ = sender.send(appended.is_ok());
             }
         }
     }
@@ -91,21 +91,21 @@
 
 type Waiting = (Claim, oneshot::Sender<bool>);
 
-fn take(claims: &Claims) -> Vec<Waiting> {
+fn take_batch(claims: &Claims) -> Vec<Waiting> {
     let mut waiting = claims.waiting.borrow_mut();
-    let count = waiting.len().min(GROUP);
+    let count = waiting.len().min(MAX_BATCH);
     waiting.drain(..count).collect()
 }
 
-async fn commit(
+async fn append_batch(
     node: &Node,
     claims: &Claims,
     stream: &str,
-    group: &[Waiting],
+    batch: &[Waiting],
 ) -> Result<(), Fault> {
-    let record = Record::Claims(group.iter().map(|(it, _)| it.clone()).collect()).encode();
+    let record = Record::Claims(batch.iter().map(|(it, _)| it.clone()).collect()).encode();
     match node.platform.log.append(stream, &[record]).await {
-        // Whether a lost append took effect shows when the stream is read.
+        // If the reply was lost, reading the stream shows whether the append took effect.
         Ok(_) | Err(Fault::Lost) => read_to_end(node, claims, stream).await,
         Err(fault) => Err(fault),
     }
--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -1,8 +1,8 @@
-//! Brings the engine to what the bundle wants of it, and keeps it there.
+//! Reconciles the versions that the engine serves with the bundle.
 //!
-//! A version goes through its phases one after the other: its chunks are fetched and staged, the
-//! engine is ordered to load it, and what the engine then says it serves is read back. Only what
-//! was read back is told to entries. A newer bundle ends the work on an older one wherever it is.
+//! A version is deployed in phases: its chunks are fetched and staged, the engine is ordered to load
+//! it, and the engine's state is read back. Entries are notified only of versions that were read back.
+//! A newer bundle cancels the deployment of an older one in any phase.
 
 use std::{rc::Rc, time::Duration};
 
@@ -29,34 +29,34 @@
 
 use super::{
     Agent,
-    fetch::{self, Members},
+    fetch::{self, ListMembers},
     turn,
 };
 
-/// Time between two looks at the engine while nothing is to be done.
-const POLL: Duration = Duration::from_millis(500);
-/// Pause after a failure.
-const RETRY: Duration = Duration::from_millis(150);
-/// Orders to load a version that may fail before it counts as failed on this replica.
-const MAX_ORDERS: u32 = 5;
-/// How often a replica that is to unload a version looks whether requests still run on it.
-const DRAIN_STEP: Duration = Duration::from_millis(20);
+/// Interval between reads of the engine's state while it serves all targets.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before a retry after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Number of failed orders to load a version after which it counts as failed on this replica.
+const MAX_LOAD_ORDERS: u32 = 5;
+/// Interval at which the agent checks for running requests on a version to unload.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-const NO_EPOCH: &str = "no epoch from the log yet, so no order can be given";
+const NO_EPOCH: &str = "no epoch from the log yet, which orders require";
 
-/// Works as long as the agent runs.
+/// Deploys versions while the agent runs.
 pub async fn run(agent: Rc<Agent>, engine: Rc<dyn Engine>) {
     loop {
         let targets = agent.targets();
         tokio::select! {
             () = converge(&agent, &engine, &targets) => {}
-            () = changed(&agent, &targets) => {}
+            () = targets_changed(&agent, &targets) => {}
         }
     }
 }
 
-/// Waits until the bundle and the members give other targets than these.
-async fn changed(agent: &Agent, targets: &[Target]) {
+/// Waits until the bundle or the membership changes the targets.
+async fn targets_changed(agent: &Agent, targets: &[Target]) {
     let mut bundle = agent.node.bundle.subscribe();
     let mut members = agent.node.membership_changes.subscribe();
     loop {
@@ -71,38 +71,39 @@
 }
 
 async fn converge(agent: &Rc<Agent>, engine: &Rc<dyn Engine>, targets: &[Target]) {
-    agent.show(targets);
+    agent.reset_status(targets);
     let mut failed = vec![false; targets.len()];
-    let mut told = false;
+    let mut reported = false;
     loop {
-        let pause = match step(agent, engine, targets, &mut failed).await {
+        let delay = match reconcile(agent, engine, targets, &mut failed).await {
             Ok(()) => {
-                told = told || tell_done(agent, targets, &failed).await;
-                POLL
+                reported = reported || report_done(agent, targets, &failed).await;
+                POLL_INTERVAL
             }
             Err(why) => {
-                info!(agent.node.log, "deployment waits"; "why" => why);
-                RETRY
+                info!(agent.node.log, "deployment not complete; retrying"; "why" => why);
+                RETRY_DELAY
             }
         };
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(delay).await;
     }
 }
 
-/// Lets the next availability zones go on, also where this replica served the versions before the
-/// agent started. Gives whether there is nothing left to tell.
-async fn tell_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
-    let mut told = agent.ordered();
+/// Records in the log that this replica serves the targets, so that the next availability zones can
+/// continue. This includes versions that the engine served before the agent started. Returns whether
+/// all are recorded.
+async fn report_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
+    let mut reported = agent.has_zone_order();
     for (target, _) in targets.iter().zip(failed).filter(|(_, failed)| !**failed) {
         let version = turn::Version::new(&target.pin, target.manifest);
-        told = told && turn::done(agent, &version).await.is_ok();
+        reported = reported && turn::record_done(agent, &version).await.is_ok();
     }
-    told
+    reported
 }
 
-/// One look at the engine, and the work that it shows to be needed. A version that failed here is
-/// left alone until the bundle changes.
-async fn step(
+/// Reads the engine's state, then fetches and loads the targets that it does not serve. A version
+/// that failed on this replica is skipped until the targets change.
+async fn reconcile(
     agent: &Rc<Agent>,
     engine: &Rc<dyn Engine>,
     targets: &[Target],
@@ -113,30 +114,27 @@
         if failed[idx] || serves(&state, target) {
             continue;
         }
-        agent.phase(target, "fetching");
-        prepare(agent, engine, target).await?;
+        agent.set_phase(target, "fetching");
+        stage(agent, engine, target).await?;
         let result = load(agent, engine, target, targets).await;
-        failed[idx] = agent.failed(target);
+        failed[idx] = agent.has_failed(target);
         result?;
     }
     Ok(())
 }
 
-/// Brings every chunk and the manifest to the engine; quick when it holds them already.
-async fn prepare(
-    agent: &Rc<Agent>,
-    engine: &Rc<dyn Engine>,
-    target: &Target,
-) -> Result<(), String> {
+/// Stages all chunks and the manifest in the engine. Chunks that it holds already are skipped.
+async fn stage(agent: &Rc<Agent>, engine: &Rc<dyn Engine>, target: &Target) -> Result<(), String> {
     let members = members(agent, &target.pin.model);
     let objective = agent.objective();
     fetch::run(agent, engine, target.manifest, objective, members).await?;
     let manifest = agent.chunks.borrow().get(target.manifest);
-    let manifest = manifest.ok_or("the manifest was dropped")?;
+    let manifest = manifest.ok_or("the manifest was evicted from memory")?;
     let staged = engine.stage(target.manifest, manifest).await;
     staged.map_err(|it| format!("engine: {it}"))
 }
 
+/// Loads a version once this replica holds a turn, if one is needed.
 async fn load(
     agent: &Rc<Agent>,
     engine: &Rc<dyn Engine>,
@@ -147,9 +145,9 @@
         return Err(NO_EPOCH.to_owned());
     }
     let victim = victim(agent, engine, target, targets).await?;
-    let turn = if agent.ordered() || victim.is_some() {
-        agent.phase(target, "waiting for its turn");
-        Some(turn::take(agent, turn::Version::new(&target.pin, target.manifest)).await?)
+    let turn = if agent.has_zone_order() || victim.is_some() {
+        agent.set_phase(target, "waiting for its turn");
+        Some(turn::acquire(agent, turn::Version::new(&target.pin, target.manifest)).await?)
     } else {
         None
     };
@@ -165,7 +163,7 @@
     result
 }
 
-/// Gives the orders, and reads back what the engine then serves. Tried a few times, because orders
+/// Orders the engine to switch versions, and reads its state back. Loading is retried, since orders
 /// and their replies can be lost.
 async fn switch(
     agent: &Rc<Agent>,
@@ -176,32 +174,32 @@
     if let Some(victim) = victim {
         withdraw(agent, engine, victim).await?;
     }
-    agent.phase(target, "loading");
+    agent.set_phase(target, "loading");
     let mut why = String::new();
-    for _ in 0..MAX_ORDERS {
-        // An engine may have dropped what was staged together with the version withdrawn.
-        prepare(agent, engine, target).await?;
-        let ordered = order(agent, engine, Action::Load, weights(target)).await;
-        // Whatever the reply, what counts is what the engine serves now.
+    for _ in 0..MAX_LOAD_ORDERS {
+        // An engine may drop staged chunks together with a version that it unloads.
+        stage(agent, engine, target).await?;
+        let ordered = send_order(agent, engine, Action::Load, weights(target)).await;
+        // The engine's state decides, whatever the reply was.
         let state = observe(agent, &**engine).await?;
         if serves(&state, target) {
-            agent.phase(target, "serving");
+            agent.set_phase(target, "serving");
             info!(agent.node.log, "version in service"; "model" => &target.pin.model,
                 "version" => &target.pin.version);
             return Ok(());
         }
         why = match ordered {
-            Ok(()) => "the engine took the order and does not serve the version".to_owned(),
+            Ok(()) => "the engine accepted the order but does not serve the version".to_owned(),
             Err(why) => why,
         };
-        actix_rt::time::sleep(RETRY).await;
+        actix_rt::time::sleep(RETRY_DELAY).await;
     }
-    agent.fail(target, &why);
+    agent.mark_failed(target, &why);
     Err(why)
 }
 
-/// A version that the bundle no longer wants and that has to go, if the engine has no memory for
-/// another one.
+/// Returns the version to unload, if the engine has no memory for another one. Only versions that
+/// are not targets are unloaded.
 async fn victim(
     agent: &Agent,
     engine: &Rc<dyn Engine>,
@@ -223,7 +221,7 @@
     }
 }
 
-/// Takes a version out of service: entries are told first, and the requests that run on it end.
+/// Withdraws a version: notifies the entries, waits for running requests and unloads it.
 async fn withdraw(
     agent: &Rc<Agent>,
     engine: &Rc<dyn Engine>,
@@ -236,12 +234,12 @@
         .notice
         .send_modify(|it| it.serving.retain(|it| *it != pin));
     while 0 < agent.running_on(&pin) {
-        actix_rt::time::sleep(DRAIN_STEP).await;
+        actix_rt::time::sleep(DRAIN_POLL).await;
     }
-    order(agent, engine, Action::Unload, victim).await
+    send_order(agent, engine, Action::Unload, victim).await
 }
 
-async fn order(
+async fn send_order(
     agent: &Agent,
     engine: &Rc<dyn Engine>,
     action: Action,
@@ -266,21 +264,21 @@
     })
 }
 
-/// Reads the engine's state, and tells watchers what of it can be relied on.
+/// Reads the engine's state, and notifies watchers of the served versions that a bundle named.
 async fn observe(agent: &Agent, engine: &dyn Engine) -> Result<EngineState, String> {
     let result = engine.state().await;
     let serving: Vec<Pin> = match &result {
         Ok(state) => state
             .serving
             .iter()
-            .filter(|it| agent.knows(it))
+            .filter(|it| agent.is_known(it))
             .map(pin)
             .collect(),
         Err(_) => Vec::new(),
     };
     if let Ok(state) = &result {
-        for unknown in state.serving.iter().filter(|it| !agent.knows(it)) {
-            warn!(agent.node.log, "unknown weights"; "model" => &unknown.model,
+        for unknown in state.serving.iter().filter(|it| !agent.is_known(it)) {
+            warn!(agent.node.log, "the engine serves weights that no bundle named"; "model" => &unknown.model,
                 "version" => &unknown.version, "manifest" => &unknown.manifest);
         }
     }
@@ -292,7 +290,7 @@
     result.map_err(|it| format!("engine: {it}"))
 }
 
-fn members(agent: &Rc<Agent>, model: &str) -> Members {
+fn members(agent: &Rc<Agent>, model: &str) -> ListMembers {
     let agent = Rc::clone(agent);
     let model = model.to_owned();
     Rc::new(move || agent.members_of(&model))
@@ -320,18 +318,18 @@
 }
 
 impl Agent {
-    /// What the bundle wants on this replica.
+    /// Returns the versions that the bundle assigns to this replica.
     fn targets(&self) -> Vec<Target> {
         let chain = self.node.chain.borrow();
         let Some(head) = chain.head() else {
             return Vec::new();
         };
         let named = bundle::weights(&head.bundle);
-        let mut known = self.known.borrow_mut();
+        let mut known = self.known_manifests.borrow_mut();
         known.extend(named.iter().map(|it| (it.pin.clone(), it.manifest)));
         let own = &self.node.settings.node.id;
-        let placed = self.placed(&head.bundle);
-        let model = placed
+        let placements = self.placements(&head.bundle);
+        let model = placements
             .iter()
             .find(|(member, _)| member.0 == *own)
             .and_then(|it| it.1);
@@ -341,8 +339,9 @@
             .collect()
     }
 
-    /// Every engine's instance (name, availability zone, peer address) and the model placed there.
-    fn placed(&self, bundle: &Bundle) -> Vec<((String, String, String), Option<usize>)> {
+    /// Returns the instance of every engine (name, availability zone, peer address) and the index of
+    /// the model placed there.
+    fn placements(&self, bundle: &Bundle) -> Vec<((String, String, String), Option<usize>)> {
         let settings = &self.node.settings;
         let membership = self.node.membership.borrow();
         let others = membership.of(InstanceRole::Agent).filter(|(_, it)| {
@@ -362,11 +361,11 @@
             .iter()
             .map(|(node, zone, _)| Replica { node, zone })
             .collect();
-        let placed = placement::place(bundle, &replicas);
-        members.into_iter().zip(placed).collect()
+        let models = placement::place(bundle, &replicas);
+        members.into_iter().zip(models).collect()
     }
 
-    /// The other agents that a model is placed on.
+    /// Returns the other agents on whose replicas a model is placed.
     fn members_of(&self, model: &str) -> Vec<Member> {
         let chain = self.node.chain.borrow();
         let Some(head) = chain.head() else {
@@ -374,8 +373,8 @@
         };
         let wanted = head.bundle.models.iter().position(|it| it.name == model);
         let settings = &self.node.settings.node;
-        let placed = self.placed(&head.bundle).into_iter();
-        let others = placed.filter(|(it, model)| *model == wanted && it.0 != settings.id);
+        let placements = self.placements(&head.bundle).into_iter();
+        let others = placements.filter(|(it, model)| *model == wanted && it.0 != settings.id);
         others
             .map(|((node, zone, address), _)| Member {
                 node: rendezvous::hash(node.as_bytes()),
@@ -385,33 +384,35 @@
             .collect()
     }
 
-    /// Name and availability zone of every instance that a model is placed on.
+    /// Returns the name and availability zone of every instance that a model is placed on.
     pub(super) fn placed_on(&self, model: &str) -> Vec<(String, String)> {
         let chain = self.node.chain.borrow();
         let Some(head) = chain.head() else {
             return Vec::new();
         };
         let wanted = head.bundle.models.iter().position(|it| it.name == model);
-        let placed = self
-            .placed(&head.bundle)
+        let placements = self
+            .placements(&head.bundle)
             .into_iter()
             .filter(|(_, it)| *it == wanted);
-        placed.map(|((node, zone, _), _)| (node, zone)).collect()
+        placements
+            .map(|((node, zone, _), _)| (node, zone))
+            .collect()
     }
 
     fn objective(&self) -> Objective {
         self.rollout().objective.unwrap_or(Objective::Time)
     }
 
-    /// Whether weights that the engine reports are what a bundle named.
-    fn knows(&self, weights: &Weights) -> bool {
+    /// Returns whether a bundle named weights that the engine reports.
+    fn is_known(&self, weights: &Weights) -> bool {
         let manifest = weights.manifest.parse().ok();
-        let known = self.known.borrow().get(&pin(weights)).copied();
+        let known = self.known_manifests.borrow().get(&pin(weights)).copied();
         known.is_some() && known == manifest
     }
 
-    /// Shows targets in the status.
-    fn show(&self, targets: &[Target]) {
+    /// Resets the status to the targets, all in the phase `waiting`.
+    fn reset_status(&self, targets: &[Target]) {
         let status = |it: &Target| VersionStatus {
             model: it.pin.model.clone(),
             adapter: it.pin.adapter.clone(),
@@ -425,18 +426,18 @@
         *self.versions.borrow_mut() = targets.iter().map(status).collect();
     }
 
-    fn phase(&self, target: &Target, phase: &str) {
-        let status = |it: &mut VersionStatus| phase.clone_into(&mut it.phase);
-        self.with_version(target.manifest, status);
+    fn set_phase(&self, target: &Target, phase: &str) {
+        let change = |it: &mut VersionStatus| phase.clone_into(&mut it.phase);
+        self.update_status(target.manifest, change);
     }
 
-    /// Whether the bundle orders the availability zones.
-    fn ordered(&self) -> bool {
+    /// Returns whether the bundle specifies an order of the availability zones.
+    fn has_zone_order(&self) -> bool {
         !self.rollout().zone_order.is_empty()
     }
 
-    /// Whether a version failed on this replica.
-    fn failed(&self, target: &Target) -> bool {
+    /// Returns whether a version failed on this replica.
+    fn has_failed(&self, target: &Target) -> bool {
         let versions = self.versions.borrow();
         let same = |it: &&VersionStatus| {
             it.model == target.pin.model
@@ -449,18 +450,18 @@
             .is_some_and(|it| it.fault.is_some())
     }
 
-    fn fail(&self, target: &Target, why: &str) {
+    fn mark_failed(&self, target: &Target, why: &str) {
         warn!(self.node.log, "version failed"; "model" => &target.pin.model,
             "version" => &target.pin.version, "why" => why);
-        self.with_version(target.manifest, |it| {
+        self.update_status(target.manifest, |it| {
             "failed".clone_into(&mut it.phase);
             it.fault = Some(why.to_owned());
         });
     }
 
-    /// Changes the status of the versions of a manifest.
-    pub(super) fn with_version(&self, manifest: Digest, change: impl Fn(&mut VersionStatus)) {
-        let known = self.known.borrow();
+    /// Applies a change to the status of the versions with a manifest.
+    pub(super) fn update_status(&self, manifest: Digest, change: impl Fn(&mut VersionStatus)) {
+        let known = self.known_manifests.borrow();
         for status in self.versions.borrow_mut().iter_mut() {
             let pin = Pin {
                 model: status.model.clone(),
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Gets a version's chunks: carries out what `gradeloft_policy::version::fetch` decides.
+//! Fetch of a version's chunks: I/O for the decisions of `gradeloft_policy::version::fetch`.
 
 use std::{
     cell::RefCell,
@@ -33,88 +33,92 @@
     transport::client::{Incoming, Lane},
 };
 
-/// Chunks read from the store or the origin at once by one agent.
+/// Maximum number of concurrent reads from the store and the origin by one agent.
 const ORIGIN_SLOTS: usize = 2;
-/// Chunks asked of one peer at once.
-const PER_SOURCE: u32 = 3;
-/// Shortest time after which an ask counts as stalled, in milliseconds.
-const LEAST_STALL_MS: u64 = 1_500;
-/// Chunks that may be queued before one's own at a peer, for the stall time.
+/// Maximum number of concurrent requests to one peer.
+const MAX_PER_SOURCE: u32 = 3;
+/// Minimum timeout after which a request counts as stalled, in milliseconds.
+const MIN_STALL_MS: u64 = 1_500;
+/// Number of chunks that may be queued ahead of a requested one at a peer; extends the stall timeout.
 const QUEUED_CHUNKS: u64 = 24;
-/// Time given to an owner, for each rank, in milliseconds.
+/// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by the
+/// square of the rank.
 const TAKEOVER_MS: u64 = 600;
-/// How often an owner may say that it is about to read a chunk before it is doubted, beside the time
-/// that the whole version takes.
-const ANNOUNCED: u64 = 8;
-/// Pause before a chunk is handed to the engine again.
+/// Number of times that an owner may answer that a chunk is pending before another agent reads it,
+/// in addition to those during the transfer time of the whole version.
+const MAX_ANNOUNCEMENTS: u64 = 8;
+/// Delay before staging a chunk in the engine is retried.
 const STAGE_RETRY: Duration = Duration::from_millis(60);
-/// How often asks are looked at again without an event.
+/// Interval at which stalled requests are checked and new ones started without an event.
 const TICK: Duration = Duration::from_millis(20);
-/// Silence after which a followed peer counts as gone.
-const FOLLOW_SILENCE: Duration = Duration::from_secs(3);
+/// Time without a message after which a followed peer counts as gone.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Tells a fetch who its members are now, the own agent left out.
-pub type Members = Rc<dyn Fn() -> Vec<Member>>;
+/// Returns the current members of a fetch without the own agent.
+pub type ListMembers = Rc<dyn Fn() -> Vec<Member>>;
 
 enum Event {
-    Asked {
-        ask: ChunkRequest,
+    /// A chunk request completed.
+    Fetched {
+        request: ChunkRequest,
         result: Result<Bytes, Failure>,
-        took: Duration,
+        elapsed: Duration,
     },
-    Followed {
+    /// A followed peer holds more chunks, or is gone if `incoming` is `None`.
+    Holdings {
         key: SourceKey,
         node: u64,
         incoming: Option<Incoming>,
         positions: Vec<u32>,
     },
-    Staged {
-        digest: Digest,
-        done: bool,
-    },
+    /// Staging a chunk in the engine ended; `done` is whether it succeeded.
+    Staged { digest: Digest, done: bool },
 }
 
-/// Fetches a version until the engine holds all of it; gives the manifest.
+/// Fetches a version until the engine holds all chunks. Returns the manifest.
 pub async fn run(
     agent: &Rc<Agent>,
     engine: &Rc<dyn Engine>,
     manifest: Digest,
     objective: Objective,
-    members: Members,
+    list_members: ListMembers,
 ) -> Result<Rc<Manifest>, String> {
-    let manifest = read::manifest(agent, manifest, &members).await?;
-    agent.chunks.borrow_mut().learn(Rc::clone(&manifest));
+    let manifest = read::manifest(agent, manifest, &list_members).await?;
+    agent
+        .chunks
+        .borrow_mut()
+        .insert_manifest(Rc::clone(&manifest));
     let staged: HashSet<Digest> = match engine.staged().await {
         Ok(staged) => staged.into_iter().collect(),
         Err(fault) => return Err(format!("engine: {fault}")),
     };
-    let missing = |it: Digest| agent.chunks.borrow().holds(it) && !staged.contains(&it);
+    let unstaged = |it: Digest| agent.chunks.borrow().holds(it) && !staged.contains(&it);
     let to_stage: Vec<Digest> = manifest
         .distinct_chunks()
         .iter()
         .map(|it| it.digest)
-        .filter(|it| missing(*it))
+        .filter(|it| unstaged(*it))
         .collect();
-    let mut driver = Driver::new(agent, engine, &manifest, objective, members, &staged);
+    let mut driver = Driver::new(agent, engine, &manifest, objective, list_members, &staged);
     for digest in to_stage {
         driver.stage(digest);
     }
-    let _fetching = Fetching::new(agent, &driver.fetch);
+    let _guard = FetchingGuard::new(agent, &driver.fetch);
     driver.run().await;
     Ok(manifest)
 }
 
-/// Shows the fetch to peers that ask, until it is dropped.
-struct Fetching(Rc<Agent>);
+/// Guard that registers the fetch as in progress, for responses to peers, until it is dropped.
+struct FetchingGuard(Rc<Agent>);
 
-impl Fetching {
-    fn new(agent: &Rc<Agent>, fetch: &Rc<RefCell<Fetch>>) -> Fetching {
+impl FetchingGuard {
+    fn new(agent: &Rc<Agent>, fetch: &Rc<RefCell<Fetch>>) -> FetchingGuard {
         *agent.fetching.borrow_mut() = Some(Rc::clone(fetch));
-        Fetching(Rc::clone(agent))
+        FetchingGuard(Rc::clone(agent))
     }
 }
 
-impl Drop for Fetching {
+impl Drop for FetchingGuard {
     fn drop(&mut self) {
         *self.0.fetching.borrow_mut() = None;
     }
@@ -124,12 +128,13 @@
     agent: &'a Rc<Agent>,
     engine: &'a Rc<dyn Engine>,
     manifest: &'a Rc<Manifest>,
-    members: Members,
-    known: Vec<Member>,
+    list_members: ListMembers,
+    members: Vec<Member>,
     fetch: Rc<RefCell<Fetch>>,
+    /// Followed peers by the hashes of their names.
     followed: HashMap<u64, SourceKey>,
     events: FuturesUnordered<LocalBoxFuture<'static, Event>>,
-    /// Chunks that the engine does not hold yet.
+    /// Number of chunks being staged in the engine.
     staging: usize,
 }
 
@@ -139,19 +144,19 @@
         engine: &'a Rc<dyn Engine>,
         manifest: &'a Rc<Manifest>,
         objective: Objective,
-        members: Members,
+        list_members: ListMembers,
         staged: &HashSet<Digest>,
     ) -> Driver<'a> {
         let held = |it: Digest| staged.contains(&it) || agent.chunks.borrow().holds(it);
         let tuning = tuning(agent, manifest, objective);
         let now = agent.node.clock.now();
-        let fetch = Fetch::new(agent.own, manifest, held, tuning, now);
+        let fetch = Fetch::new(agent.own_hash, manifest, held, tuning, now);
         Driver {
             agent,
             engine,
             manifest,
-            members,
-            known: Vec::new(),
+            list_members,
+            members: Vec::new(),
             fetch: Rc::new(RefCell::new(fetch)),
             followed: HashMap::new(),
             events: FuturesUnordered::new(),
@@ -161,40 +166,40 @@
 
     async fn run(&mut self) {
         let mut changed = self.agent.node.membership_changes.subscribe();
-        self.meet();
+        self.update_members();
         while !(self.fetch.borrow().is_complete() && self.staging == 0) {
-            self.pump();
+            self.start_requests();
             tokio::select! {
                 Some(event) = self.events.next() => self.handle(event),
                 Ok(()) = changed.changed() => {
                     changed.borrow_and_update();
-                    self.meet();
+                    self.update_members();
                 }
-                () = actix_rt::time::sleep(TICK) => self.expire(),
+                () = actix_rt::time::sleep(TICK) => self.handle_stalls(),
             }
-            self.report();
+            self.report_counts();
         }
     }
 
-    /// Takes over the members, and follows partners among them.
-    fn meet(&mut self) {
-        let members = (self.members)();
-        if members == self.known {
+    /// Updates the members, and follows the partners among them.
+    fn update_members(&mut self) {
+        let members = (self.list_members)();
+        if members == self.members {
             return;
         }
         let nodes = members
             .iter()
             .map(|it| it.node)
-            .chain([self.agent.own])
+            .chain([self.agent.own_hash])
             .collect();
         self.fetch.borrow_mut().set_members(nodes);
-        self.known = members;
+        self.members = members;
         let now = self.agent.node.clock.now();
         let gone: Vec<u64> = self
             .followed
             .keys()
             .copied()
-            .filter(|node| !self.known.iter().any(|it| it.node == *node))
+            .filter(|node| !self.members.iter().any(|it| it.node == *node))
             .collect();
         for node in gone {
             if let Some(key) = self.followed.remove(&node) {
@@ -206,7 +211,12 @@
 
     fn follow_partners(&mut self) {
         let version = self.manifest.digest.short();
-        let partners = partners::choose(self.agent.scheme, self.agent.own, version, &self.known);
+        let partners = partners::choose(
+            self.agent.scheme,
+            self.agent.own_hash,
+            version,
+            &self.members,
+        );
         for member in &partners {
             self.follow(member);
         }
@@ -224,9 +234,9 @@
         let manifest = self.manifest.digest;
         let opening = async move {
             let call = Call::Follow { manifest };
-            // What a partner holds goes over the connection that its chunks come on.
+            // A partner's holdings arrive over the same connection as its chunks.
             let incoming = agent.node.pool.open(&address, Lane::Bulk, &call).await.ok();
-            Event::Followed {
+            Event::Holdings {
                 key,
                 node,
                 incoming,
@@ -236,29 +246,37 @@
         self.events.push(opening.boxed_local());
     }
 
-    /// Makes every ask that can be made now.
-    fn pump(&mut self) {
-        let most = self.agent.settings.fetch_slots as usize;
+    /// Starts all chunk requests that are possible now.
+    fn start_requests(&mut self) {
+        let max_slots = self.agent.settings.fetch_slots as usize;
         loop {
             let now = self.agent.node.clock.now();
-            let slots = self.agent.pace_in.borrow_mut().max_concurrent(most, now);
+            let slots = self
+                .agent
+                .download_pacer
+                .borrow_mut()
+                .max_concurrent(max_slots, now);
             self.fetch.borrow_mut().set_peer_slots(slots);
             let next = self
                 .agent
                 .node
                 .with_rng(|rng| self.fetch.borrow_mut().next_request(now, rng));
-            let Some(ask) = next else {
+            let Some(request) = next else {
                 return;
             };
             let agent = Rc::clone(self.agent);
-            let address = self.address(ask.from);
-            let asking = async move {
+            let address = self.address(request.from);
+            let response = async move {
                 let started = agent.node.clock.now();
-                let result = read::chunk(&agent, ask, address).await;
-                let took = agent.node.clock.now().since(started);
-                Event::Asked { ask, result, took }
+                let result = read::chunk(&agent, request, address).await;
+                let elapsed = agent.node.clock.now().since(started);
+                Event::Fetched {
+                    request,
+                    result,
+                    elapsed,
+                }
             };
-            self.events.push(asking.boxed_local());
+            self.events.push(response.boxed_local());
         }
     }
 
@@ -268,11 +286,12 @@
             Upstream::Source(key) => *self.followed.iter().find(|(_, it)| **it == key)?.0,
             Upstream::Origin | Upstream::Store => return None,
         };
-        let member = self.known.iter().find(|it| it.node == node);
+        let member = self.members.iter().find(|it| it.node == node);
         member.map(|it| it.address.clone())
     }
 
-    fn expire(&mut self) {
+    /// Fails stalled requests, and follows partners again that were lost.
+    fn handle_stalls(&mut self) {
         let now = self.agent.node.clock.now();
         let mut fetch = self.fetch.borrow_mut();
         for (idx, from) in fetch.stalled(now) {
@@ -285,26 +304,26 @@
     fn handle(&mut self, event: Event) {
         let now = self.agent.node.clock.now();
         match event {
-            Event::Asked {
-                ask,
+            Event::Fetched {
+                request,
                 result: Ok(content),
-                took,
-            } => self.arrived(ask, content, took),
-            Event::Asked {
-                ask,
+                elapsed,
+            } => self.arrived(request, content, elapsed),
+            Event::Fetched {
+                request,
                 result: Err(failure),
                 ..
             } => {
                 if failure == Failure::Corrupt {
                     self.agent.node.metrics.corrupt_chunks.inc();
-                    warn!(self.agent.node.log, "corrupt chunk"; "digest" => %ask.chunk.digest,
-                        "from" => read::source(ask.from));
+                    warn!(self.agent.node.log, "corrupt chunk"; "digest" => %request.chunk.digest,
+                        "from" => read::upstream_name(request.from));
                 }
                 self.fetch
                     .borrow_mut()
-                    .failed(ask.idx, ask.from, failure, now);
+                    .failed(request.idx, request.from, failure, now);
             }
-            Event::Followed {
+            Event::Holdings {
                 key,
                 node,
                 incoming,
@@ -313,7 +332,7 @@
                 let positions = positions.into_iter().map(|it| it as usize);
                 self.fetch.borrow_mut().add_held(key, positions);
                 match incoming {
-                    Some(incoming) => self.events.push(followed(key, node, incoming)),
+                    Some(incoming) => self.events.push(next_holdings(key, node, incoming)),
                     None => {
                         self.followed.remove(&node);
                         self.fetch.borrow_mut().remove_source(key, now);
@@ -329,12 +348,12 @@
         }
     }
 
-    fn arrived(&mut self, ask: ChunkRequest, content: Bytes, took: Duration) {
+    fn arrived(&mut self, request: ChunkRequest, content: Bytes, elapsed: Duration) {
         let now = self.agent.node.clock.now();
         let label = Source {
-            source: read::source(ask.from),
+            source: read::upstream_name(request.from),
         };
-        metrics::observe(&self.agent.node.metrics.chunk_fetch, &label, took);
+        metrics::observe(&self.agent.node.metrics.chunk_fetch, &label, elapsed);
         let bytes = content.len() as u64;
         self.agent
             .node
@@ -342,18 +361,22 @@
             .chunk_bytes
             .get_or_create(&label)
             .inc_by(bytes);
-        if !self.fetch.borrow_mut().arrived(ask.idx, ask.from, now) {
+        if !self
+            .fetch
+            .borrow_mut()
+            .arrived(request.idx, request.from, now)
+        {
             return;
         }
         self.agent
             .chunks
             .borrow_mut()
-            .insert(ask.chunk.digest, content);
+            .insert(request.chunk.digest, content);
         self.agent.arrivals.send_modify(|it| *it += 1);
-        self.stage(ask.chunk.digest);
+        self.stage(request.chunk.digest);
     }
 
-    /// Hands a chunk to the engine; tried again until it takes it.
+    /// Stages a chunk in the engine, with retries until the engine accepts it.
     fn stage(&mut self, digest: Digest) {
         let Some(content) = self.agent.chunks.borrow().get(digest) else {
             return;
@@ -370,26 +393,31 @@
         self.events.push(staging.boxed_local());
     }
 
-    fn report(&self) {
-        let tally = self.fetch.borrow().counts();
-        self.agent.with_version(self.manifest.digest, |it| {
-            it.from_origin = tally.origin;
-            it.from_store = tally.store;
-            it.from_peers = tally.peers;
+    fn report_counts(&self) {
+        let counts = self.fetch.borrow().counts();
+        self.agent.update_status(self.manifest.digest, |it| {
+            it.from_origin = counts.origin;
+            it.from_store = counts.store;
+            it.from_peers = counts.peers;
         });
     }
 }
 
-fn followed(key: SourceKey, node: u64, mut incoming: Incoming) -> LocalBoxFuture<'static, Event> {
+/// Waits for the next message of a followed peer.
+fn next_holdings(
+    key: SourceKey,
+    node: u64,
+    mut incoming: Incoming,
+) -> LocalBoxFuture<'static, Event> {
     async move {
-        match timeout(FOLLOW_SILENCE, incoming.next()).await {
-            Ok(Ok(Some(Reply::Have(positions)))) => Event::Followed {
+        match timeout(FOLLOW_TIMEOUT, incoming.next()).await {
+            Ok(Ok(Some(Reply::Have(positions)))) => Event::Holdings {
                 key,
                 node,
                 incoming: Some(incoming),
                 positions,
             },
-            _ => Event::Followed {
+            _ => Event::Holdings {
                 key,
                 node,
                 incoming: None,
@@ -412,11 +440,11 @@
         scheme: agent.scheme,
         peer_slots: agent.settings.fetch_slots as usize,
         origin_slots: ORIGIN_SLOTS,
-        per_source: PER_SOURCE,
-        stall_ms: LEAST_STALL_MS + QUEUED_CHUNKS * chunk_ms,
+        per_source: MAX_PER_SOURCE,
+        stall_ms: MIN_STALL_MS + QUEUED_CHUNKS * chunk_ms,
         chunk_ms,
         takeover_ms: TAKEOVER_MS,
-        max_announcements: ANNOUNCED,
+        max_announcements: MAX_ANNOUNCEMENTS,
         objective,
         origin_copies: agent.rollout().origin_copies,
     }
--- a/crates/gradeloft_daemon/src/agent/generate.rs
+++ b/crates/gradeloft_daemon/src/agent/generate.rs
@@ -1,4 +1,4 @@
-//! Generate requests at the engine.
+//! Generate requests to the engine.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,8 +21,8 @@
 
 const STREAM_TYPE: &str = "text/event-stream";
 
-/// Runs a generate request and relays its tokens, each checked to be the next one of this request
-/// and of the pinned version.
+/// Runs a generate request and relays its tokens. Checks that each token is the next one of this
+/// request and comes from the pinned version.
 pub async fn run(
     agent: &Rc<Agent>,
     engine: &dyn Engine,
@@ -47,10 +47,10 @@
         max_tokens: *max_tokens,
         priority: u32::from(work.class),
     };
-    agent.live_in(prompt.len());
+    agent.record_live_in(prompt.len());
     let starting = timeout(agent.node.clock.until(deadline), engine.generate(&request));
     let generation = match starting.await {
-        Ok(result) => result.map_err(|it| kind(&it))?,
+        Ok(result) => result.map_err(|it| error_kind(&it))?,
         Err(_) => return Err(Kind::Deadline),
     };
     let head = Reply::Head {
@@ -85,33 +85,34 @@
     ) -> Result<(), Kind> {
         loop {
             let left = self.agent.node.clock.until(deadline);
-            let patience: Duration = left.min(self.agent.node.idle_timeout());
-            match timeout(patience, generation.next()).await {
+            let wait_limit: Duration = left.min(self.agent.node.idle_timeout());
+            match timeout(wait_limit, generation.next()).await {
                 Ok(Some(Ok(Output::Token(token)))) => {
-                    self.owns(&token.request_id)?;
-                    self.token(&token.version, token.seq, token.text).await?;
+                    self.check_echo(&token.request_id)?;
+                    self.relay_token(&token.version, token.seq, token.text)
+                        .await?;
                 }
                 Ok(Some(Ok(Output::End(end)))) => {
-                    self.owns(&end.request_id)?;
-                    return self.end(&end.version, end.count).await;
+                    self.check_echo(&end.request_id)?;
+                    return self.relay_end(&end.version, end.count).await;
                 }
-                Ok(Some(Err(fault))) => return Err(self.cut(kind(&fault))),
-                Ok(None) => return Err(self.cut(Kind::ReplyLost)),
-                Err(_) if left <= patience => return Err(Kind::Deadline),
-                Err(_) => return Err(self.cut(Kind::ReplyLost)),
+                Ok(Some(Err(fault))) => return Err(self.interrupted(error_kind(&fault))),
+                Ok(None) => return Err(self.interrupted(Kind::ReplyLost)),
+                Err(_) if left <= wait_limit => return Err(Kind::Deadline),
+                Err(_) => return Err(self.interrupted(Kind::ReplyLost)),
             }
         }
     }
 
-    fn owns(&self, echo: &str) -> Result<(), Kind> {
+    fn check_echo(&self, echo: &str) -> Result<(), Kind> {
         let own = echo.parse() == Ok(self.request);
         if own { Ok(()) } else { Err(Kind::Mismatch) }
     }
 
-    async fn token(&mut self, version: &str, seq: u64, text: String) -> Result<(), Kind> {
+    async fn relay_token(&mut self, version: &str, seq: u64, text: String) -> Result<(), Kind> {
         let data = text.into_bytes();
         self.checker.accept_piece(version, seq, &data)?;
-        self.agent.live_out(data.len());
+        self.agent.record_live_out(data.len());
         let request = self.request;
         let piece = Reply::Piece {
             request,
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    async fn end(&mut self, version: &str, count: u64) -> Result<(), Kind> {
+    async fn relay_end(&mut self, version: &str, count: u64) -> Result<(), Kind> {
         let (seen, digest) = self.checker.totals();
         if version != self.version || count != seen {
             return Err(Kind::Mismatch);
@@ -139,7 +140,8 @@
         Ok(())
     }
 
-    fn cut(&self, kind: Kind) -> Kind {
+    /// Returns the error kind for an interrupted response: `kind` if no token was relayed.
+    fn interrupted(&self, kind: Kind) -> Kind {
         if self.checker.has_started() {
             Kind::Cut
         } else {
@@ -148,8 +150,8 @@
     }
 }
 
-/// The error kind of a failed call to an endpoint.
-pub fn kind(fault: &Fault) -> Kind {
+/// Returns the error kind for a failed call to an endpoint.
+pub fn error_kind(fault: &Fault) -> Kind {
     match fault {
         Fault::Limited { .. } | Fault::Refused(_) => Kind::EndpointRefused,
         Fault::Broken | Fault::Lost => Kind::ReplyLost,
@@ -161,15 +163,19 @@
 }
 
 impl Agent {
-    /// Live bytes came in over the instance's link.
-    pub(super) fn live_in(&self, bytes: usize) {
+    /// Records bytes of live requests that came in over the instance's link.
+    pub(super) fn record_live_in(&self, bytes: usize) {
         let now = self.node.clock.now();
-        self.pace_in.borrow_mut().record_live(bytes as u64, now);
+        self.download_pacer
+            .borrow_mut()
+            .record_live(bytes as u64, now);
     }
 
-    /// Live bytes went out over the instance's link.
-    pub(super) fn live_out(&self, bytes: usize) {
+    /// Records bytes of live requests that went out over the instance's link.
+    pub(super) fn record_live_out(&self, bytes: usize) {
         let now = self.node.clock.now();
-        self.pace_out.borrow_mut().record_live(bytes as u64, now);
+        self.upload_pacer
+            .borrow_mut()
+            .record_live(bytes as u64, now);
     }
 }
--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -1,15 +1,15 @@
-//! The agent: the one process beside an endpoint, and the only one that talks to it.
+//! The agent: the process beside an endpoint, and the only one that connects to it.
 //!
-//! - [`chunks`]: content held for peers and for the engine.
-//! - [`claims`]: calls that run at most once, claimed on the log.
-//! - [`deploy`]: brings the endpoint to what the bundle wants of it.
-//! - [`fetch`]: gets a version's chunks.
-//! - [`generate`]: generate requests at the engine.
-//! - [`read`]: reads of content, from wherever it is.
-//! - [`service`]: calls at a plain service.
-//! - [`share`]: gives chunks to peers.
-//! - [`turn`]: turns to switch versions.
-//! - [`work`]: takes or refuses work.
+//! - [`chunks`]: in-memory store of chunks for peers and the engine.
+//! - [`claims`]: claims in the log for calls that run at most once.
+//! - [`deploy`]: reconciliation of the engine with the bundle.
+//! - [`fetch`]: fetch of a version's chunks.
+//! - [`generate`]: generate requests to the engine.
+//! - [`read`]: reads of content from peers, the weight store and the origin.
+//! - [`service`]: calls to a service.
+//! - [`share`]: uploads of chunks to peers.
+//! - [`turn`]: turns to switch versions, requested in the log.
+//! - [`work`]: admission and dispatch of requests.
 
 pub mod chunks;
 pub mod claims;
@@ -58,13 +58,13 @@
     transport::{self, server::Outgoing},
 };
 
-/// Time for an endpoint to begin an answer.
+/// Time limit for an endpoint to begin a response.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often a drain looks whether requests are left.
-const DRAIN_STEP: Duration = Duration::from_millis(10);
-/// Time for the entries to hear that the agent leaves, before it may be gone.
+/// Interval at which a drain checks for running requests.
+const DRAIN_POLL: Duration = Duration::from_millis(10);
+/// Time at the start of a drain in which the entries learn of it.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
-/// Pause after the log refused an epoch.
+/// Delay before an epoch is requested again after a failure of the log.
 const EPOCH_RETRY: Duration = Duration::from_millis(500);
 
 /// The endpoint beside the agent.
@@ -72,17 +72,17 @@
 pub enum Endpoint {
     /// A model engine.
     Engine(Rc<dyn Engine>),
-    /// A plain service.
+    /// A service other than a model engine.
     Service {
-        /// Its name in bundles.
+        /// Name of the service in bundles.
         name: String,
-        /// The service.
+        /// Client of the service.
         service: Rc<dyn Service>,
     },
 }
 
 impl Endpoint {
-    /// The endpoint over HTTP, at the address of the settings.
+    /// Creates an HTTP client for the endpoint at the URL of the settings.
     pub fn http(settings: &settings::Endpoint) -> Endpoint {
         match settings.kind {
             EndpointKind::Engine => {
@@ -96,49 +96,47 @@
     }
 }
 
-/// State of an agent, for the life of the process.
+/// State of an agent.
 pub struct Agent {
     node: Rc<Node>,
     settings: settings::Agent,
     /// Hash of the instance's name.
-    own: u64,
+    own_hash: u64,
     scheme: Scheme,
     endpoint: Endpoint,
-    /// From the log; 0 until it is known. Orders carry it, so that those of an earlier process
-    /// of this agent lose.
+    /// Epoch from the log, or 0 before it is known. Orders carry it, so that the engine refuses
+    /// orders of earlier processes of this agent.
     epoch: Cell<u64>,
-    /// Requests running at the endpoint.
+    /// Number of requests running at the endpoint.
     running: Cell<u32>,
-    /// Of those, by the weights that they are pinned to.
-    running_on: RefCell<HashMap<Pin, u32>>,
-    /// Requests running when watchers were last told.
-    told_running: Cell<u32>,
+    /// Number of requests running at the endpoint, by the weights that they are pinned to.
+    running_by_pin: RefCell<HashMap<Pin, u32>>,
+    /// Number of running requests in the latest report to watchers.
+    reported_running: Cell<u32>,
     chunks: RefCell<Chunks>,
-    /// Counts chunks that arrived; tells whoever follows.
+    /// Number of chunks that have arrived; a change wakes the followers.
     arrivals: watch::Sender<u64>,
     uploads: RefCell<UploadSlots<oneshot::Sender<()>>>,
-    /// The fetch that runs now.
+    /// The fetch in progress.
     fetching: RefCell<Option<Rc<RefCell<Fetch>>>>,
-    /// Weights going out.
-    pace_out: RefCell<Pacer>,
-    /// Weights coming in.
-    pace_in: RefCell<Pacer>,
+    /// Rate limiter for weights sent to peers.
+    upload_pacer: RefCell<Pacer>,
+    /// Rate limiter for weights received.
+    download_pacer: RefCell<Pacer>,
     claims: Claims,
     versions: RefCell<Vec<VersionStatus>>,
-    /// Manifest of each version that a bundle named in this process's life.
-    known: RefCell<HashMap<Pin, Digest>>,
+    /// Manifest of each version that a bundle named since the process started.
+    known_manifests: RefCell<HashMap<Pin, Digest>>,
 }
 
-/// A running agent; dropping it ends it at once.
+/// A running agent. Dropping it ends the agent at once.
 pub struct Handle {
     agent: Rc<Agent>,
     admin: server::Server,
     peer: SocketAddr,
 }
 
-/// An agent about to start.
-///
-/// [`Builder::new`] takes what every agent needs; the rest has defaults.
+/// Configuration of an agent that has not started.
 pub struct Builder {
     node: Node,
     settings: settings::Agent,
@@ -147,7 +145,7 @@
 }
 
 impl Builder {
-    /// An agent beside an endpoint.
+    /// Configures an agent for an endpoint, with the default scheme.
     pub fn new(node: Node, settings: settings::Agent, endpoint: Endpoint) -> Builder {
         Builder {
             node,
@@ -157,13 +155,13 @@
         }
     }
 
-    /// Spreads chunks in another way, to measure against it.
+    /// Replaces the scheme by which chunks are distributed, for comparisons.
     pub fn scheme(mut self, scheme: Scheme) -> Builder {
         self.scheme = scheme;
         self
     }
 
-    /// Starts the agent. It is ready once its endpoint serves something.
+    /// Starts the agent. It becomes ready once its endpoint serves a version or a service.
     pub async fn start(self) -> std::io::Result<Handle> {
         let agent = Rc::new(self.agent());
         let node = &agent.node;
@@ -187,22 +185,22 @@
             scheme,
         } = self;
         Agent {
-            own: rendezvous::hash(node.settings.node.id.as_bytes()),
+            own_hash: rendezvous::hash(node.settings.node.id.as_bytes()),
             scheme,
             endpoint,
             epoch: Cell::default(),
             running: Cell::default(),
-            running_on: RefCell::default(),
-            told_running: Cell::default(),
+            running_by_pin: RefCell::default(),
+            reported_running: Cell::default(),
             chunks: RefCell::new(Chunks::new(settings.chunk_memory_bytes)),
             arrivals: watch::Sender::new(0),
             uploads: RefCell::new(UploadSlots::new(settings.upload_slots as usize)),
             fetching: RefCell::default(),
-            pace_out: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
-            pace_in: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
+            upload_pacer: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
+            download_pacer: RefCell::new(Pacer::new(settings.link_bytes_per_s)),
             claims: Claims::default(),
             versions: RefCell::default(),
-            known: RefCell::default(),
+            known_manifests: RefCell::default(),
             settings,
             node: Rc::new(node),
         }
@@ -213,7 +211,7 @@
     let scope = &agent.node.scope;
     match agent.endpoint.clone() {
         Endpoint::Engine(engine) => {
-            scope.spawn(learn_epoch(Rc::clone(agent)));
+            scope.spawn(obtain_epoch(Rc::clone(agent)));
             scope.spawn(deploy::run(Rc::clone(agent), engine));
         }
         Endpoint::Service { name, service } => {
@@ -223,8 +221,8 @@
     }
 }
 
-/// Draws an epoch from the log; repeated until the log takes it.
-async fn learn_epoch(agent: Rc<Agent>) {
+/// Obtains an epoch by appending a record to the log, with retries until the log accepts it.
+async fn obtain_epoch(agent: Rc<Agent>) {
     let node = &agent.node;
     let nonce = node.with_rng(rand::Rng::random);
     let record = Record::Epoch {
@@ -233,7 +231,7 @@
     }
     .encode();
     loop {
-        // When a reply is lost, the next epoch is higher still, so nothing has to be read back.
+        // An append whose reply is lost needs no read-back, since the next offset is higher.
         match node
             .platform
             .log
@@ -242,12 +240,12 @@
         {
             Ok(offset) => {
                 agent.epoch.set(offset + 1);
-                info!(node.log, "epoch"; "epoch" => offset + 1);
+                info!(node.log, "epoch obtained"; "epoch" => offset + 1);
                 return;
             }
             Err(fault) => {
                 node.count_platform_failure("log");
-                warn!(node.log, "no epoch yet"; "why" => %fault);
+                warn!(node.log, "no epoch from the log; retrying"; "why" => %fault);
                 actix_rt::time::sleep(EPOCH_RETRY).await;
             }
         }
@@ -255,42 +253,43 @@
 }
 
 impl Handle {
-    /// Where peers connect.
+    /// Returns the address for peers.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// The admin port.
+    /// Returns the address of the admin port.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The node's shared state.
+    /// Returns the state of the node.
     pub fn node(&self) -> &Rc<Node> {
         &self.agent.node
     }
 
-    /// Versions on the replica.
+    /// Returns the status of each version that the bundle assigns to the replica.
     pub fn versions(&self) -> Vec<VersionStatus> {
         self.agent.versions.borrow().clone()
     }
 
-    /// Shuts down: tells the entries, refuses new work, lets what runs end. Gives how many
-    /// requests were cut off, because the bound passed or `forced` fired.
+    /// Drains the agent: notifies the entries, refuses new requests and waits for running ones.
+    /// The wait ends early at the drain limit of the settings, or when `forced` becomes true.
+    /// Returns the number of requests that are still running then.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> u32 {
         let agent = &self.agent;
         agent.node.leave();
         info!(agent.node.log, "leaving"; "running" => agent.running.get());
-        let bound = Duration::from_millis(agent.node.limits.drain_ms);
+        let limit = Duration::from_millis(agent.node.limits.drain_ms);
         let ended = async {
             actix_rt::time::sleep(DRAIN_NOTICE).await;
             while 0 < agent.running.get() {
-                actix_rt::time::sleep(DRAIN_STEP).await;
+                actix_rt::time::sleep(DRAIN_POLL).await;
             }
         };
         tokio::select! {
             () = ended => {}
-            () = actix_rt::time::sleep(bound) => {}
+            () = actix_rt::time::sleep(limit) => {}
             _ = forced.wait_for(|it| *it) => {}
         }
         let cut = agent.running.get();
@@ -334,9 +333,9 @@
         let scope = Rc::clone(&agent.node.scope);
         scope.spawn(async move {
             match call {
-                Call::Work(work) => work::answer(agent, work, outgoing).await,
-                Call::Chunk { digest } => share::give(agent, digest, outgoing).await,
-                Call::Follow { manifest } => share::follow(agent, manifest, outgoing).await,
+                Call::Work(work) => work::handle(agent, work, outgoing).await,
+                Call::Chunk { digest } => share::send_chunk(agent, digest, outgoing).await,
+                Call::Follow { manifest } => share::send_holdings(agent, manifest, outgoing).await,
                 other => calls::answer(Rc::clone(&agent.node), other, outgoing).await,
             }
         });
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -20,18 +20,18 @@
 use slog::{debug, warn};
 use tokio::time::timeout;
 
-use super::{Agent, fetch::Members};
+use super::{Agent, fetch::ListMembers};
 use crate::transport::client::{CallError, Lane};
 
-/// Pause before the manifest is asked for again.
+/// Delay before the manifest is requested again.
 const MANIFEST_RETRY: Duration = Duration::from_millis(60);
-/// Owners of a manifest that are asked for it.
+/// Number of owners of a manifest among the peers that may be queried for it.
 const MANIFEST_OWNERS: usize = 3;
-/// Largest manifest, in bytes.
+/// Maximum size of a manifest, in bytes.
 const MAX_MANIFEST: usize = 8 << 20;
 
-/// Name of a source in logs and metrics.
-pub fn source(from: Upstream) -> &'static str {
+/// Returns the name of an upstream in logs and metrics.
+pub fn upstream_name(from: Upstream) -> &'static str {
     match from {
         Upstream::Origin => "origin",
         Upstream::Owner(_) | Upstream::Source(_) => "peer",
@@ -39,33 +39,37 @@
     }
 }
 
-/// Reads a chunk, as fast as live requests leave room, and checks its digest.
+/// Reads a chunk at the rate that live requests leave free, and verifies its digest.
 pub async fn chunk(
     agent: &Agent,
-    ask: ChunkRequest,
+    request: ChunkRequest,
     address: Option<String>,
 ) -> Result<Bytes, Failure> {
-    let size = ask.chunk.size_bytes;
+    let size = request.chunk.size_bytes;
     let wait = agent
-        .pace_in
+        .download_pacer
         .borrow_mut()
         .reserve(size, agent.node.clock.now());
     actix_rt::time::sleep(wait).await;
-    let content = match ask.from {
-        Upstream::Origin => outside(&*agent.node.platform.origin, ask.chunk.digest, size).await?,
-        Upstream::Store => outside(&*agent.node.platform.store, ask.chunk.digest, size).await?,
+    let content = match request.from {
+        Upstream::Origin => {
+            external(&*agent.node.platform.origin, request.chunk.digest, size).await?
+        }
+        Upstream::Store => {
+            external(&*agent.node.platform.store, request.chunk.digest, size).await?
+        }
         Upstream::Owner(_) | Upstream::Source(_) => {
             let address = address.ok_or(Failure::Gone)?;
-            peer(agent, &address, ask.chunk.digest).await?
+            peer(agent, &address, request.chunk.digest).await?
         }
     };
-    if Digest::of(&content) != ask.chunk.digest {
+    if Digest::of(&content) != request.chunk.digest {
         return Err(Failure::Corrupt);
     }
     Ok(content)
 }
 
-async fn outside(from: &dyn Weights, digest: Digest, size: u64) -> Result<Bytes, Failure> {
+async fn external(from: &dyn Weights, digest: Digest, size: u64) -> Result<Bytes, Failure> {
     from.content(digest, size as usize)
         .await
         .map_err(|it| match it {
@@ -92,28 +96,29 @@
     }
 }
 
-/// Gets a manifest: its first owners read it from the store or the origin, the others ask an
-/// owner or a partner, so that it spreads over the partners and the owners are not swamped.
+/// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the store
+/// or the origin. Other agents query owners and partners first, so that it spreads over the partners
+/// and the owners are not overloaded.
 pub async fn manifest(
     agent: &Rc<Agent>,
     digest: Digest,
-    members: &Members,
+    list_members: &ListMembers,
 ) -> Result<Rc<Manifest>, String> {
     if let Some(manifest) = agent.chunks.borrow().manifest(digest) {
         return Ok(manifest);
     }
-    let mut tries = 0;
+    let mut attempts = 0;
     let content = loop {
         if let Some(content) = agent.chunks.borrow().get(digest) {
             break content;
         }
-        let content = manifest_try(agent, digest, &members(), tries).await;
+        let content = try_manifest(agent, digest, &list_members(), attempts).await;
         match content {
             Some(content) if Digest::of(&content) == digest => break content,
             Some(_) => warn!(agent.node.log, "corrupt manifest"; "digest" => %digest),
-            None => debug!(agent.node.log, "no manifest yet"; "digest" => %digest),
+            None => debug!(agent.node.log, "manifest not available; retrying"; "digest" => %digest),
         }
-        tries += 1;
+        attempts += 1;
         actix_rt::time::sleep(MANIFEST_RETRY).await;
     };
     let manifest = Manifest::parse(&content, agent.node.limits.chunk_bytes);
@@ -125,16 +130,16 @@
     Ok(Rc::new(manifest))
 }
 
-async fn manifest_try(
+async fn try_manifest(
     agent: &Agent,
     digest: Digest,
     members: &[Member],
-    tries: usize,
+    attempts: usize,
 ) -> Option<Bytes> {
     let nodes: Vec<u64> = members.iter().map(|it| it.node).collect();
     let key = digest.short();
-    let rank = rendezvous::rank(key, agent.own, nodes.iter().copied());
-    if rank == 0 || MANIFEST_OWNERS * 4 * rank < tries {
+    let rank = rendezvous::rank(key, agent.own_hash, nodes.iter().copied());
+    if rank == 0 || MANIFEST_OWNERS * 4 * rank < attempts {
         let store = agent
             .node
             .platform
@@ -155,13 +160,13 @@
     let owners = rendezvous::order(key, &nodes)
         .into_iter()
         .take(MANIFEST_OWNERS);
-    let mut asked: Vec<Member> = owners.map(|idx| members[idx].clone()).collect();
-    // Partners and no others: their connections are needed for the chunks anyway.
-    asked.extend(partners::choose(agent.scheme, agent.own, key, members));
-    agent.node.with_rng(|rng| asked.shuffle(rng));
-    for member in asked.into_iter().take(2) {
-        let asking = peer(agent, &member.address, digest);
-        if let Ok(Ok(content)) = timeout(Duration::from_secs(1), asking).await {
+    let mut candidates: Vec<Member> = owners.map(|idx| members[idx].clone()).collect();
+    // Connections to the partners are needed for the chunks anyway.
+    candidates.extend(partners::choose(agent.scheme, agent.own_hash, key, members));
+    agent.node.with_rng(|rng| candidates.shuffle(rng));
+    for member in candidates.into_iter().take(2) {
+        let response = peer(agent, &member.address, digest);
+        if let Ok(Ok(content)) = timeout(Duration::from_secs(1), response).await {
             return Some(content);
         }
     }
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! Calls at a plain service.
+//! Calls to a service.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,15 +16,16 @@
 use slog::info;
 use tokio::{sync::oneshot, time::timeout};
 
-use super::{Agent, generate::kind};
+use super::{Agent, generate::error_kind};
 use crate::transport::server::Outgoing;
 
-/// Time between two probes of the service.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// First probes come faster, so that a new agent is soon ready.
-const PROBE_SOON: Duration = Duration::from_millis(50);
+/// Interval between probes of a service that responds, and time limit of each probe.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between probes of a service that does not respond. It is short, so that a new agent is
+/// soon ready.
+const UNAVAILABLE_PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a keyed call gave, kept for calls with the same key.
+/// Response to a keyed call, kept for later calls with the same key.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     status: u16,
@@ -32,21 +33,26 @@
     body: Rc<[u8]>,
 }
 
-/// Tells watchers whether the service answers at all.
+/// Probes the service while the agent runs, and notifies watchers whether it responds.
 pub async fn probe(agent: Rc<Agent>, name: String, service: Rc<dyn Service>) {
     loop {
-        let alive = matches!(timeout(PROBE_EVERY, service.alive()).await, Ok(Ok(())));
-        let told = alive.then(|| name.clone());
+        let alive = matches!(timeout(PROBE_INTERVAL, service.alive()).await, Ok(Ok(())));
+        let available = alive.then(|| name.clone());
         agent.node.notice.send_if_modified(|it| {
-            let changed = it.service != told;
-            it.service.clone_from(&told);
+            let changed = it.service != available;
+            it.service.clone_from(&available);
             changed
         });
-        actix_rt::time::sleep(if alive { PROBE_EVERY } else { PROBE_SOON }).await;
+        actix_rt::time::sleep(if alive {
+            PROBE_INTERVAL
+        } else {
+            UNAVAILABLE_PROBE_INTERVAL
+        })
+        .await;
     }
 }
 
-/// Runs a call to the service and relays its answer.
+/// Runs a call to the service and relays the response.
 pub async fn run(
     agent: &Rc<Agent>,
     name: &str,
@@ -55,7 +61,7 @@
     outgoing: &Outgoing,
 ) -> Result<(), Kind> {
     let Job::Service {
-        service: wanted,
+        service: requested,
         method,
         path,
         content_type,
@@ -65,10 +71,10 @@
     else {
         return Err(Kind::NotServing);
     };
-    if wanted != name {
+    if requested != name {
         return Err(Kind::NotServing);
     }
-    agent.live_in(body.len());
+    agent.record_live_in(body.len());
     let request = Request {
         id: work.request,
         method: method.clone(),
@@ -76,28 +82,29 @@
         content_type: content_type.clone(),
         body: body.clone(),
     };
-    let bound = Duration::from_millis(u64::from(work.deadline_ms));
+    let limit = Duration::from_millis(u64::from(work.deadline_ms));
     match repeat {
         Repeat::Allowed | Repeat::Never => {
-            let calling = timeout(bound, service.call(request));
+            let calling = timeout(limit, service.call(request));
             let response = calling.await.map_err(|_| Kind::Deadline)?;
-            let response = response.map_err(|it| kind(&it))?;
+            let response = response.map_err(|it| error_kind(&it))?;
             relay(agent, work.request, response, outgoing).await
         }
         Repeat::Key(key) => {
             let key = at_most_once::key(name, &work.team, key);
-            let outcome = keyed(agent, service, request, key);
-            let outcome = timeout(bound, outcome)
+            let outcome = call_once(agent, service, request, key);
+            let outcome = timeout(limit, outcome)
                 .await
                 .map_err(|_| Kind::Deadline)??;
-            send(agent, work.request, &outcome, outgoing).await;
+            send_outcome(agent, work.request, &outcome, outgoing).await;
             Ok(())
         }
     }
 }
 
 fn check_echo(response: &Response, request: RequestId) -> Result<(), Kind> {
-    // A service that echoes no id is met on a connection of its own, which can't be crossed.
+    // A service that echoes no id is called over a separate connection for each request, where
+    // responses can't be mixed up.
     let own = response.echo.is_none_or(|it| it == request);
     if own { Ok(()) } else { Err(Kind::Mismatch) }
 }
@@ -121,7 +128,7 @@
     loop {
         match timeout(agent.node.idle_timeout(), response.body.next()).await {
             Ok(Some(Ok(bytes))) => {
-                agent.live_out(bytes.len());
+                agent.record_live_out(bytes.len());
                 let (seq, _) = checker.totals();
                 checker.accept_piece("", seq, &bytes)?;
                 let (version, data) = (String::new(), bytes.to_vec());
@@ -152,8 +159,8 @@
     }
 }
 
-async fn send(agent: &Agent, request: RequestId, outcome: &Outcome, outgoing: &Outgoing) {
-    agent.live_out(outcome.body.len());
+async fn send_outcome(agent: &Agent, request: RequestId, outcome: &Outcome, outgoing: &Outgoing) {
+    agent.record_live_out(outcome.body.len());
     let Outcome {
         status,
         content_type,
@@ -190,9 +197,9 @@
         .await;
 }
 
-/// Runs a keyed call at most once for its key, or gives the outcome of the call that ran. The run
-/// goes on when its caller has gone, so that its outcome is known to the next call with the key.
-async fn keyed(
+/// Runs a keyed call at most once for its key, or returns the outcome of the call that ran. The call
+/// continues if its caller disconnects, so that the next call with the key gets the outcome.
+async fn call_once(
     agent: &Rc<Agent>,
     service: &Rc<dyn Service>,
     request: Request,
@@ -210,32 +217,33 @@
         Step::Refuse(kind) => return Err(kind),
         Step::Run => return Err(Kind::Duplicate),
     };
-    let (told, tell) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let (agent, service) = (Rc::clone(agent), Rc::clone(service));
     let scope = Rc::clone(&agent.node.scope);
     scope.spawn(async move {
-        let settled = agent.claims.settled(claim).await;
-        let step = agent.claims.settle(key, settled, agent.node.clock.now());
+        let appended = agent.claims.append(claim).await;
+        let step = agent.claims.settle(key, appended, agent.node.clock.now());
         let result = match step {
-            Step::Run => claimed(&agent, &*service, key, request).await,
+            Step::Run => run_claimed(&agent, &*service, key, request).await,
             Step::Refuse(kind) => Err(kind),
             Step::Claim(_) | Step::Replay(_) => Err(Kind::Duplicate),
         };
-        let _ = told.send(result);
+        let _ = sender.send(result);
     });
-    tell.await.unwrap_or(Err(Kind::Duplicate))
+    receiver.await.unwrap_or(Err(Kind::Duplicate))
 }
 
-async fn claimed(
+/// Runs a call whose claim is settled, and records its outcome.
+async fn run_claimed(
     agent: &Agent,
     service: &dyn Service,
     key: Digest,
     request: Request,
 ) -> Result<Outcome, Kind> {
     let id = request.id;
-    let called = service.call(request).await.map_err(|it| kind(&it));
-    let result = match called {
-        Ok(response) => collect(agent, id, response).await,
+    let response = service.call(request).await.map_err(|it| error_kind(&it));
+    let result = match response {
+        Ok(response) => collect_outcome(agent, id, response).await,
         Err(kind) => Err(kind),
     };
     let mut table = agent.claims.table.borrow_mut();
@@ -243,13 +251,17 @@
         Ok(outcome) => table.complete(key, outcome.clone()),
         Err(Kind::Unreachable) => table.mark_not_run(key),
         Err(kind) => {
-            info!(agent.node.log, "outcome unknown"; "attempt" => %id, "kind" => kind.name());
+            info!(agent.node.log, "outcome of a keyed call unknown"; "attempt" => %id, "kind" => kind.name());
         }
     }
     result
 }
 
-async fn collect(agent: &Agent, id: RequestId, mut response: Response) -> Result<Outcome, Kind> {
+async fn collect_outcome(
+    agent: &Agent,
+    id: RequestId,
+    mut response: Response,
+) -> Result<Outcome, Kind> {
     check_echo(&response, id)?;
     let mut body = Vec::new();
     loop {
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -1,4 +1,4 @@
-//! Gives chunks to peers.
+//! Uploads of chunks to peers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,27 +12,28 @@
 use super::Agent;
 use crate::transport::server::Outgoing;
 
-/// Time over which arrivals are gathered before followers are told.
-const GATHER: Duration = Duration::from_millis(40);
-/// Longest silence towards a follower.
+/// Delay over which arrivals are batched into one message to a follower.
+const BATCH_DELAY: Duration = Duration::from_millis(40);
+/// Maximum interval between messages to a follower.
 const FOLLOW_HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Gives a chunk, once a slot is free and the link has room beside live requests.
-pub async fn give(agent: Rc<Agent>, digest: Digest, outgoing: Outgoing) {
-    let content = match agent.offer(digest) {
+/// Sends a chunk to a peer, once an upload slot is free and the link has capacity beside live
+/// requests.
+pub async fn send_chunk(agent: Rc<Agent>, digest: Digest, outgoing: Outgoing) {
+    let content = match agent.held_content(digest) {
         Ok(content) => content,
         Err(absence) => {
             outgoing.finish(&Reply::Absent(absence)).await;
             return;
         }
     };
-    let Some(slot) = slot(&agent).await else {
+    let Some(slot) = acquire_slot(&agent).await else {
         outgoing.finish(&Reply::Absent(Absence::Busy)).await;
         return;
     };
     let bytes = content.len() as u64;
     let now = agent.node.clock.now();
-    let wait = agent.pace_out.borrow_mut().reserve(bytes, now);
+    let wait = agent.upload_pacer.borrow_mut().reserve(bytes, now);
     actix_rt::time::sleep(wait).await;
     if outgoing.finish(&Reply::Chunk(content.to_vec())).await {
         agent.node.metrics.uploaded_bytes.inc_by(bytes);
@@ -40,15 +41,16 @@
     drop(slot);
 }
 
-/// Tells a peer which chunks of a manifest are held, now and as they arrive.
-pub async fn follow(agent: Rc<Agent>, manifest: Digest, outgoing: Outgoing) {
+/// Sends a peer the positions of the chunks of a manifest that are held, and of those that arrive
+/// later.
+pub async fn send_holdings(agent: Rc<Agent>, manifest: Digest, outgoing: Outgoing) {
     let mut arrivals = agent.arrivals.subscribe();
     let mut seen = 0;
     loop {
         arrivals.borrow_and_update();
-        let news = agent.chunks.borrow().arrived(manifest, seen).to_vec();
-        seen += news.len();
-        if agent.node.leaving() || !outgoing.send(&Reply::Have(news)).await {
+        let positions = agent.chunks.borrow().arrived(manifest, seen).to_vec();
+        seen += positions.len();
+        if agent.node.leaving() || !outgoing.send(&Reply::Have(positions)).await {
             return;
         }
         tokio::select! {
@@ -56,16 +58,16 @@
             () = actix_rt::time::sleep(FOLLOW_HEARTBEAT) => {}
             () = outgoing.closed() => return,
         }
-        actix_rt::time::sleep(GATHER).await;
+        actix_rt::time::sleep(BATCH_DELAY).await;
     }
 }
 
-/// An upload slot, free again when dropped.
+/// An upload slot, which is released when dropped.
 struct Slot(Rc<Agent>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // A peer that stopped waiting passes its slot on to the next.
+        // A peer that no longer waits is skipped, and the slot passes to the next one.
         while let Some(next) = self.0.uploads.borrow_mut().release() {
             if next.send(()).is_ok() {
                 return;
@@ -74,18 +76,19 @@
     }
 }
 
-async fn slot(agent: &Rc<Agent>) -> Option<Slot> {
-    let (tell, told) = oneshot::channel();
-    let turn = agent.uploads.borrow_mut().request(tell);
-    match turn {
+async fn acquire_slot(agent: &Rc<Agent>) -> Option<Slot> {
+    let (sender, receiver) = oneshot::channel();
+    let admission = agent.uploads.borrow_mut().request(sender);
+    match admission {
         Admission::Busy => None,
-        Admission::Queued => told.await.ok().map(|()| Slot(Rc::clone(agent))),
+        Admission::Queued => receiver.await.ok().map(|()| Slot(Rc::clone(agent))),
         Admission::Granted => Some(Slot(Rc::clone(agent))),
     }
 }
 
 impl Agent {
-    fn offer(&self, digest: Digest) -> Result<bytes::Bytes, Absence> {
+    /// Returns content for a peer, or the reason why it can't be sent.
+    fn held_content(&self, digest: Digest) -> Result<bytes::Bytes, Absence> {
         if self.node.leaving() {
             return Err(Absence::Leaving);
         }
@@ -94,9 +97,9 @@
         }
         let fetching = self.fetching.borrow();
         let owns = fetching.as_ref().is_some_and(|it| it.borrow().owns(digest));
-        // Content of a manifest that has not come yet may well be this agent's to read.
-        let unheard = !self.chunks.borrow().knows(digest);
-        Err(if owns || unheard {
+        // This agent may own content of a manifest that has not arrived yet.
+        let unlisted = !self.chunks.borrow().is_listed(digest);
+        Err(if owns || unlisted {
             Absence::Pending
         } else {
             Absence::NotHeld
--- a/crates/gradeloft_daemon/src/agent/turn.rs
+++ b/crates/gradeloft_daemon/src/agent/turn.rs
@@ -1,4 +1,4 @@
-//! Turns to switch versions, asked for on the log.
+//! Turns to switch versions, requested in the log.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -11,16 +11,16 @@
     border::bundle::Rollout,
     frame::Pin,
     id::Digest,
-    record::{Record, Step, TURNS, Turn as Said},
+    record::{Record, Step, TURNS, Turn as TurnRecord},
 };
 use slog::info;
 
 use super::Agent;
 
-/// How long the log is asked to wait for something new, in milliseconds.
+/// Time that a read of the log waits for new records, in milliseconds.
 const WAIT_MS: u64 = 500;
 
-/// The version that a turn is for.
+/// A version that a turn is requested for.
 #[derive(Clone, Debug)]
 pub struct Version {
     stream: String,
@@ -29,7 +29,7 @@
 }
 
 impl Version {
-    /// A version of a model or an adapter.
+    /// Creates the version of a model or an adapter.
     pub fn new(pin: &Pin, manifest: Digest) -> Version {
         let stream = match &pin.adapter {
             Some(adapter) => format!("{TURNS}.{}.{adapter}", pin.model),
@@ -43,7 +43,7 @@
     }
 }
 
-/// A turn of this replica, renewed until it is ended or dropped.
+/// A turn held by this replica, renewed until it is ended or dropped.
 pub struct Turn {
     agent: Rc<Agent>,
     version: Version,
@@ -56,34 +56,34 @@
     }
 }
 
-/// Waits until this replica may switch to a version: it holds one of the turns that
-/// the bundle's bound leaves, and the availability zones before its own are done.
-pub async fn take(agent: &Rc<Agent>, version: Version) -> Result<Turn, String> {
+/// Waits until this replica may switch to a version: the availability zones before its own in the
+/// bundle's order have switched, and it holds one of the turns that `max_unavailable` allows.
+pub async fn acquire(agent: &Rc<Agent>, version: Version) -> Result<Turn, String> {
     let stream = version.stream.clone();
-    let folded = RefCell::new(Turns::default());
+    let turns = RefCell::new(Turns::default());
     let own = &agent.node.settings.node.id;
-    let mut asked: Option<Time> = None;
-    info!(agent.node.log, "turn asked for"; "model" => &version.model);
+    let mut requested_at: Option<Time> = None;
+    info!(agent.node.log, "turn requested"; "model" => &version.model);
     loop {
-        read(agent, &stream, &folded, 0).await?;
-        if zone_open(agent, &version, &folded.borrow()) {
+        read_to_end(agent, &stream, &turns, 0).await?;
+        if zone_open(agent, &version, &turns.borrow()) {
             let renew = Duration::from_millis(RENEW_MS);
             let now = agent.node.clock.now();
-            if asked.is_none_or(|it| it.after(renew) <= now) {
-                say(agent, &version, Step::Ask).await?;
-                asked = Some(now);
-                read(agent, &stream, &folded, 0).await?;
+            if requested_at.is_none_or(|it| it.after(renew) <= now) {
+                append(agent, &version, Step::Ask).await?;
+                requested_at = Some(now);
+                read_to_end(agent, &stream, &turns, 0).await?;
             }
-            if folded
+            if turns
                 .borrow()
                 .holds(own, version.manifest, agent.rollout().max_unavailable)
             {
                 break;
             }
         }
-        read(agent, &stream, &folded, WAIT_MS).await?;
+        read_to_end(agent, &stream, &turns, WAIT_MS).await?;
     }
-    info!(agent.node.log, "turn taken"; "model" => &version.model);
+    info!(agent.node.log, "turn acquired"; "model" => &version.model);
     let renewing = actix_rt::spawn(renew(Rc::clone(agent), version.clone()));
     Ok(Turn {
         agent: Rc::clone(agent),
@@ -93,9 +93,9 @@
 }
 
 impl Turn {
-    /// The version serves, or failed; until the log takes the word, the turn stays held.
+    /// Ends the turn with the outcome `step`. The turn is held until the log accepts the record.
     pub async fn end(self, step: Step) {
-        while say(&self.agent, &self.version, step).await.is_err() {
+        while append(&self.agent, &self.version, step).await.is_err() {
             actix_rt::time::sleep(Duration::from_millis(WAIT_MS)).await;
         }
     }
@@ -104,20 +104,20 @@
 async fn renew(agent: Rc<Agent>, version: Version) {
     loop {
         actix_rt::time::sleep(Duration::from_millis(RENEW_MS)).await;
-        let _ = say(&agent, &version, Step::Ask).await;
+        let _ = append(&agent, &version, Step::Ask).await;
     }
 }
 
-/// Tells the others that the version serves here, for a replica that needed no turn.
-pub async fn done(agent: &Agent, version: &Version) -> Result<(), String> {
-    say(agent, version, Step::Done).await
+/// Records that this replica serves a version for which it holds no turn.
+pub async fn record_done(agent: &Agent, version: &Version) -> Result<(), String> {
+    append(agent, version, Step::Done).await
 }
 
-async fn say(agent: &Agent, version: &Version, step: Step) -> Result<(), String> {
+async fn append(agent: &Agent, version: &Version, step: Step) -> Result<(), String> {
     let number = agent.node.chain.borrow().number();
     let node = agent.node.settings.node.id.clone();
     let manifest = version.manifest;
-    let record = Record::Turn(Said {
+    let record = Record::Turn(TurnRecord {
         number,
         manifest,
         node,
@@ -131,41 +131,44 @@
         .append(&version.stream, &[record])
         .await
     {
-        // Saying it twice is harmless, and whether it was said shows when the stream is read.
+        // A duplicate record is harmless, and reading the stream shows whether the append took
+        // effect.
         Ok(_) | Err(Fault::Lost) => Ok(()),
-        Err(fault) => Err(refused(agent, &fault)),
+        Err(fault) => Err(log_failure(agent, &fault)),
     }
 }
 
-async fn read(
+/// Reads the stream to its end. Waits up to `wait_ms` if it has no new records.
+async fn read_to_end(
     agent: &Agent,
     stream: &str,
-    folded: &RefCell<Turns>,
+    turns: &RefCell<Turns>,
     wait_ms: u64,
 ) -> Result<(), String> {
     loop {
-        let from = folded.borrow().next();
+        let from = turns.borrow().next();
         let page = agent.node.platform.log.read(stream, from, wait_ms).await;
-        let page = page.map_err(|it| refused(agent, &it))?;
-        let mut folded = folded.borrow_mut();
+        let page = page.map_err(|it| log_failure(agent, &it))?;
+        let mut turns = turns.borrow_mut();
         for record in &page.records {
             match Record::decode(&record.data) {
-                Ok(Record::Turn(turn)) => folded.fold(record.offset, record.time_ms, &turn),
-                _ => folded.skip(record.offset, record.time_ms),
+                Ok(Record::Turn(turn)) => turns.fold(record.offset, record.time_ms, &turn),
+                _ => turns.skip(record.offset, record.time_ms),
             }
         }
-        if page.next <= folded.next() || page.records.is_empty() {
+        if page.next <= turns.next() || page.records.is_empty() {
             return Ok(());
         }
     }
 }
 
-fn refused(agent: &Agent, fault: &Fault) -> String {
+/// Counts a failure of the log and returns its description.
+fn log_failure(agent: &Agent, fault: &Fault) -> String {
     agent.node.count_platform_failure("log");
-    format!("no turn while the log can't be used: {fault}")
+    format!("a turn requires the log, which failed: {fault}")
 }
 
-fn zone_open(agent: &Agent, version: &Version, folded: &Turns) -> bool {
+fn zone_open(agent: &Agent, version: &Version, turns: &Turns) -> bool {
     let order = agent.rollout().zone_order;
     if order.is_empty() {
         return true;
@@ -176,12 +179,12 @@
         .map(|(node, zone)| (node.as_str(), zone.as_str()));
     let own = &agent.node.settings.node.zone;
     turns::zone_open(&order, own, pairs, |node| {
-        folded.is_done(node, version.manifest)
+        turns.is_done(node, version.manifest)
     })
 }
 
 impl Agent {
-    /// The rollout part of the bundle in force.
+    /// Returns the rollout part of the bundle in force.
     pub(super) fn rollout(&self) -> Rollout {
         let chain = self.node.chain.borrow();
         let rollout = chain.head().and_then(|it| it.bundle.rollout.clone());
--- a/crates/gradeloft_daemon/src/agent/work.rs
+++ b/crates/gradeloft_daemon/src/agent/work.rs
@@ -1,4 +1,4 @@
-//! Takes or refuses work. The agent has the last word, whatever the entry believed.
+//! Admission and dispatch of requests. The agent decides, since the view of an entry may be stale.
 
 use std::rc::Rc;
 
@@ -11,14 +11,14 @@
 use super::{Agent, Endpoint, generate, service};
 use crate::{metrics::Reason, transport::server::Outgoing};
 
-/// Watchers are told at once when the load changes by this share of the capacity.
-const TELL_SHARE: u32 = 4;
+/// The load is reported to watchers at once when it changes by the capacity divided by this.
+const REPORT_DIVISOR: u32 = 4;
 
-/// Answers an attempt.
-pub async fn answer(agent: Rc<Agent>, work: Work, outgoing: Outgoing) {
+/// Runs an attempt and sends its response or error.
+pub async fn handle(agent: Rc<Agent>, work: Work, outgoing: Outgoing) {
     let request = work.request;
     let result = match agent.admit(&work) {
-        Ok(running) => {
+        Ok(guard) => {
             let run = run(&agent, &work, &outgoing);
             let result = tokio::select! {
                 result = run => result,
@@ -27,7 +27,7 @@
                     return;
                 }
             };
-            drop(running);
+            drop(guard);
             result
         }
         Err(kind) => Err(kind),
@@ -59,27 +59,27 @@
     }
 }
 
-/// Counts a request as running until it is dropped.
-pub struct Running {
+/// Guard that counts a request as running until it is dropped.
+pub struct RunningGuard {
     agent: Rc<Agent>,
     pin: Option<Pin>,
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         let agent = &self.agent;
         agent.running.set(agent.running.get() - 1);
         if let Some(pin) = &self.pin
-            && let Some(count) = agent.running_on.borrow_mut().get_mut(pin)
+            && let Some(count) = agent.running_by_pin.borrow_mut().get_mut(pin)
         {
             *count -= 1;
         }
-        agent.tell_running();
+        agent.report_running();
     }
 }
 
 impl Agent {
-    fn admit(self: &Rc<Agent>, work: &Work) -> Result<Running, Kind> {
+    fn admit(self: &Rc<Agent>, work: &Work) -> Result<RunningGuard, Kind> {
         if self.node.leaving() {
             return Err(Kind::Leaving);
         }
@@ -98,32 +98,36 @@
         }
         self.running.set(self.running.get() + 1);
         if let Some(pin) = pin {
-            *self.running_on.borrow_mut().entry(pin.clone()).or_default() += 1;
+            *self
+                .running_by_pin
+                .borrow_mut()
+                .entry(pin.clone())
+                .or_default() += 1;
         }
-        self.tell_running();
-        Ok(Running {
+        self.report_running();
+        Ok(RunningGuard {
             agent: Rc::clone(self),
             pin: pin.cloned(),
         })
     }
 
-    /// Puts the load into the notice. Watchers get it with the next heartbeat, or at once when it
-    /// has changed much, so that reports cost little while requests come and go.
-    fn tell_running(&self) {
+    /// Updates the load in the notice. Watchers get it with the next heartbeat, or at once after a
+    /// large change, so that frequent small changes cause few messages.
+    fn report_running(&self) {
         let running = self.running.get();
-        let step = (self.settings.running as u32 / TELL_SHARE).max(1);
-        let tell = step <= running.abs_diff(self.told_running.get());
-        if tell {
-            self.told_running.set(running);
+        let threshold = (self.settings.running as u32 / REPORT_DIVISOR).max(1);
+        let report = threshold <= running.abs_diff(self.reported_running.get());
+        if report {
+            self.reported_running.set(running);
         }
         self.node.notice.send_if_modified(|it| {
             it.running = running;
-            tell
+            report
         });
     }
 
-    /// Requests that run on a version.
+    /// Returns the number of requests running on a version.
     pub fn running_on(&self, pin: &Pin) -> u32 {
-        self.running_on.borrow().get(pin).copied().unwrap_or(0)
+        self.running_by_pin.borrow().get(pin).copied().unwrap_or(0)
     }
 }
