--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use futures_util::StreamExt;
-use gradeloft_platform::endpoint::{Request, Response, Service};
+use gradeloft_platform::endpoint::{Service, ServiceRequest, ServiceResponse};
 use gradeloft_policy::request::{
     at_most_once::{self, Step},
     response::ResponseChecker,
@@ -36,7 +36,10 @@
 /// Probes the service while the agent runs, and notifies watchers whether it responds.
 pub async fn probe(agent: Rc<Agent>, name: String, service: Rc<dyn Service>) {
     loop {
-        let alive = matches!(timeout(PROBE_INTERVAL, service.alive()).await, Ok(Ok(())));
+        let alive = matches!(
+            timeout(PROBE_INTERVAL, service.check_health()).await,
+            Ok(Ok(()))
+        );
         let available = alive.then(|| name.clone());
         agent.node.notice.send_if_modified(|it| {
             let changed = it.service != available;
@@ -75,7 +78,7 @@
         return Err(Kind::NotServing);
     }
     agent.record_live_in(body.len());
-    let request = Request {
+    let request = ServiceRequest {
         id: work.request,
         method: method.clone(),
         path: path.clone(),
@@ -102,17 +105,17 @@
     }
 }
 
-fn check_echo(response: &Response, request: RequestId) -> Result<(), Kind> {
+fn check_echo(response: &ServiceResponse, request: RequestId) -> Result<(), Kind> {
     // A service that echoes no id is called over a separate connection for each request, where
     // responses can't be mixed up.
-    let own = response.echo.is_none_or(|it| it == request);
+    let own = response.echoed_id.is_none_or(|it| it == request);
     if own { Ok(()) } else { Err(Kind::Mismatch) }
 }
 
 async fn relay(
     agent: &Agent,
     request: RequestId,
-    mut response: Response,
+    mut response: ServiceResponse,
     outgoing: &Outgoing,
 ) -> Result<(), Kind> {
     check_echo(&response, request)?;
@@ -202,7 +205,7 @@
 async fn call_once(
     agent: &Rc<Agent>,
     service: &Rc<dyn Service>,
-    request: Request,
+    request: ServiceRequest,
     key: Digest,
 ) -> Result<Outcome, Kind> {
     let now = agent.node.clock.now();
@@ -238,7 +241,7 @@
     agent: &Agent,
     service: &dyn Service,
     key: Digest,
-    request: Request,
+    request: ServiceRequest,
 ) -> Result<Outcome, Kind> {
     let id = request.id;
     let response = service.call(request).await.map_err(|it| error_kind(&it));
@@ -260,7 +263,7 @@
 async fn collect_outcome(
     agent: &Agent,
     id: RequestId,
-    mut response: Response,
+    mut response: ServiceResponse,
 ) -> Result<Outcome, Kind> {
     check_echo(&response, id)?;
     let mut body = Vec::new();
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -17,8 +17,10 @@
     settings::{Role, Settings},
 };
 use gradeloft_platform::{
-    Answer, Fault,
-    fleet::{Decoder, Directory, Engine, Headers, Load, Order, Origin, State, Taken},
+    CallFuture, Fault,
+    fleet::{
+        Decoder, Directory, Engine, Headers, Load, LoadOutcome, OperatorRecord, Origin, State,
+    },
 };
 use gradeloft_policy::process::{
     document::{CallerLimits, Document, Layout, Service},
@@ -89,7 +91,7 @@
 }
 
 impl Engine for FakeEngine {
-    fn state(&self) -> Answer<'_, State> {
+    fn state(&self) -> CallFuture<'_, State> {
         let state = State {
             born: self.born.get(),
             version: self.version.get(),
@@ -100,12 +102,12 @@
         Box::pin(async move { Ok(state) })
     }
 
-    fn staged<'a>(&'a self, _: &'a str) -> Answer<'a, Vec<u32>> {
+    fn staged<'a>(&'a self, _: &'a str) -> CallFuture<'a, Vec<u32>> {
         let staged = self.staged.borrow().keys().copied().collect();
         Box::pin(async move { Ok(staged) })
     }
 
-    fn piece<'a>(&'a self, _: &'a str, idx: u32) -> Answer<'a, Bytes> {
+    fn piece<'a>(&'a self, _: &'a str, idx: u32) -> CallFuture<'a, Bytes> {
         Box::pin(async move {
             if self.slow_reads.get() {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
@@ -115,7 +117,7 @@
         })
     }
 
-    fn stage<'a>(&'a self, _: &'a str, idx: u32, content: Bytes) -> Answer<'a, ()> {
+    fn stage<'a>(&'a self, _: &'a str, idx: u32, content: Bytes) -> CallFuture<'a, ()> {
         if self.refused.get() == Some(idx) {
             self.refusals.set(self.refusals.get() + 1);
             return Box::pin(async { Err(Fault::Unreachable) });
@@ -124,7 +126,7 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, Taken> {
+    fn load<'a>(&'a self, load: Load<'a>) -> CallFuture<'a, LoadOutcome> {
         self.orders.borrow_mut().push((load.version, load.fence));
         let whole =
             (0..PIECES).all(|it| self.staged.borrow().get(&it) == Some(&content(load.version, it)));
@@ -135,7 +137,7 @@
         } else if !self.slow.get() {
             self.finish();
         }
-        Box::pin(async { Ok(Taken::Started) })
+        Box::pin(async { Ok(LoadOutcome::Started) })
     }
 }
 
@@ -158,7 +160,12 @@
 }
 
 impl Origin for FakeOrigin {
-    fn manifest<'a>(&'a self, _: SocketAddr, _: &'a str, version: u64) -> Answer<'a, Vec<Digest>> {
+    fn manifest<'a>(
+        &'a self,
+        _: SocketAddr,
+        _: &'a str,
+        version: u64,
+    ) -> CallFuture<'a, Vec<Digest>> {
         Box::pin(async move {
             if self.manifests.replace(self.manifests.get() + 1) == 0 {
                 self.connections_before.set(self.peer_connections.get());
@@ -175,7 +182,13 @@
         })
     }
 
-    fn piece<'a>(&'a self, _: SocketAddr, _: &'a str, version: u64, idx: u32) -> Answer<'a, Bytes> {
+    fn piece<'a>(
+        &'a self,
+        _: SocketAddr,
+        _: &'a str,
+        version: u64,
+        idx: u32,
+    ) -> CallFuture<'a, Bytes> {
         Box::pin(async move {
             if self.down.get() {
                 return Err(Fault::Unreachable);
@@ -202,13 +215,13 @@
 pub(crate) struct FakeDecoder;
 
 impl Decoder for FakeDecoder {
-    fn order(&self, record: &Record) -> Result<Order, String> {
+    fn operator_record(&self, record: &Record) -> Result<OperatorRecord, String> {
         if record.key == "config" {
-            return Ok(Order::Config(Box::new(document())));
+            return Ok(OperatorRecord::Config(Box::new(document())));
         }
         let value = record.value.as_deref().unwrap_or_default();
         let version = std::str::from_utf8(value).map_err(|it| it.to_string())?;
-        Ok(Order::Weights {
+        Ok(OperatorRecord::Weights {
             model: "w".to_owned(),
             version: version.parse().map_err(|_| "no version".to_owned())?,
         })
@@ -285,17 +298,17 @@
 }
 
 pub(crate) const HEADERS: Headers = Headers {
-    request: "a",
+    attempt_id: "a",
     deadline: "b",
-    key: "c",
+    api_key: "c",
     team: "d",
-    replica: "e",
+    target_replica: "e",
     replica_id: "f",
-    version: "g",
+    expected_version: "g",
     tokens: "h",
     priority: "h",
     seal: "i",
-    not_run: "j",
+    not_executed: "j",
 };
 
 pub(crate) struct World {
