--- a/crates/gradeloft_daemon/src/transport/client.rs
+++ b/crates/gradeloft_daemon/src/transport/client.rs
@@ -146,7 +146,7 @@
     ) -> Result<Result<Reply, CallError>, Elapsed> {
         let mut incoming = match timeout(idle_timeout, self.open(address, lane, call)).await? {
             Ok(incoming) => incoming,
-            Err(fault) => return Ok(Err(fault)),
+            Err(error) => return Ok(Err(error)),
         };
         let reply = incoming.next_within(idle_timeout).await?;
         Ok(reply.and_then(|it| it.ok_or(CallError::Lost)))
@@ -288,7 +288,7 @@
             match timeout(idle_timeout, self.read_more()).await? {
                 Ok(true) => {}
                 Ok(false) => return Ok(Ok(None)),
-                Err(fault) => return Ok(Err(fault)),
+                Err(error) => return Ok(Err(error)),
             }
         }
     }
--- a/crates/gradeloft_daemon/tests/clock.rs
+++ b/crates/gradeloft_daemon/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock and its timers while the machine is suspended.
+//! Behaviour of the clock and its timers when the machine is suspended.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -7,14 +7,14 @@
 
 use gradeloft_daemon::clock::{Clock, Elapsed, Timers};
 
-/// A machine that a test suspends.
-fn machine() -> &'static AtomicU64 {
+/// Creates a counter of the simulated suspension, in milliseconds.
+fn suspension() -> &'static AtomicU64 {
     Box::leak(Box::default())
 }
 
 #[test]
-fn time_passes_while_the_machine_is_suspended() {
-    let suspended_ms = machine();
+fn clock_counts_suspensions() {
+    let suspended_ms = suspension();
     let clock = Clock::with_simulated_suspension(suspended_ms);
     let before = clock.now();
     suspended_ms.fetch_add(7_000, Ordering::Relaxed);
@@ -23,41 +23,41 @@
 }
 
 #[test]
-fn a_timer_that_became_due_meanwhile_ends_at_the_next_look() {
+fn timer_due_during_suspension_fires_at_the_next_check() {
     actix_rt::System::new().block_on(async {
-        let suspended_ms = machine();
+        let suspended_ms = suspension();
         let clock = Clock::with_simulated_suspension(suspended_ms);
         let timers = Timers::new(clock);
         assert_eq!(timers.check_suspension(), Duration::ZERO);
-        // A minute, which no test waits for.
+        // Much longer than the test may take.
         let due = clock.now().after_ms(60_000);
-        let waits = timers.timeout_at(due, std::future::pending::<()>());
-        let wakes = async {
+        let waiting = timers.timeout_at(due, std::future::pending::<()>());
+        let suspending = async {
             tokio::task::yield_now().await;
             suspended_ms.fetch_add(61_000, Ordering::Relaxed);
             timers.check_suspension()
         };
-        let (ended, suspended) = tokio::join!(waits, wakes);
+        let (ended, suspended) = tokio::join!(waiting, suspending);
         assert_eq!(ended, Err(Elapsed));
         assert!(Duration::from_secs(60) < suspended, "{suspended:?}");
-        assert_eq!(timers.check_suspension(), Duration::ZERO, "told once");
+        assert_eq!(timers.check_suspension(), Duration::ZERO, "reported once");
     });
 }
 
 #[test]
-fn a_timer_that_is_not_due_yet_goes_on() {
+fn timer_not_yet_due_keeps_waiting() {
     actix_rt::System::new().block_on(async {
-        let suspended_ms = machine();
+        let suspended_ms = suspension();
         let clock = Clock::with_simulated_suspension(suspended_ms);
         let timers = Timers::new(clock);
         let due = clock.now().after_ms(5_030);
-        let waits = timers.sleep_until(due);
-        let wakes = async {
+        let waiting = timers.sleep_until(due);
+        let suspending = async {
             tokio::task::yield_now().await;
             suspended_ms.fetch_add(5_000, Ordering::Relaxed);
             timers.check_suspension();
         };
-        tokio::join!(waits, wakes);
+        tokio::join!(waiting, suspending);
         assert!(due <= clock.now());
     });
 }
--- a/crates/gradeloft_daemon/tests/limits.rs
+++ b/crates/gradeloft_daemon/tests/limits.rs
@@ -1,12 +1,12 @@
-//! Teams' rates over several entries.
+//! Rate limits of teams across several entries.
 
 mod support;
 
 use gradeloft_standin::fleet::{Fleet, SERVICE, TEAM};
 use support::{fleet, shape, version};
 
-/// A fleet of three entries whose team may send so many requests a second.
-async fn limited(requests_per_s: u64) -> Fleet {
+/// Starts a fleet of three entries whose team may send `requests_per_s`.
+async fn rate_limited_fleet(requests_per_s: u64) -> Fleet {
     let fleet = fleet(shape(3, 1, 1)).await;
     let v1 = version("v1");
     fleet.upload(&v1);
@@ -23,12 +23,14 @@
             entries.filter(|(_, it)| it.connected).count() == 2
         })
     };
-    fleet.until("entries know each other", connected).await;
+    fleet
+        .until("entries are connected to each other", connected)
+        .await;
     fleet
 }
 
-/// Sends calls to one entry until so many were admitted; fails if that takes too long.
-async fn admitted(fleet: &Fleet, entry: usize, wanted: u32) {
+/// Sends calls to one entry until it has admitted `wanted` of them; panics if that takes too long.
+async fn admit_calls(fleet: &Fleet, entry: usize, wanted: u32) {
     let path = format!("{SERVICE}/rooms");
     let sending = async {
         let mut admitted = 0;
@@ -40,23 +42,23 @@
             admitted += u32::from(answer.status == 200);
         }
     };
-    let bound = std::time::Duration::from_secs(20);
-    tokio::time::timeout(bound, sending)
+    let timeout = std::time::Duration::from_secs(20);
+    tokio::time::timeout(timeout, sending)
         .await
         .expect("the entry got a lease");
 }
 
 #[actix_rt::test]
-async fn an_entry_borrows_the_rate_that_the_others_do_not_use() {
-    // Without a lease an entry admits 200 * 0.05 / 3 a second: 300 calls would take 90 s.
-    let fleet = limited(200).await;
-    admitted(&fleet, 0, 300).await;
-    admitted(&fleet, 1, 300).await;
+async fn entry_borrows_rate_that_others_leave_unused() {
+    // Without a lease, an entry admits 200 * 0.05 / 3 calls per second: 300 calls would take 90 s.
+    let fleet = rate_limited_fleet(200).await;
+    admit_calls(&fleet, 0, 300).await;
+    admit_calls(&fleet, 1, 300).await;
 }
 
 #[actix_rt::test]
-async fn a_flood_is_limited_and_told_when_to_come_back() {
-    let fleet = limited(4).await;
+async fn excess_requests_get_429_with_retry_after() {
+    let fleet = rate_limited_fleet(4).await;
     let path = format!("{SERVICE}/rooms");
     let mut limited = None;
     for _ in 0..40 {
@@ -73,15 +75,15 @@
 }
 
 #[actix_rt::test]
-async fn bad_input_grows_no_labels() {
-    let fleet = limited(200).await;
+async fn invalid_input_adds_no_metric_labels() {
+    let fleet = rate_limited_fleet(200).await;
     for idx in 0..20 {
         let stranger = gradeloft_standin::caller::Caller::new(&format!("team-{idx}"), "token");
         stranger
             .generate(fleet.entry(0), &format!("model-{idx}"), "p", 1)
             .await;
-        let classy = fleet.caller().with("x-class", &format!("class-{idx}"));
-        classy
+        let with_unknown_class = fleet.caller().with("x-class", &format!("class-{idx}"));
+        with_unknown_class
             .generate(fleet.entry(0), &format!("model-{idx}"), "p", 1)
             .await;
     }
@@ -91,10 +93,10 @@
         .node()
         .metrics
         .text();
-    let strange = text
+    let leaked = text
         .lines()
         .filter(|it| it.contains("team-") || it.contains("class-"));
-    assert_eq!(strange.count(), 0, "{text}");
+    assert_eq!(leaked.count(), 0, "{text}");
     assert!(text.contains("outcome=\"not_found\""), "{text}");
     assert!(
         text.contains(&format!("team=\"{TEAM}\"")) || text.contains("team=\"-\""),
--- a/crates/gradeloft_daemon/tests/pairs.rs
+++ b/crates/gradeloft_daemon/tests/pairs.rs
@@ -7,13 +7,13 @@
     engine::Fault,
     fleet::{Fleet, MODEL, SERVICE, digest, until},
 };
-use support::{Transcript, called, fleet, generated, golden, shape, version};
+use support::{Transcript, describe_call, describe_generate, fleet, golden, shape, version};
 use tokio::sync::watch;
 
 async fn charge(fleet: &Fleet, entry: usize, key: &str) -> String {
     let caller = fleet.caller().with("idempotency-key", key);
     let path = format!("{SERVICE}/charges");
-    called(&caller.call(fleet.entry(entry), "POST", &path, key).await)
+    describe_call(&caller.call(fleet.entry(entry), "POST", &path, key).await)
 }
 
 fn ran(fleet: &Fleet, key: &str) -> u64 {
@@ -119,13 +119,13 @@
             .caller()
             .generate(fleet.entry(0), MODEL, &prompt, 2)
             .await;
-        transcript.add(generated(&answer, &v1, &prompt, 2));
+        transcript.add(describe_generate(&answer, &v1, &prompt, 2));
     }
     fleet.engines[2].endpoint.state.fault.set(Fault::Crossed);
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     transcript.add(format!(
         "with no good one left: {}",
-        generated(&answer, &v1, "p", 2)
+        describe_generate(&answer, &v1, "p", 2)
     ));
     golden("crossed_and_retry", &transcript.text());
 }
@@ -169,13 +169,16 @@
     let mut transcript = Transcript::default();
     for (idx, running) in running.into_iter().enumerate() {
         let answer = running.await.expect("the caller's task ends");
-        transcript.add(generated(&answer, &v1, &format!("p{idx}"), 60));
+        transcript.add(describe_generate(&answer, &v1, &format!("p{idx}"), 60));
     }
     fleet
         .until("v2 is on the others", || fleet.known(&v2))
         .await;
     let answer = caller.generate(entry, MODEL, "p", 2).await;
-    transcript.add(format!("afterwards: {}", generated(&answer, &v2, "p", 2)));
+    transcript.add(format!(
+        "afterwards: {}",
+        describe_generate(&answer, &v2, "p", 2)
+    ));
     golden("drain_and_new_version", &transcript.text());
 }
 
@@ -216,5 +219,5 @@
         .await;
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let expected = "200 the version's own text, end of 2 tokens by bulletin/v2, no error";
-    assert_eq!(generated(&answer, &v2, "p", 2), expected);
+    assert_eq!(describe_generate(&answer, &v2, "p", 2), expected);
 }
--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -21,7 +21,7 @@
     sys::signal::{Signal, kill},
     unistd::Pid,
 };
-use support::{called, generated, version};
+use support::{describe_call, describe_generate, version};
 
 /// Long enough that a busy machine does not look like a silent one.
 const IDLE_MS: u64 = 30_000;
@@ -231,7 +231,7 @@
             .generate(self.entry(0), MODEL, prompt, 2)
             .await;
         let expected = "200 the version's own text, end of 2 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, version, prompt, 2), expected);
+        assert_eq!(describe_generate(&answer, version, prompt, 2), expected);
     }
 }
 
@@ -246,7 +246,7 @@
         let answer = keyed
             .call(outside.entry(idx), "POST", &path, "two seats")
             .await;
-        assert_eq!(called(&answer), "200 done: POST /charges two seats");
+        assert_eq!(describe_call(&answer), "200 done: POST /charges two seats");
     }
     assert_eq!(outside.service.state.count("POST /charges two seats"), 1);
 
@@ -307,7 +307,10 @@
     for (idx, running) in running.into_iter().enumerate() {
         let answer = running.await.expect("the caller's task ends");
         let expected = "200 the version's own text, end of 80 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, &v1, &format!("p{idx}"), 80), expected);
+        assert_eq!(
+            describe_generate(&answer, &v1, &format!("p{idx}"), 80),
+            expected
+        );
     }
     let cancelled: u64 = outside
         .engines
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -15,7 +15,7 @@
     },
     record::{CONFIG, Record},
 };
-use support::{CHUNKS, fleet, generated, shape, version};
+use support::{CHUNKS, describe_generate, fleet, shape, version};
 
 fn whole(version: &Version) -> String {
     let name = &version.version;
@@ -24,7 +24,7 @@
 
 async fn answers(fleet: &Fleet, version: &Version) {
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
-    assert_eq!(generated(&answer, version, "p", 2), whole(version));
+    assert_eq!(describe_generate(&answer, version, "p", 2), whole(version));
 }
 
 async fn next(fleet: &Fleet, before: &Bundle, version: &Version) -> Bundle {
@@ -198,7 +198,7 @@
     };
     let (answer, ()) = futures_util::future::join(running, switch).await;
     let expected = "200 the version's own text, end of 50 tokens by bulletin/v1, no error";
-    assert_eq!(generated(&answer, &v1, "p", 50), expected);
+    assert_eq!(describe_generate(&answer, &v1, "p", 50), expected);
     assert_eq!(engine.serves(), ["bulletin/v2"]);
 }
 
--- a/crates/gradeloft_daemon/tests/serving.rs
+++ b/crates/gradeloft_daemon/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Live requests under failures: right, whole, at most once.
+//! Requests during failures: responses are correct and complete, and calls run at most once.
 
 mod support;
 
@@ -10,7 +10,7 @@
     fleet::{Fleet, MODEL, SERVICE, until},
 };
 use rstest::rstest;
-use support::{called, fleet, generated, shape, version};
+use support::{describe_call, describe_generate, fleet, shape, version};
 use tokio::{io::AsyncWriteExt, sync::watch};
 
 const CHARGE: &str = "POST /charges two seats";
@@ -30,7 +30,7 @@
         .await
 }
 
-fn ran(fleet: &Fleet) -> u64 {
+fn run_count(fleet: &Fleet) -> u64 {
     fleet
         .services
         .iter()
@@ -38,8 +38,8 @@
         .sum()
 }
 
-/// A bad answer of one engine is never given to the caller as a whole one: before any token went
-/// out, another replica answers; after it, the caller gets an error.
+/// A bad reply of an engine never reaches the caller as a complete response. If no token was sent
+/// yet, another replica responds; otherwise the caller gets an error.
 #[rstest]
 #[case::crossed(
     Fault::Crossed,
@@ -62,7 +62,10 @@
     "200 not the whole text, no end, cut ran yes retryable false"
 )]
 #[actix_rt::test]
-async fn a_bad_answer_is_never_passed_off_as_whole(#[case] fault: Fault, #[case] expected: &str) {
+async fn bad_engine_reply_is_never_reported_as_complete(
+    #[case] fault: Fault,
+    #[case] expected: &str,
+) {
     let mut shape = shape(1, 2, 0);
     if fault == Fault::Stalled {
         shape.settings = "limits: {idle_ms: 2000}".to_owned();
@@ -70,17 +73,17 @@
     let fleet = fleet(shape).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
-    // The prompt's prefix decides which replica is tried first: find it, and break that one.
+    // The prompt's prefix determines the replica that is tried first: break that one.
     let probe = fleet.caller().generate(fleet.entry(0), MODEL, "p", 4).await;
     assert_eq!(probe.tokens, 4);
     let first = usize::from(fleet.engines[1].endpoint.state.finished.get() == 1);
     fleet.engines[first].endpoint.state.fault.set(fault);
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 4).await;
-    assert_eq!(generated(&answer, &v1, "p", 4), expected);
+    assert_eq!(describe_generate(&answer, &v1, "p", 4), expected);
 }
 
 #[actix_rt::test]
-async fn a_killed_agent_costs_no_request_that_may_be_repeated() {
+async fn killed_agent_fails_no_repeatable_request() {
     let mut fleet = fleet(shape(2, 3, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -92,12 +95,12 @@
             .generate(fleet.entry(idx % 2), MODEL, &prompt, 2)
             .await;
         let expected = "200 the version's own text, end of 2 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, &v1, &prompt, 2), expected);
+        assert_eq!(describe_generate(&answer, &v1, &prompt, 2), expected);
     }
 }
 
 #[actix_rt::test]
-async fn a_reply_lost_after_the_effect_is_unknown_and_not_run_again() {
+async fn lost_reply_is_reported_as_unknown_and_not_retried() {
     let fleet = fleet(shape(1, 1, 2)).await;
     fleet.deploy(&version("v1")).await;
     for service in &fleet.services {
@@ -105,44 +108,44 @@
     }
     let answer = charge(&fleet, 0, "").await;
     assert_eq!(
-        called(&answer),
+        describe_call(&answer),
         "502 reply_lost ran unknown retryable false"
     );
-    assert_eq!(ran(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[actix_rt::test]
-async fn a_lost_reply_of_a_repeatable_call_is_tried_elsewhere() {
+async fn lost_reply_of_a_repeatable_call_is_retried_elsewhere() {
     let fleet = fleet(shape(1, 1, 2)).await;
     fleet.deploy(&version("v1")).await;
     fleet.services[0].endpoint.state.lose_replies.set(1);
     for _ in 0..4 {
         let path = format!("{SERVICE}/rooms");
         let answer = fleet.caller().call(fleet.entry(0), "GET", &path, "").await;
-        assert_eq!(called(&answer), "200 done: GET /rooms");
+        assert_eq!(describe_call(&answer), "200 done: GET /rooms");
     }
 }
 
 #[actix_rt::test]
-async fn the_same_key_gets_the_first_outcome_at_any_entry() {
+async fn same_key_returns_the_first_outcome_at_any_entry() {
     let fleet = fleet(shape(2, 1, 2)).await;
     fleet.deploy(&version("v1")).await;
     let first = charge(&fleet, 0, "k").await;
     let second = charge(&fleet, 1, "k").await;
-    assert_eq!(called(&first), format!("200 done: {CHARGE}"));
-    assert_eq!(called(&second), called(&first));
-    assert_eq!(ran(&fleet), 1);
+    assert_eq!(describe_call(&first), format!("200 done: {CHARGE}"));
+    assert_eq!(describe_call(&second), describe_call(&first));
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[actix_rt::test]
-async fn the_same_key_at_once_at_two_entries_runs_once() {
+async fn concurrent_calls_with_the_same_key_run_once() {
     let fleet = fleet(shape(2, 1, 2)).await;
     fleet.deploy(&version("v1")).await;
     for service in &fleet.services {
         service.endpoint.state.delay_ms.set(50);
     }
     let (first, second) = join(charge(&fleet, 0, "k"), charge(&fleet, 1, "k")).await;
-    let mut both = [called(&first), called(&second)];
+    let mut both = [describe_call(&first), describe_call(&second)];
     both.sort();
     assert_eq!(
         both,
@@ -151,17 +154,17 @@
             "409 duplicate ran unknown retryable false".to_owned()
         ]
     );
-    assert_eq!(ran(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[actix_rt::test]
-async fn an_agent_that_restarts_does_not_run_a_claimed_call_again() {
+async fn restarted_agent_does_not_rerun_a_claimed_call() {
     let mut fleet = fleet(shape(1, 1, 1)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     fleet.services[0].endpoint.state.lose_replies.set(1);
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         "502 reply_lost ran unknown retryable false"
     );
     fleet.restart_service_agent(0).await.unwrap();
@@ -169,65 +172,65 @@
         .until("the restarted agent is known", || fleet.known(&v1))
         .await;
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         "409 duplicate ran unknown retryable false"
     );
-    assert_eq!(ran(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[actix_rt::test]
-async fn with_the_log_down_a_keyed_call_is_refused_as_not_run_and_works_later() {
+async fn keyed_call_is_refused_unrun_while_the_log_is_down() {
     let fleet = fleet(shape(1, 1, 1)).await;
     fleet.deploy(&version("v1")).await;
     fleet.log.state.down.set(true);
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         "503 log_unavailable ran no retryable true"
     );
-    assert_eq!(ran(&fleet), 0);
+    assert_eq!(run_count(&fleet), 0);
     let unkeyed = charge(&fleet, 0, "").await;
     assert_eq!(
-        called(&unkeyed),
+        describe_call(&unkeyed),
         format!("200 done: {CHARGE}"),
-        "needs no log"
+        "calls without a key need no log"
     );
     fleet.log.state.down.set(false);
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         format!("200 done: {CHARGE}")
     );
-    assert_eq!(ran(&fleet), 2);
+    assert_eq!(run_count(&fleet), 2);
 }
 
 #[actix_rt::test]
-async fn a_claim_whose_append_lost_its_reply_runs_once() {
+async fn claimed_call_runs_once_if_the_reply_to_the_append_is_lost() {
     let fleet = fleet(shape(1, 1, 1)).await;
     fleet.deploy(&version("v1")).await;
     fleet.log.state.lose_replies.set(1);
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         format!("200 done: {CHARGE}")
     );
     assert_eq!(
-        called(&charge(&fleet, 0, "k").await),
+        describe_call(&charge(&fleet, 0, "k").await),
         format!("200 done: {CHARGE}")
     );
-    assert_eq!(ran(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[actix_rt::test]
-async fn a_wrong_echo_of_a_service_is_an_error_and_not_somebody_elses_answer() {
+async fn mismatched_service_response_is_an_error() {
     let fleet = fleet(shape(1, 1, 1)).await;
     fleet.deploy(&version("v1")).await;
     fleet.services[0].endpoint.state.wrong_echo.set(true);
     assert_eq!(
-        called(&charge(&fleet, 0, "").await),
+        describe_call(&charge(&fleet, 0, "").await),
         "502 mismatch ran unknown retryable false"
     );
 }
 
 #[actix_rt::test]
-async fn a_client_that_goes_away_cancels_its_request_down_to_the_engine() {
+async fn client_disconnect_cancels_the_request_at_the_engine() {
     let fleet = fleet(shape(1, 1, 0)).await;
     fleet.deploy(&version("v1")).await;
     let engine = &fleet.engines[0].endpoint.state;
@@ -248,7 +251,7 @@
 }
 
 #[actix_rt::test]
-async fn a_draining_agent_finishes_what_runs_and_gets_nothing_new() {
+async fn draining_agent_finishes_requests_and_gets_no_new_ones() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -277,13 +280,13 @@
     let (answers, (cut, before, after)) = join(running, drained).await;
     let expected = "200 the version's own text, end of 60 tokens by bulletin/v1, no error";
     for (answer, prompt) in answers.iter().zip(&prompts) {
-        assert_eq!(generated(answer, &v1, prompt, 60), expected);
+        assert_eq!(describe_generate(answer, &v1, prompt, 60), expected);
     }
     assert_eq!((cut, before), (0, after));
 }
 
 #[actix_rt::test]
-async fn a_draining_entry_finishes_what_runs_and_the_bound_ends_what_does_not() {
+async fn draining_entry_finishes_requests_unless_forced_to_end() {
     let mut shape = shape(2, 1, 0);
     shape.settings = "limits: {drain_ms: 4500}".to_owned();
     let fleet = fleet(shape).await;
@@ -300,25 +303,26 @@
     };
     let (answer, cut) = join(short, drain).await;
     let expected = "200 the version's own text, end of 100 tokens by bulletin/v1, no error";
-    assert_eq!(generated(&answer, &v1, "short", 100), expected);
+    assert_eq!(describe_generate(&answer, &v1, "short", 100), expected);
     assert_eq!(cut, 0);
 
-    let endless = caller.generate_stream(fleet.entry(1), MODEL, 100_000).await;
-    let mut endless = endless.expect("an answer");
-    endless.next().await.expect("a first token").unwrap();
+    let long_stream = caller.generate_stream(fleet.entry(1), MODEL, 100_000).await;
+    let mut long_stream = long_stream.expect("an answer");
+    long_stream.next().await.expect("a first token").unwrap();
     let (force, forced) = watch::channel(false);
     let drain = fleet.entries[1].as_ref().unwrap().drain(forced);
     let (cut, ()) = join(drain, async { force.send(true).unwrap() }).await;
     assert!(
         0 < cut,
-        "a second signal ends it, and what it cut off is told"
+        "a second signal ends the drain, and cut off requests are counted"
     );
 }
 
-/// Callers ask an entry for as long as they may keep its address. Whose answer might not be whole before the process ends
-/// got one that broke off; it is sent to another entry at once, unrun.
+/// Callers use an entry until the TTL of its address expires. A request whose response might not be
+/// complete before the process ends must be rejected unrun, so that the caller uses another entry;
+/// otherwise its response is cut off.
 #[actix_rt::test]
-async fn a_draining_entry_begins_nothing_that_may_outlast_it() {
+async fn draining_entry_rejects_requests_that_may_outlast_it() {
     let mut shape = shape(1, 1, 0);
     shape.settings = "limits: {drain_ms: 4500}".to_owned();
     let fleet = fleet(shape).await;
@@ -329,12 +333,12 @@
     let asked = async {
         until("the entry leaves", || entry.node().leaving()).await;
         let deadline = |ms| fleet.caller().with("x-deadline-ms", ms);
-        let (quick, patient) = (deadline("1000"), deadline("60000"));
-        let short = quick.generate(fleet.entry(0), MODEL, "p", 3).await;
+        let (short_deadline, long_deadline) = (deadline("1000"), deadline("60000"));
+        let short = short_deadline.generate(fleet.entry(0), MODEL, "p", 3).await;
         let expected = "200 the version's own text, end of 3 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&short, &v1, "p", 3), expected);
+        assert_eq!(describe_generate(&short, &v1, "p", 3), expected);
         let before = fleet.engines[0].endpoint.state.finished.get();
-        let long = patient.generate(fleet.entry(0), MODEL, "p", 3).await;
+        let long = long_deadline.generate(fleet.entry(0), MODEL, "p", 3).await;
         let error = long.error.expect("an error");
         assert_eq!((long.status, error.kind.as_str()), (503, "leaving"));
         assert_eq!(fleet.engines[0].endpoint.state.finished.get(), before);
@@ -344,7 +348,7 @@
 }
 
 #[actix_rt::test]
-async fn a_malformed_frame_costs_its_connection_and_nothing_else() {
+async fn malformed_frame_closes_only_its_connection() {
     let fleet = fleet(shape(1, 1, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -352,7 +356,7 @@
     let malformed = || agent.node().metrics.malformed.get();
     let mut socket = tokio::net::TcpStream::connect(agent.peer()).await.unwrap();
     socket.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
-    until("no h2 at all is counted", || malformed() == 1).await;
+    until("data that is not HTTP/2 is counted", || malformed() == 1).await;
 
     let socket = tokio::net::TcpStream::connect(agent.peer()).await.unwrap();
     let (sender, connection) = h2::client::handshake(socket).await.unwrap();
@@ -366,18 +370,18 @@
         .unwrap();
     body.send_data(bytes::Bytes::from_static(&[0, 0, 0, 2, 0xff, 0xff]), true)
         .unwrap();
-    until("a broken frame is counted", || malformed() == 2).await;
+    until("a malformed frame is counted", || malformed() == 2).await;
     let _ = tokio::time::timeout(Duration::from_secs(5), connection)
         .await
-        .expect("it is dropped");
+        .expect("the connection is closed");
 
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let expected = "200 the version's own text, end of 2 tokens by bulletin/v1, no error";
-    assert_eq!(generated(&answer, &v1, "p", 2), expected);
+    assert_eq!(describe_generate(&answer, &v1, "p", 2), expected);
 }
 
 #[actix_rt::test]
-async fn an_engine_that_refuses_costs_a_retry_and_no_error() {
+async fn engine_refusal_is_retried_at_another_replica() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -389,7 +393,7 @@
             .generate(fleet.entry(0), MODEL, &prompt, 1)
             .await;
         let expected = "200 the version's own text, end of 1 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, &v1, &prompt, 1), expected);
+        assert_eq!(describe_generate(&answer, &v1, &prompt, 1), expected);
     }
     fleet.engines[1].endpoint.state.slots.set(0);
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 1).await;
@@ -402,7 +406,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_waits_for_a_stream_in_vain_is_answered_at_its_deadline() {
+async fn request_without_a_free_stream_fails_at_its_deadline() {
     let mut shape = shape(1, 1, 0);
     // One stream for the notices and one for a request.
     shape.settings = "limits: {streams_per_connection: 2}".to_owned();
@@ -416,10 +420,10 @@
         .await;
     let mut first = first.expect("an answer");
     first.next().await.expect("a first token").unwrap();
-    let hurried = fleet.caller().with("x-deadline-ms", "300");
-    let answer = hurried.generate(fleet.entry(0), MODEL, "p", 1).await;
+    let short_deadline = fleet.caller().with("x-deadline-ms", "300");
+    let answer = short_deadline.generate(fleet.entry(0), MODEL, "p", 1).await;
     let error = answer.error.expect("an error");
-    // The transport queues the call, so the entry can't vouch that it never went out.
+    // The transport queues the call, so the entry can't know that it was never sent.
     assert_eq!(
         (error.kind.as_str(), error.ran.to_string().as_str()),
         ("deadline", "unknown")
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions.
+//! Snapshots of whole sessions.
 
 mod support;
 
@@ -15,7 +15,7 @@
     error::Kind,
     frame::{Call, Notice, Pin, Reply},
 };
-use support::{Transcript, called, fleet, generated, golden, shape, version};
+use support::{Transcript, describe_call, describe_generate, fleet, golden, shape, version};
 
 #[actix_rt::test]
 async fn publish_and_serve() {
@@ -25,18 +25,21 @@
     let before = caller.generate(fleet.entry(0), MODEL, "p", 3).await;
     transcript.add(format!(
         "before any bundle: {}",
-        generated(&before, &version("v1"), "p", 3)
+        describe_generate(&before, &version("v1"), "p", 3)
     ));
 
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
     transcript.add("bundle 1 in force, 4 replicas serve v1");
     let answer = caller.generate(fleet.entry(0), MODEL, "p", 3).await;
-    transcript.add(format!("generate: {}", generated(&answer, &v1, "p", 3)));
+    transcript.add(format!(
+        "generate: {}",
+        describe_generate(&answer, &v1, "p", 3)
+    ));
     let path = format!("{SERVICE}/rooms");
     transcript.add(format!(
         "service: {}",
-        called(&caller.call(fleet.entry(1), "GET", &path, "").await)
+        describe_call(&caller.call(fleet.entry(1), "GET", &path, "").await)
     ));
 
     let v2 = version("v2");
@@ -47,15 +50,20 @@
         "bundle 2: {}",
         published.map_or_else(|it| it.to_string(), |_| "accepted".to_owned())
     ));
-    let rival = fleet.bundle(2, Some(digest(&first)), &version("v3"));
-    let refused = fleet.publish(&rival).await;
+    let concurrent = fleet.bundle(2, Some(digest(&first)), &version("v3"));
+    let refused = fleet.publish(&concurrent).await;
     transcript.add(format!(
         "a rival bundle 2: {}",
         refused.expect_err("it lost")
     ));
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet
+        .until("v2 is known at all entries", || fleet.known(&v2))
+        .await;
     let answer = caller.generate(fleet.entry(1), MODEL, "p", 3).await;
-    transcript.add(format!("generate: {}", generated(&answer, &v2, "p", 3)));
+    transcript.add(format!(
+        "generate: {}",
+        describe_generate(&answer, &v2, "p", 3)
+    ));
     let origin = fleet.origin.state.bytes_read.get();
     transcript.add(format!(
         "origin gave each version once: {}",
@@ -86,7 +94,9 @@
                 == 3
         })
     };
-    fleet.until("entries know each other", all).await;
+    fleet
+        .until("entries are connected to each other", all)
+        .await;
     let mut transcript = Transcript::default();
     let name = |address: &str| {
         let named = |it: &usize| fleet.entry(*it).to_string() == address;
@@ -111,7 +121,7 @@
     transcript.add(format!("zone-0 by entry-3: {}", ask(3, "zone-0").await));
     transcript.add(format!("zone-1 by entry-0: {}", ask(0, "zone-1").await));
     fleet.entries[1].as_ref().unwrap().node().leave();
-    let told = || {
+    let leaving_known = || {
         let membership = fleet.entries[0]
             .as_ref()
             .unwrap()
@@ -122,7 +132,9 @@
             .iter()
             .any(|(_, it)| it.notice.as_ref().is_some_and(|it| it.leaving))
     };
-    fleet.until("entry-0 hears that entry-1 leaves", told).await;
+    fleet
+        .until("entry-0 has the notice that entry-1 leaves", leaving_known)
+        .await;
     transcript.add(format!(
         "zone-1 once entry-1 leaves: {}",
         ask(0, "zone-1").await
@@ -147,13 +159,13 @@
     golden("a_streamed_answer", &text);
 }
 
-/// An agent that says it serves everything and refuses all work with a kind of the test's choice.
-struct Refuser {
+/// Agent that reports to serve everything, and refuses all work with an error kind set by the test.
+struct RefusingAgent {
     scope: Rc<Scope>,
     kind: RefCell<Kind>,
 }
 
-impl Handler for Refuser {
+impl Handler for RefusingAgent {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let kind = *self.kind.borrow();
         self.scope.spawn(async move {
@@ -189,10 +201,10 @@
 }
 
 #[actix_rt::test]
-async fn each_error_kind_as_the_caller_sees_it() {
+async fn error_response_of_each_kind() {
     let fleet = fleet(shape(1, 0, 0)).await;
     let scope = Rc::new(Scope::default());
-    let refuser = Rc::new(Refuser {
+    let refusing_agent = Rc::new(RefusingAgent {
         scope: Rc::clone(&scope),
         kind: RefCell::new(Kind::Busy),
     });
@@ -201,7 +213,7 @@
         streams: 64,
         connections: 8,
     };
-    let handler = Rc::clone(&refuser) as Rc<dyn Handler>;
+    let handler = Rc::clone(&refusing_agent) as Rc<dyn Handler>;
     let server = Server::start("127.0.0.1:0", limits, Rc::clone(&scope), handler)
         .await
         .unwrap();
@@ -227,13 +239,13 @@
             .any(|(_, it)| it.notice.is_some());
         seen && *node.bundle_number.borrow() == 1
     };
-    until("the entry knows the refuser and the bundle", ready).await;
+    until("the entry has the agent's notice and the bundle", ready).await;
     let caller = fleet.caller().with("x-request-id", "r-1");
     let mut transcript = Transcript::default();
     for kind in Kind::ALL.iter().copied() {
-        *refuser.kind.borrow_mut() = kind;
-        // A refusal that looks like a broken connection makes the replica suspect for a while.
-        let trusted = || {
+        *refusing_agent.kind.borrow_mut() = kind;
+        // Refusals with the kind of a broken connection make the replica suspect for some time.
+        let not_suspect = || {
             let node = fleet.entries[0].as_ref().unwrap().node();
             let now = node.clock.now();
             node.membership
@@ -241,7 +253,7 @@
                 .iter()
                 .any(|(_, it)| it.takes_work(now))
         };
-        until("the refuser is trusted again", trusted).await;
+        until("the refusing agent is no longer suspect", not_suspect).await;
         let answer = caller.generate(fleet.entry(0), MODEL, "p", 1).await;
         let error = answer.error.expect("an error");
         transcript.add(format!(
@@ -254,17 +266,17 @@
 }
 
 #[actix_rt::test]
-async fn bad_requests_are_refused_with_the_field_that_is_wrong() {
+async fn bad_requests_name_the_invalid_field() {
     let mut shape = shape(1, 1, 1);
     shape.settings = "limits: {body_bytes: 2048, header_bytes: 1024}".to_owned();
     let fleet = fleet(shape).await;
     let v1 = version("v1");
     let mut bundle = fleet.bundle(1, None, &v1);
-    let mut narrow = team("guides", "guides-token");
-    "normal".clone_into(&mut narrow.class);
-    narrow.models.clear();
-    narrow.requests_per_s = 1;
-    bundle.teams.push(narrow);
+    let mut restricted = team("guides", "guides-token");
+    "normal".clone_into(&mut restricted.class);
+    restricted.models.clear();
+    restricted.requests_per_s = 1;
+    bundle.teams.push(restricted);
     fleet.upload(&v1);
     fleet.publish(&bundle).await.unwrap();
     fleet
@@ -347,31 +359,37 @@
         .with("x-class", "critical")
         .call(entry, "GET", &path, "")
         .await;
-    transcript.add(format!("a class above the team's: {}", called(&above)));
-    let unsure = guides
+    transcript.add(format!(
+        "a class above the team's: {}",
+        describe_call(&above)
+    ));
+    let invalid_repeatable = guides
         .with("x-repeatable", "maybe")
         .call(entry, "GET", &path, "")
         .await;
-    transcript.add(format!("neither yes nor no: {}", called(&unsure)));
+    transcript.add(format!(
+        "neither yes nor no: {}",
+        describe_call(&invalid_repeatable)
+    ));
     let long = guides
         .with("idempotency-key", &"k".repeat(300))
         .call(entry, "POST", &path, "")
         .await;
-    transcript.add(format!("too long a key: {}", called(&long)));
+    transcript.add(format!("too long a key: {}", describe_call(&long)));
     let unknown = guides.call(entry, "GET", "portal/rooms", "").await;
-    transcript.add(format!("unknown service: {}", called(&unknown)));
+    transcript.add(format!("unknown service: {}", describe_call(&unknown)));
     let headers = guides
         .with("x-long", &"h".repeat(2000))
         .call(entry, "GET", &path, "")
         .await;
-    transcript.add(format!("oversized headers: {}", called(&headers)));
+    transcript.add(format!("oversized headers: {}", describe_call(&headers)));
     let mut last = guides.call(entry, "GET", &path, "").await;
     for _ in 0..3 {
         last = guides.call(entry, "GET", &path, "").await;
     }
     transcript.add(format!(
         "over its rate: {}, Retry-After {:?}",
-        called(&last),
+        describe_call(&last),
         last.retry_after
     ));
     golden("bad_requests", &transcript.text());
--- a/crates/gradeloft_daemon/tests/settings.rs
+++ b/crates/gradeloft_daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the samples load, and every fault of a bad file is reported.
+//! Settings: the sample files load, and all faults of an invalid file are reported.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_samples_load_and_show_the_defaults() {
+fn sample_files_load_with_default_values() {
     let entry = settings::parse(&sample("entry.yaml")).expect("the entry's sample");
     assert_eq!(entry.role, Role::Entry);
     assert_eq!(entry.limits, Some(Limits::default()));
@@ -28,7 +28,7 @@
     bundle::parse(&sample("bundle.yaml")).expect("the bundle's sample");
 }
 
-/// Runs `gradeloftd check` on a file and gives its exit code and output.
+/// Runs `gradeloftd check` on a file and returns its exit code and output.
 fn check(name: &str, text: &str) -> String {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}.yaml"));
     fs::write(&path, text).expect("the file is written");
@@ -60,7 +60,7 @@
      admin: nowhere}\nplatform: {log: 'ftp://x', list: 'http://l', store: 'http://s', origin: \
      'http://o'}\npublishers: []\nlimits: {idle_ms: 1, body_bytes: lots}\n"
 )]
-fn a_bad_file_is_refused_with_every_fault(#[case] name: &str, #[case] text: &str) {
+fn all_faults_of_an_invalid_file_are_reported(#[case] name: &str, #[case] text: &str) {
     golden(&format!("settings_{name}"), &check(name, text));
 }
 
@@ -71,22 +71,22 @@
         .replace("127.0.0.1:7401", "127.0.0.1:70000")
         .replace("3b6a27bcceb6", "ffffffffffff");
     golden("settings_beyond_the_schema", &check("beyond", &text));
-    let no_part = "role: entry\nnode: {id: a, zone: z, region: r}\nlisten: {peer: '127.0.0.1:1', admin: \
+    let wrong_part = "role: entry\nnode: {id: a, zone: z, region: r}\nlisten: {peer: '127.0.0.1:1', admin: \
                    '127.0.0.1:2'}\nplatform: {log: 'http://a', list: 'http://b', store: 'http://c', \
                    origin: 'http://d'}\npublishers: [{name: ops, key: \
                    3b6a27bcceb6a42d62a3a8d02a6f0d73653215771de243a63ac048a18b59da29}]\nagent: \
                    {endpoint: {kind: engine, url: 'http://e'}}\n";
-    golden("settings_wrong_part", &check("wrong_part", no_part));
+    golden("settings_wrong_part", &check("wrong_part", wrong_part));
 }
 
 #[test]
-fn a_file_that_is_missing_is_named() {
+fn missing_file_is_named_in_the_error() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("missing.yaml");
     golden("settings_missing_file", &run(&path));
 }
 
 #[test]
-fn a_role_that_is_not_the_files_is_refused() {
+fn role_mismatch_is_rejected() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("role.yaml");
     fs::write(&path, sample("entry.yaml")).expect("the file is written");
     let output = Command::new(env!("CARGO_BIN_EXE_gradeloftd"))
--- a/crates/gradeloft_daemon/tests/support/mod.rs
+++ b/crates/gradeloft_daemon/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! What the sessions share: a transcript with ids, ports and times redacted.
+//! Helpers of the tests: fleets, descriptions of responses, and snapshots with redacted ids, ports
+//! and digests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::fmt::Display;
 
@@ -11,21 +12,21 @@
     weights::Version,
 };
 
-/// Chunks of the test versions.
+/// Number of chunks of a test version.
 pub(crate) const CHUNKS: usize = 12;
 const CHUNK_BYTES: usize = 8 << 10;
 
-/// A small version of the fleet's model.
+/// Creates a small version of the fleet's model.
 pub(crate) fn version(name: &str) -> Version {
     Version::new(MODEL, name, CHUNKS, CHUNK_BYTES)
 }
 
-/// Starts a fleet of a shape.
+/// Starts a fleet.
 pub(crate) async fn fleet(shape: Shape) -> Fleet {
     Fleet::start(shape).await.expect("the fleet starts")
 }
 
-/// A shape of so many entries, engines and services.
+/// Returns the shape of a fleet with the given numbers of entries, engines and services.
 pub(crate) fn shape(entries: usize, engines: usize, services: usize) -> Shape {
     Shape {
         entries,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Lines of a session, for a golden file.
+/// Lines of a session, for a snapshot.
 #[derive(Default)]
 pub(crate) struct Transcript(Vec<String>);
 
@@ -45,21 +46,22 @@
         self.0.push(line.to_string());
     }
 
-    /// The session's text.
+    /// Returns all lines.
     pub(crate) fn text(&self) -> String {
         self.0.join("\n")
     }
 }
 
-/// A generate answer in one line; tells whether the text is what the version's weights give.
-pub(crate) fn generated(
+/// Describes the response to a generate request in one line, with whether its text is the one that
+/// the version's weights produce.
+pub(crate) fn describe_generate(
     answer: &Generated,
     version: &Version,
     prompt: &str,
     tokens: u32,
 ) -> String {
-    let right = answer.text == engine::expected(&version.chunks, prompt, tokens).concat();
-    let text = if right {
+    let is_expected = answer.text == engine::expected(&version.chunks, prompt, tokens).concat();
+    let text = if is_expected {
         "the version's own text"
     } else {
         "not the whole text"
@@ -73,8 +75,8 @@
     format!("{} {text}, {end}, {error}", answer.status)
 }
 
-/// A service answer in one line.
-pub(crate) fn called(answer: &Called) -> String {
+/// Describes the response of a service in one line.
+pub(crate) fn describe_call(answer: &Called) -> String {
     match &answer.error {
         Some(it) => format!(
             "{} {} ran {} retryable {}",
@@ -84,7 +86,7 @@
     }
 }
 
-/// Asserts a golden file with ids, ports and digests redacted.
+/// Asserts a snapshot, with ids, addresses and digests redacted.
 pub(crate) fn golden(name: &str, text: &str) {
     let mut settings = insta::Settings::clone_current();
     settings.add_filter(r"127\.0\.0\.1:\d+", "[address]");
--- a/crates/gradeloft_daemon/tests/transport.rs
+++ b/crates/gradeloft_daemon/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Connections between gradeloft's own processes.
+//! Connections between processes of the system.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,18 +19,18 @@
     net::{TcpListener, TcpStream, tcp::OwnedReadHalf, tcp::OwnedWriteHalf},
 };
 
-/// A bound on every wait of a test; none comes near it unless something is wrong.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of each wait. Only a failing test reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 const LIMITS: Limits = Limits {
     frame_bytes: 1 << 20,
     streams: 8,
     connections: 8,
 };
 
-/// Answers every call.
-struct Answering(Rc<Scope>);
+/// Handler that answers every call.
+struct AbsentReplies(Rc<Scope>);
 
-impl Handler for Answering {
+impl Handler for AbsentReplies {
     fn call(&self, _: Call, outgoing: Outgoing) {
         self.0.spawn(async move {
             outgoing.finish(&Reply::Absent(Absence::NotHeld)).await;
@@ -38,95 +38,97 @@
     }
 
     fn malformed(&self) {
-        panic!("not a frame");
+        panic!("malformed call");
     }
 }
 
-/// A way to a peer whose connections go silent, without a reset, while new ones work.
-struct Way {
+/// Proxy to a peer that can silence its open connections without a reset, while new ones work.
+struct Proxy {
     address: SocketAddr,
-    /// Connections so far.
-    made: Rc<Cell<usize>>,
-    /// Connections before this one are silent.
+    /// Number of connections so far.
+    connections: Rc<Cell<usize>>,
+    /// Number of the first connection that is not silent.
     live_from: Rc<Cell<usize>>,
 }
 
-impl Way {
-    async fn to(peer: SocketAddr) -> Way {
+impl Proxy {
+    async fn start(peer: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let way = Way {
+        let proxy = Proxy {
             address: listener.local_addr().unwrap(),
-            made: Rc::default(),
+            connections: Rc::default(),
             live_from: Rc::default(),
         };
-        let (made, live_from) = (Rc::clone(&way.made), Rc::clone(&way.live_from));
+        let (connections, live_from) = (Rc::clone(&proxy.connections), Rc::clone(&proxy.live_from));
         actix_rt::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let number = made.get();
-                made.set(number + 1);
+            while let Ok((client, _)) = listener.accept().await {
+                let number = connections.get();
+                connections.set(number + 1);
                 let live_from = Rc::clone(&live_from);
-                let live = Rc::new(move || live_from.get() <= number);
-                let far = TcpStream::connect(peer).await.unwrap();
-                let (near_in, near_out) = near.into_split();
-                let (far_in, far_out) = far.into_split();
-                actix_rt::spawn(carry(near_in, far_out, Rc::clone(&live)));
-                actix_rt::spawn(carry(far_in, near_out, live));
+                let is_live = Rc::new(move || live_from.get() <= number);
+                let server = TcpStream::connect(peer).await.unwrap();
+                let (client_read, client_write) = client.into_split();
+                let (server_read, server_write) = server.into_split();
+                actix_rt::spawn(forward(client_read, server_write, Rc::clone(&is_live)));
+                actix_rt::spawn(forward(server_read, client_write, is_live));
             }
         });
-        way
+        proxy
     }
 
     fn silence(&self) {
-        self.live_from.set(self.made.get());
+        self.live_from.set(self.connections.get());
     }
 }
 
-async fn carry(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, live: Rc<impl Fn() -> bool>) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, is_live: Rc<impl Fn() -> bool>) {
     let mut buffer = [0; 4_096];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
-        if live() && to.write_all(&buffer[..length]).await.is_err() {
+        if is_live() && to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
 }
 
-async fn answers(pool: &Pool, way: &Way, silence: Duration) -> bool {
+async fn is_answered(pool: &Pool, proxy: &Proxy, silence: Duration) -> bool {
     let call = Call::Chunk {
         digest: Digest::of(b"any"),
     };
-    let address = way.address.to_string();
+    let address = proxy.address.to_string();
     let answer = pool.call_within(&address, Lane::Live, &call, silence).await;
     matches!(answer, Ok(Ok(Reply::Absent(Absence::NotHeld))))
 }
 
-/// Users saw a change take effect 1.5 to 1.9 s late at single entries. In order: open connections went silent
-/// for good, without a reset, while new ones worked; a change was written; an entry asked a peer for it, got
-/// nothing for 1.5 s, and asked the next. Cause: only the connection that was asked on was dropped, and the
-/// one to the next peer was as silent. Evidence: in a play with logs the same entry gave up two peers one
-/// after the other, each after its whole time, though both served others.
+/// Guards against changes that take effect 1.5 to 1.9 s late at single entries. Open connections go
+/// silent for good, without a reset, while new ones work. An entry asks a peer for a change, gets
+/// nothing for 1.5 s and asks the next peer, whose connection is silent too. If only the first
+/// connection is dropped, the entry loses the whole timeout again, although both peers serve
+/// others.
 #[test]
-fn a_silent_connection_puts_those_in_doubt_that_were_not_heard_since() {
+fn silent_connection_also_drops_others_without_later_data() {
     let test = async {
         let scope = Rc::new(Scope::default());
-        let handler = || Rc::new(Answering(Rc::clone(&scope)));
+        let handler = || Rc::new(AbsentReplies(Rc::clone(&scope)));
         let start = || Server::start("127.0.0.1:0", LIMITS, Rc::clone(&scope), handler());
         let (first, second) = (start().await.unwrap(), start().await.unwrap());
-        let ways = [
-            Way::to(first.address()).await,
-            Way::to(second.address()).await,
+        let proxies = [
+            Proxy::start(first.address()).await,
+            Proxy::start(second.address()).await,
         ];
-        let pool = Pool::new(Clock::start(), 1 << 20, PATIENCE, None);
-        for way in &ways {
-            assert!(answers(&pool, way, PATIENCE).await);
+        let pool = Pool::new(Clock::start(), 1 << 20, TEST_TIMEOUT, None);
+        for proxy in &proxies {
+            assert!(is_answered(&pool, proxy, TEST_TIMEOUT).await);
         }
-        ways.iter().for_each(Way::silence);
+        proxies.iter().for_each(Proxy::silence);
         let short = Duration::from_millis(200);
-        assert!(!answers(&pool, &ways[0], short).await, "silent");
-        assert!(answers(&pool, &ways[1], Duration::from_secs(5)).await);
-        assert!(answers(&pool, &ways[0], Duration::from_secs(5)).await);
-        assert_eq!(ways.each_ref().map(|it| it.made.get()), [2, 2]);
+        assert!(!is_answered(&pool, &proxies[0], short).await, "silent");
+        assert!(is_answered(&pool, &proxies[1], Duration::from_secs(5)).await);
+        assert!(is_answered(&pool, &proxies[0], Duration::from_secs(5)).await);
+        assert_eq!(proxies.each_ref().map(|it| it.connections.get()), [2, 2]);
     };
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(PATIENCE, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time");
     });
 }
--- a/crates/gradeloft_daemon/tests/twice.rs
+++ b/crates/gradeloft_daemon/tests/twice.rs
@@ -7,7 +7,7 @@
     weights::Version,
 };
 use rstest::rstest;
-use support::{fleet, generated, shape, version};
+use support::{describe_generate, fleet, shape, version};
 
 /// A failure of a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -28,7 +28,7 @@
         "200 the version's own text, end of 2 tokens by bulletin/{}, no error",
         version.version
     );
-    assert_eq!(generated(&answer, version, "p", 2), expected);
+    assert_eq!(describe_generate(&answer, version, "p", 2), expected);
 }
 
 /// Brings a failure about for the first or the second time, while a version is in flight.
@@ -107,7 +107,7 @@
     } else {
         version("v1")
     };
-    let line = generated(&answer, &version, "p", 2);
+    let line = describe_generate(&answer, &version, "p", 2);
     assert!(
         line.starts_with("200 the version's own text, end of 2 tokens"),
         "{line}"
