--- a/crates/gradeloft_daemon/tests/pairs.rs
+++ b/crates/gradeloft_daemon/tests/combined_failures.rs
@@ -1,4 +1,4 @@
-//! Two failures at a time.
+//! Combinations of two failures.
 
 mod support;
 
@@ -16,7 +16,7 @@
     called(&caller.call(fleet.entry(entry), "POST", &path, key).await)
 }
 
-fn ran(fleet: &Fleet, key: &str) -> u64 {
+fn run_count(fleet: &Fleet, key: &str) -> u64 {
     let call = format!("POST /charges {key}");
     fleet
         .services
@@ -26,7 +26,7 @@
 }
 
 #[actix_rt::test]
-async fn a_reply_lost_and_then_the_agent_killed() {
+async fn keyed_call_runs_once_after_a_lost_reply_and_an_agent_kill() {
     let mut fleet = fleet(shape(2, 1, 2)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -55,7 +55,7 @@
         })
     };
     fleet
-        .until("the entries see that the agent is gone", gone)
+        .until("the entries mark the agent unavailable", gone)
         .await;
     transcript.add(format!(
         "again, at the other agent: {}",
@@ -67,14 +67,14 @@
     ));
     transcript.add(format!(
         "ran {} and {} times",
-        ran(&fleet, "k1"),
-        ran(&fleet, "k2")
+        run_count(&fleet, "k1"),
+        run_count(&fleet, "k2")
     ));
     golden("lost_reply_and_kill", &transcript.text());
 }
 
 #[actix_rt::test]
-async fn the_log_down_and_a_key_that_came_before() {
+async fn log_outage_refuses_new_keys_and_replays_known_ones() {
     let fleet = fleet(shape(2, 1, 1)).await;
     fleet.deploy(&version("v1")).await;
     let mut transcript = Transcript::default();
@@ -99,14 +99,14 @@
     ));
     transcript.add(format!(
         "ran {} and {} times",
-        ran(&fleet, "k1"),
-        ran(&fleet, "k2")
+        run_count(&fleet, "k1"),
+        run_count(&fleet, "k2")
     ));
     golden("log_down_and_duplicate", &transcript.text());
 }
 
 #[actix_rt::test]
-async fn a_crossed_answer_and_its_retry_on_a_replica_that_refuses() {
+async fn crossed_response_is_retried_past_a_refusing_replica() {
     let fleet = fleet(shape(1, 3, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -131,7 +131,7 @@
 }
 
 #[actix_rt::test]
-async fn a_drain_during_a_change_of_version() {
+async fn drain_during_a_rollout_completes_running_requests() {
     let mut fleet = fleet(shape(1, 3, 0)).await;
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
@@ -155,15 +155,15 @@
         .iter()
         .map(|it| std::rc::Rc::clone(&it.endpoint.state))
         .collect();
-    until("all run", || {
+    until("all requests are running", || {
         states.iter().map(|it| it.running.get()).sum::<u32>() == 6
     })
     .await;
     let second = fleet.bundle(2, Some(digest(&first)), &v2);
-    let drained = fleet.engines[0].agent.take().expect("it is alive");
+    let drained = fleet.engines[0].agent.take().expect("the agent is running");
     let (_force, forced) = watch::channel(false);
     let (published, cut) = join(fleet.publish(&second), drained.drain(forced)).await;
-    published.expect("it is accepted");
+    published.expect("the bundle is accepted");
     assert_eq!(cut, 0);
     drop(drained);
     let mut transcript = Transcript::default();
@@ -172,7 +172,7 @@
         transcript.add(generated(&answer, &v1, &format!("p{idx}"), 60));
     }
     fleet
-        .until("v2 is on the others", || fleet.known(&v2))
+        .until("the other replicas serve v2", || fleet.known(&v2))
         .await;
     let answer = caller.generate(entry, MODEL, "p", 2).await;
     transcript.add(format!("afterwards: {}", generated(&answer, &v2, "p", 2)));
@@ -180,7 +180,7 @@
 }
 
 #[actix_rt::test]
-async fn the_origin_down_and_an_agent_restarted_with_nothing() {
+async fn restarted_agent_fetches_from_peers_while_origin_and_store_are_down() {
     let mut fleet = fleet(shape(1, 3, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -188,13 +188,15 @@
     fleet.store.state.down.set(true);
     fleet.engines[0].endpoint.state.force(Vec::new());
     fleet.engines[0].endpoint.state.forget();
-    fleet.restart_agent(0).await.expect("it restarts");
-    let back = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
-    fleet.until("peers give it all", back).await;
+    fleet.restart_agent(0).await.expect("the agent restarts");
+    let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
+    fleet
+        .until("the version is fetched from peers", reloaded)
+        .await;
 }
 
 #[actix_rt::test]
-async fn the_owner_of_some_chunks_killed_and_chunks_corrupted() {
+async fn rollout_completes_after_an_owner_is_killed_and_chunks_are_corrupted() {
     let mut fleet = fleet(shape(1, 4, 0)).await;
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
@@ -206,13 +208,13 @@
     fleet
         .publish(&fleet.bundle(2, Some(digest(&first)), &v2))
         .await
-        .expect("it is accepted");
-    let begun = || before + 2 * 8192 < fleet.origin.state.bytes_read.get();
-    fleet.until("v2 is in flight", begun).await;
+        .expect("the bundle is accepted");
+    let in_flight = || before + 2 * 8192 < fleet.origin.state.bytes_read.get();
+    fleet.until("v2 is in flight", in_flight).await;
     fleet.engines[1].agent = None;
     fleet.list.state.frozen.set(true);
     fleet
-        .until("the survivors serve v2", || fleet.known(&v2))
+        .until("the remaining replicas serve v2", || fleet.known(&v2))
         .await;
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let expected = "200 the version's own text, end of 2 tokens by bulletin/v2, no error";
--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The daemon as separate processes, under kills, freezes and signals.
+//! Daemons as separate processes that are killed, frozen or terminated.
 
 mod support;
 
@@ -23,12 +23,14 @@
 };
 use support::{called, generated, version};
 
-/// Long enough that a busy machine does not look like a silent one.
+/// Idle timeout of the daemons, in milliseconds. It is long, so that a delay on a busy machine does
+/// not count as silence.
 const IDLE_MS: u64 = 30_000;
-/// Short, since a frozen process is to be given up on.
+/// Idle timeout for tests with a frozen process, in milliseconds. It is short, so that the frozen
+/// process is soon detected.
 const FREEZE_IDLE_MS: u64 = 4_000;
 
-/// A daemon that runs as a process of its own; killed when dropped.
+/// A daemon in a separate process, which is killed when dropped.
 struct Process {
     child: Child,
     peer: SocketAddr,
@@ -48,17 +50,17 @@
             .spawn()
             .expect("the daemon starts");
         let stderr = child.stderr.take().expect("stderr is piped");
-        let (tell, told) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 if line.contains("started") {
-                    let _ = tell.send(line);
+                    let _ = sender.send(line);
                 }
             }
         });
-        let line = told
+        let line = receiver
             .recv_timeout(Duration::from_secs(20))
-            .expect("it says that it started");
+            .expect("the daemon logs that it started");
         let address = |key: &str| {
             let value = line.split(' ').find_map(|it| it.strip_prefix(key));
             value.and_then(|it| it.trim_matches('"').parse().ok())
@@ -76,8 +78,8 @@
         kill(pid, signal).expect("the process is signalled");
     }
 
-    /// Waits for the end and gives the exit code.
-    async fn ended(&mut self) -> Option<i32> {
+    /// Waits for the process to exit, and returns its exit code.
+    async fn wait_for_exit(&mut self) -> Option<i32> {
         loop {
             if let Some(status) = self.child.try_wait().expect("the process is waited for") {
                 return status.code();
@@ -94,8 +96,8 @@
     }
 }
 
-/// The platform and endpoints in this process, and daemons outside.
-struct Outside {
+/// A fleet whose platform and endpoints run in this process, and its daemons in separate ones.
+struct DaemonFleet {
     fleet: Fleet,
     idle_ms: u64,
     engines: Vec<Engine>,
@@ -104,9 +106,9 @@
     entries: Vec<Process>,
 }
 
-impl Outside {
-    /// Starts daemons that give up on a silent peer or endpoint after `idle_ms`.
-    async fn start(engines: usize, entries: usize, idle_ms: u64) -> Outside {
+impl DaemonFleet {
+    /// Starts daemons that time out on a silent peer or endpoint after `idle_ms`.
+    async fn start(engines: usize, entries: usize, idle_ms: u64) -> DaemonFleet {
         let shape = Shape {
             entries: 0,
             engines: 0,
@@ -115,7 +117,7 @@
         };
         let fleet = Fleet::start(shape).await.expect("the platform starts");
         let service = Service::start().await.expect("the service starts");
-        let mut outside = Outside {
+        let mut daemons = DaemonFleet {
             fleet,
             idle_ms,
             engines: Vec::new(),
@@ -125,15 +127,15 @@
         };
         for idx in 0..engines {
             let engine = Engine::start().await.expect("the engine starts");
-            outside.add_agent(&format!("engine-{idx}"), "engine", &engine.url());
-            outside.engines.push(engine);
+            daemons.add_agent(&format!("engine-{idx}"), "engine", &engine.url());
+            daemons.engines.push(engine);
         }
-        let url = outside.service.url();
-        outside.add_agent("service-0", "service", &url);
+        let url = daemons.service.url();
+        daemons.add_agent("service-0", "service", &url);
         for idx in 0..entries {
-            outside.add_entry(&format!("entry-{idx}"));
+            daemons.add_entry(&format!("entry-{idx}"));
         }
-        outside
+        daemons
     }
 
     fn settings(&self, id: &str, role: &str, public: &str, part: &str) -> String {
@@ -192,12 +194,15 @@
             .expect("entries have a public address")
     }
 
-    /// Publishes the first bundle and waits until every engine serves and the entries know it.
+    /// Publishes the first bundle and waits until requests succeed at every entry.
     async fn deploy(&self, version: &gradeloft_standin::weights::Version) {
         self.fleet.upload(version);
         let mut bundle = self.fleet.bundle(1, None, version);
         bundle.models[0].replicas = self.engines.len() as u32;
-        self.fleet.publish(&bundle).await.expect("it is accepted");
+        self.fleet
+            .publish(&bundle)
+            .await
+            .expect("the bundle is accepted");
         let list: std::rc::Rc<dyn gradeloft_platform::list::InstanceList> = std::rc::Rc::new(
             gradeloft_platform::list::Http::new(&self.fleet.list.url(), Duration::from_secs(2)),
         );
@@ -210,7 +215,7 @@
         })
         .await;
         for idx in 0..self.entries.len() {
-            // The entries hear of it within their next notices.
+            // Each entry learns of the served version from the agents' notices.
             while self
                 .fleet
                 .caller()
@@ -224,7 +229,7 @@
         }
     }
 
-    async fn answers(&self, version: &gradeloft_standin::weights::Version, prompt: &str) {
+    async fn assert_generates(&self, version: &gradeloft_standin::weights::Version, prompt: &str) {
         let answer = self
             .fleet
             .caller()
@@ -236,38 +241,40 @@
 }
 
 #[actix_rt::test]
-async fn the_whole_path_survives_a_kill_and_a_freeze_of_agents() {
-    let mut outside = Outside::start(3, 2, FREEZE_IDLE_MS).await;
+async fn requests_succeed_while_agents_are_killed_and_frozen() {
+    let mut daemons = DaemonFleet::start(3, 2, FREEZE_IDLE_MS).await;
     let v1 = version("v1");
-    outside.deploy(&v1).await;
+    daemons.deploy(&v1).await;
     let path = format!("{SERVICE}/charges");
-    let keyed = outside.fleet.caller().with("idempotency-key", "k");
+    let keyed = daemons.fleet.caller().with("idempotency-key", "k");
     for idx in [0, 1] {
         let answer = keyed
-            .call(outside.entry(idx), "POST", &path, "two seats")
+            .call(daemons.entry(idx), "POST", &path, "two seats")
             .await;
         assert_eq!(called(&answer), "200 done: POST /charges two seats");
     }
-    assert_eq!(outside.service.state.count("POST /charges two seats"), 1);
+    assert_eq!(daemons.service.state.count("POST /charges two seats"), 1);
 
-    outside.agents[0].signal(Signal::SIGKILL);
+    daemons.agents[0].signal(Signal::SIGKILL);
     for idx in 0..6 {
-        outside.answers(&v1, &format!("after the kill {idx}")).await;
+        daemons
+            .assert_generates(&v1, &format!("after the kill {idx}"))
+            .await;
     }
-    outside.agents[1].signal(Signal::SIGSTOP);
+    daemons.agents[1].signal(Signal::SIGSTOP);
     for idx in 0..6 {
-        outside
-            .answers(&v1, &format!("during the freeze {idx}"))
+        daemons
+            .assert_generates(&v1, &format!("during the freeze {idx}"))
             .await;
     }
-    outside.agents[1].signal(Signal::SIGCONT);
-    outside.agents[2].signal(Signal::SIGKILL);
+    daemons.agents[1].signal(Signal::SIGCONT);
+    daemons.agents[2].signal(Signal::SIGKILL);
     let thawed = async {
         loop {
-            let answer = outside
+            let answer = daemons
                 .fleet
                 .caller()
-                .generate(outside.entry(0), MODEL, "p", 1)
+                .generate(daemons.entry(0), MODEL, "p", 1)
                 .await;
             if answer.status == 200 {
                 return answer.tokens;
@@ -277,19 +284,19 @@
     };
     let tokens = tokio::time::timeout(Duration::from_secs(20), thawed).await;
     assert_eq!(tokens, Ok(1), "the thawed agent serves again");
-    outside.agents.clear();
+    daemons.agents.clear();
 }
 
 #[actix_rt::test]
-async fn terminated_daemons_finish_what_runs_and_exit_cleanly() {
-    let mut outside = Outside::start(2, 2, IDLE_MS).await;
+async fn terminated_daemons_finish_running_requests_and_exit_with_0() {
+    let mut daemons = DaemonFleet::start(2, 2, IDLE_MS).await;
     let v1 = version("v1");
-    outside.deploy(&v1).await;
-    for engine in &outside.engines {
+    daemons.deploy(&v1).await;
+    for engine in &daemons.engines {
         engine.state.token_ms.set(20);
     }
-    let caller = outside.fleet.caller();
-    let entry = outside.entry(0);
+    let caller = daemons.fleet.caller();
+    let entry = daemons.entry(0);
     let running: Vec<_> = (0..6)
         .map(|idx| {
             let caller = caller.clone();
@@ -298,18 +305,18 @@
             )
         })
         .collect();
-    let busy = || 0 < outside.engines[0].state.running.get();
+    let busy = || 0 < daemons.engines[0].state.running.get();
     until("the first agent is busy", busy).await;
-    outside.agents[0].signal(Signal::SIGTERM);
-    outside.entries[0].signal(Signal::SIGTERM);
-    assert_eq!(outside.agents[0].ended().await, Some(0));
-    assert_eq!(outside.entries[0].ended().await, Some(0));
+    daemons.agents[0].signal(Signal::SIGTERM);
+    daemons.entries[0].signal(Signal::SIGTERM);
+    assert_eq!(daemons.agents[0].wait_for_exit().await, Some(0));
+    assert_eq!(daemons.entries[0].wait_for_exit().await, Some(0));
     for (idx, running) in running.into_iter().enumerate() {
         let answer = running.await.expect("the caller's task ends");
         let expected = "200 the version's own text, end of 80 tokens by bulletin/v1, no error";
         assert_eq!(generated(&answer, &v1, &format!("p{idx}"), 80), expected);
     }
-    let cancelled: u64 = outside
+    let cancelled: u64 = daemons
         .engines
         .iter()
         .map(|it| it.state.cancelled.get())
@@ -318,29 +325,29 @@
 }
 
 #[actix_rt::test]
-async fn a_second_signal_ends_a_daemon_that_still_drains() {
-    let mut outside = Outside::start(1, 1, IDLE_MS).await;
-    outside.deploy(&version("v1")).await;
-    outside.engines[0].state.token_ms.set(20);
-    let caller = outside.fleet.caller();
+async fn second_signal_ends_a_draining_daemon() {
+    let mut daemons = DaemonFleet::start(1, 1, IDLE_MS).await;
+    daemons.deploy(&version("v1")).await;
+    daemons.engines[0].state.token_ms.set(20);
+    let caller = daemons.fleet.caller();
     let stream = caller
-        .generate_stream(outside.entry(0), MODEL, 100_000)
+        .generate_stream(daemons.entry(0), MODEL, 100_000)
         .await;
     let _stream = stream.expect("an answer");
-    let engine = std::rc::Rc::clone(&outside.engines[0].state);
-    until("the request runs", || engine.running.get() == 1).await;
-    outside.agents[0].signal(Signal::SIGTERM);
-    until_not_ready(&outside.agents[0]).await;
-    outside.agents[0].signal(Signal::SIGTERM);
+    let engine = std::rc::Rc::clone(&daemons.engines[0].state);
+    until("the request is running", || engine.running.get() == 1).await;
+    daemons.agents[0].signal(Signal::SIGTERM);
+    wait_until_not_ready(&daemons.agents[0]).await;
+    daemons.agents[0].signal(Signal::SIGTERM);
     assert_eq!(
-        outside.agents[0].ended().await,
+        daemons.agents[0].wait_for_exit().await,
         Some(3),
-        "the exit code tells that it cut off"
+        "the exit code reports cut-off requests"
     );
 }
 
-/// Waits until a daemon says that it is leaving.
-async fn until_not_ready(process: &Process) {
+/// Waits until a daemon reports that it is not ready.
+async fn wait_until_not_ready(process: &Process) {
     let url = format!("http://{}/readyz", process.admin);
     let client = awc::Client::default();
     loop {
--- a/crates/gradeloft_daemon/tests/twice.rs
+++ b/crates/gradeloft_daemon/tests/repeated_failures.rs
@@ -1,4 +1,4 @@
-//! Each failure of a rollout twice, one after the other.
+//! Rollouts during which the same failure occurs twice.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use support::{fleet, generated, shape, version};
 
-/// A failure of a rollout.
+/// A failure during a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Failure {
     AgentKilled,
@@ -22,7 +22,7 @@
     VersionReplaced,
 }
 
-async fn answers(fleet: &Fleet, version: &Version) {
+async fn assert_generates(fleet: &Fleet, version: &Version) {
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let expected = format!(
         "200 the version's own text, end of 2 tokens by bulletin/{}, no error",
@@ -31,15 +31,18 @@
     assert_eq!(generated(&answer, version, "p", 2), expected);
 }
 
-/// Brings a failure about for the first or the second time, while a version is in flight.
-async fn fail(fleet: &mut Fleet, failure: Failure, time: usize, target: &Version) {
+/// Injects a failure while a version is in flight; `occurrence` is 0 or 1.
+async fn inject_failure(fleet: &mut Fleet, failure: Failure, occurrence: usize, target: &Version) {
     let origin = std::rc::Rc::clone(&fleet.origin.state);
     match failure {
-        Failure::AgentKilled => fleet.engines[time].agent = None,
-        Failure::AgentRestarted => fleet.restart_agent(time).await.expect("it restarts"),
+        Failure::AgentKilled => fleet.engines[occurrence].agent = None,
+        Failure::AgentRestarted => fleet
+            .restart_agent(occurrence)
+            .await
+            .expect("the agent restarts"),
         Failure::ChunksCorrupted => origin.corrupt_every.set(3),
-        Failure::EngineLostWeights => fleet.engines[time].endpoint.state.force(Vec::new()),
-        Failure::OrderLost => fleet.engines[time].endpoint.state.lose_replies.set(1),
+        Failure::EngineLostWeights => fleet.engines[occurrence].endpoint.state.force(Vec::new()),
+        Failure::OrderLost => fleet.engines[occurrence].endpoint.state.lose_replies.set(1),
         Failure::OriginDown => {
             let read = origin.bytes_read.get();
             origin.down.set(true);
@@ -51,7 +54,7 @@
                 })
                 .await;
         }
-        Failure::StoreLimited => fleet.store.state.limited.set(time == 0),
+        Failure::StoreLimited => fleet.store.state.limited.set(occurrence == 0),
         Failure::VersionReplaced => {}
     }
 }
@@ -66,36 +69,39 @@
 #[case(Failure::StoreLimited)]
 #[case(Failure::VersionReplaced)]
 #[actix_rt::test]
-async fn a_rollout_survives_a_failure_twice(#[case] failure: Failure) {
+async fn rollout_completes_although_a_failure_occurs_twice(#[case] failure: Failure) {
     let mut fleet = fleet(shape(1, 5, 0)).await;
     let mut head = fleet.deploy(&version("v1")).await;
     fleet.origin.state.bytes_per_s.set(150 << 10);
     let mut target = version("v2");
-    for time in 0..2 {
-        if time == 0 || failure == Failure::VersionReplaced {
-            target = version(&format!("v{}", time + 2));
+    for occurrence in 0..2 {
+        if occurrence == 0 || failure == Failure::VersionReplaced {
+            target = version(&format!("v{}", occurrence + 2));
             fleet.upload(&target);
             let next = fleet.bundle(head.number + 1, Some(digest(&head)), &target);
-            fleet.publish(&next).await.expect("it is accepted");
+            fleet.publish(&next).await.expect("the bundle is accepted");
             head = next;
         }
         let before = fleet.origin.state.bytes_read.get();
-        // On a busy machine it may be through before it is looked at.
-        let begun = || before + 8_192 < fleet.origin.state.bytes_read.get() || fleet.known(&target);
-        fleet.until("the version is in flight", begun).await;
-        fail(&mut fleet, failure, time, &target).await;
+        // On a busy machine the rollout may complete before the first check.
+        let in_flight =
+            || before + 8_192 < fleet.origin.state.bytes_read.get() || fleet.known(&target);
+        fleet.until("the version is in flight", in_flight).await;
+        inject_failure(&mut fleet, failure, occurrence, &target).await;
         if failure != Failure::VersionReplaced {
-            answers_old_or_new(&fleet, &target).await;
+            assert_generates_old_or_new(&fleet, &target).await;
         }
     }
     fleet
-        .until("the survivors serve the version", || fleet.known(&target))
+        .until("the remaining replicas serve the version", || {
+            fleet.known(&target)
+        })
         .await;
-    answers(&fleet, &target).await;
+    assert_generates(&fleet, &target).await;
 }
 
-/// In the middle of it a caller gets a whole answer, of the old version or the new one.
-async fn answers_old_or_new(fleet: &Fleet, target: &Version) {
+/// Asserts that a caller gets a complete response of the old version or the new one.
+async fn assert_generates_old_or_new(fleet: &Fleet, target: &Version) {
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let served = answer
         .end
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! New versions and bundles under failures.
+//! Rollouts of versions and bundles during failures.
 
 mod support;
 
@@ -17,20 +17,26 @@
 };
 use support::{CHUNKS, fleet, generated, shape, version};
 
-fn whole(version: &Version) -> String {
+fn expected_response(version: &Version) -> String {
     let name = &version.version;
     format!("200 the version's own text, end of 2 tokens by bulletin/{name}, no error")
 }
 
-async fn answers(fleet: &Fleet, version: &Version) {
+async fn assert_generates(fleet: &Fleet, version: &Version) {
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
-    assert_eq!(generated(&answer, version, "p", 2), whole(version));
+    assert_eq!(
+        generated(&answer, version, "p", 2),
+        expected_response(version)
+    );
 }
 
-async fn next(fleet: &Fleet, before: &Bundle, version: &Version) -> Bundle {
+async fn publish_next(fleet: &Fleet, previous: &Bundle, version: &Version) -> Bundle {
     fleet.upload(version);
-    let bundle = fleet.bundle(before.number + 1, Some(digest(before)), version);
-    fleet.publish(&bundle).await.expect("it is accepted");
+    let bundle = fleet.bundle(previous.number + 1, Some(digest(previous)), version);
+    fleet
+        .publish(&bundle)
+        .await
+        .expect("the bundle is accepted");
     bundle
 }
 
@@ -40,26 +46,26 @@
     fleet.origin.state.corrupt_every.set(4);
     let v1 = version("v1");
     fleet.deploy(&v1).await;
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
     let agents = fleet.engines.iter().filter_map(|it| it.agent.as_ref());
     let corrupt: u64 = agents
         .map(|it| it.node().metrics.corrupt_chunks.get())
         .sum();
     assert!(
         (3..=4).contains(&corrupt),
-        "{corrupt} of 12 chunks and as many again as were bad"
+        "{corrupt} corrupt chunks among 12 and their retries"
     );
 }
 
 #[actix_rt::test]
-async fn an_origin_that_is_down_or_refuses_for_rate_delays_a_rollout_and_nothing_else() {
+async fn unavailable_or_rate_limited_origin_delays_only_the_rollout() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
     fleet.origin.state.down.set(true);
     fleet.store.state.limited.set(true);
     let v2 = version("v2");
-    next(&fleet, &first, &v2).await;
+    publish_next(&fleet, &first, &v2).await;
     let in_force = || {
         fleet
             .entries
@@ -68,14 +74,14 @@
             .all(|it| *it.node().bundle_number.borrow() == 2)
     };
     fleet.until("bundle 2 is in force", in_force).await;
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
     fleet.origin.state.down.set(false);
     fleet.origin.state.limited.set(true);
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
     fleet.origin.state.limited.set(false);
     fleet.store.state.limited.set(false);
     fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
-    answers(&fleet, &v2).await;
+    assert_generates(&fleet, &v2).await;
 }
 
 #[actix_rt::test]
@@ -85,21 +91,21 @@
     fleet.store.state.put(&v1);
     fleet.deploy(&v1).await;
     assert_eq!(fleet.origin.state.bytes_read.get(), 0);
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
 }
 
 #[actix_rt::test]
-async fn a_version_replaced_in_mid_flight_is_dropped_and_shared_chunks_are_kept() {
+async fn replaced_version_is_cancelled_and_its_shared_chunks_are_reused() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.upload(&v1);
     fleet.origin.state.bytes_per_s.set(100 << 10);
     let first = fleet.bundle(1, None, &v1);
     fleet.publish(&first).await.unwrap();
-    let begun = || 3 * 8192 < fleet.origin.state.bytes_read.get();
-    fleet.until("v1 is in flight", begun).await;
+    let in_flight = || 3 * 8192 < fleet.origin.state.bytes_read.get();
+    fleet.until("v1 is in flight", in_flight).await;
 
-    // Version 2 has the chunks of version 1 but for the last.
+    // Version 2 differs from version 1 only in the last chunk.
     let mut v2 = Version::new(MODEL, "v2", CHUNKS, 8 << 10);
     v2.chunks[..CHUNKS - 1].clone_from_slice(&v1.chunks[..CHUNKS - 1]);
     let mut manifest: gradeloft_wire::border::manifest::Manifest =
@@ -108,49 +114,49 @@
         chunk.digest = gradeloft_wire::id::Digest::of(content).to_string();
     }
     v2.manifest = serde_json::to_vec(&manifest).unwrap().into();
-    next(&fleet, &first, &v2).await;
+    publish_next(&fleet, &first, &v2).await;
     fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
-    answers(&fleet, &v2).await;
-    assert_eq!(fleet.serving(&v1), 0, "v1 never got into service");
+    assert_generates(&fleet, &v2).await;
+    assert_eq!(fleet.serving(&v1), 0, "v1 was never served");
     let reads = fleet.origin.state.reads.borrow();
-    let most = v2
+    let reads_per_chunk = v2
         .chunks
         .iter()
         .map(|it| reads[&gradeloft_wire::id::Digest::of(it).to_string()]);
     assert!(
-        most.sum::<u64>() <= CHUNKS as u64 + 3,
-        "shared chunks are read once, but for those cut off"
+        reads_per_chunk.sum::<u64>() <= CHUNKS as u64 + 3,
+        "each chunk is read once, except for interrupted reads"
     );
 }
 
 #[actix_rt::test]
-async fn an_order_whose_reply_is_lost_is_settled_by_reading_back() {
+async fn order_with_a_lost_reply_is_resolved_by_reading_the_state() {
     let fleet = fleet(shape(1, 1, 0)).await;
     fleet.engines[0].endpoint.state.lose_replies.set(1);
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     assert_eq!(fleet.engines[0].endpoint.state.orders.get(), 1);
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
 }
 
 #[actix_rt::test]
-async fn an_order_that_is_answered_well_and_not_carried_out_is_given_again() {
+async fn accepted_order_without_effect_is_repeated() {
     let fleet = fleet(shape(1, 1, 0)).await;
     fleet.engines[0].endpoint.state.ignore_orders.set(2);
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     assert_eq!(fleet.engines[0].endpoint.state.orders.get(), 3);
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
 }
 
 #[actix_rt::test]
-async fn a_version_that_fails_on_a_replica_stops_there_and_the_old_one_serves_on() {
+async fn failed_version_is_not_retried_and_the_old_one_keeps_serving() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
     fleet.engines[0].endpoint.state.ignore_orders.set(1_000);
     let v2 = version("v2");
-    next(&fleet, &first, &v2).await;
+    publish_next(&fleet, &first, &v2).await;
     let failed = || {
         let versions = fleet.engines[0].agent.as_ref().unwrap().versions();
         versions
@@ -162,7 +168,7 @@
         .until("the other replica serves v2", || fleet.serving(&v2) == 1)
         .await;
     assert_eq!(fleet.serving(&v1), 2, "both still serve v1");
-    let pinned = || {
+    let entry_learned = || {
         let node = fleet.entries[0].as_ref().unwrap().node();
         let membership = node.membership.borrow();
         membership.iter().any(|(_, it)| {
@@ -171,14 +177,14 @@
                 .is_some_and(|it| it.serving.iter().any(|it| it.version == "v2"))
         })
     };
-    fleet.until("the entry knows", pinned).await;
-    answers(&fleet, &v2).await;
+    fleet.until("the entry learns of v2", entry_learned).await;
+    assert_generates(&fleet, &v2).await;
     let orders = fleet.engines[0].endpoint.state.orders.get();
-    assert_eq!(orders, 6, "one for v1, five tries of v2, and no more");
+    assert_eq!(orders, 6, "one order for v1 and five attempts for v2");
 }
 
 #[actix_rt::test]
-async fn an_engine_that_holds_one_version_is_drained_before_it_switches() {
+async fn engine_with_memory_for_one_version_is_drained_before_the_switch() {
     let fleet = fleet(shape(1, 1, 0)).await;
     let engine = &fleet.engines[0].endpoint.state;
     engine.capacity.set(1);
@@ -189,9 +195,9 @@
     let running = caller.generate(fleet.entry(0), MODEL, "p", 50);
     let switch = async {
         fleet
-            .until("a request runs", || engine.running.get() == 1)
+            .until("a request is running", || engine.running.get() == 1)
             .await;
-        next(&fleet, &first, &version("v2")).await;
+        publish_next(&fleet, &first, &version("v2")).await;
         fleet
             .until("v2 serves", || fleet.serving(&version("v2")) == 1)
             .await;
@@ -203,22 +209,22 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_lost_its_weights_gets_no_work_and_is_brought_back() {
+async fn engine_that_lost_its_weights_gets_no_requests_and_is_reloaded() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     fleet.engines[0].endpoint.state.force(Vec::new());
-    answers(&fleet, &v1).await;
-    let back = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
-    fleet.until("it serves again", back).await;
+    assert_generates(&fleet, &v1).await;
+    let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
+    fleet.until("the engine serves v1 again", reloaded).await;
 }
 
 #[actix_rt::test]
-async fn weights_that_no_bundle_named_get_no_work() {
+async fn weights_that_no_bundle_named_get_no_requests() {
     let fleet = fleet(shape(1, 1, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
-    // Repair would be quicker than this test can look.
+    // Without this, the agent would repair the engine before the test can check.
     fleet.engines[0].endpoint.state.refuse_loads.set(true);
     let foreign = Weights {
         model: MODEL.to_owned(),
@@ -230,9 +236,9 @@
         .endpoint
         .state
         .force(vec![foreign.clone(), foreign]);
-    let told = || fleet.serving(&v1) == 0;
+    let withdrawn = || fleet.serving(&v1) == 0;
     fleet
-        .until("the agent no longer says that it serves v1", told)
+        .until("the agent no longer reports v1", withdrawn)
         .await;
     assert_eq!(
         fleet
@@ -245,7 +251,7 @@
 }
 
 #[actix_rt::test]
-async fn a_rival_with_an_older_epoch_loses_its_orders() {
+async fn orders_with_an_older_epoch_are_refused_or_undone() {
     let fleet = fleet(shape(1, 1, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -273,14 +279,14 @@
         "{refused:?}"
     );
 
-    // An engine that ignores fences obeys the rival; the agent sees it and repairs it.
+    // An engine that ignores fences executes the order; the agent detects and reverts this.
     fleet.engines[0].endpoint.state.ignores_fence.set(true);
     engine.order(&order).await.unwrap();
     assert!(fleet.engines[0].endpoint.state.serves().is_empty());
-    let back = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
-    fleet.until("the agent repairs it", back).await;
+    let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
+    fleet.until("the agent reloads v1", reloaded).await;
     fleet
-        .until("the agent says so", || fleet.serving(&v1) == 1)
+        .until("the agent reports v1", || fleet.serving(&v1) == 1)
         .await;
 }
 
@@ -294,22 +300,25 @@
     fleet.upload(&v2);
     let second = fleet.bundle(2, Some(digest(&first)), &v2);
     let signed = fleet.key.sign(&second, "ops");
-    // One node heard of it just before the log went down.
+    // One node received the bundle just before the log went down.
     gradeloft_daemon::node::config::adopt(fleet.entries[0].as_ref().unwrap().node(), &signed);
     fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
-    answers(&fleet, &v2).await;
+    assert_generates(&fleet, &v2).await;
 
     fleet.start_entry(1).await.unwrap();
     let node = fleet.entries[1].as_ref().unwrap().node();
     let learned =
         || node.bundle_source.get() == BundleSource::Peer && *node.bundle_number.borrow() == 2;
     fleet
-        .until("an entry started meanwhile learns it from peers", learned)
+        .until(
+            "an entry started during the outage gets the bundle from peers",
+            learned,
+        )
         .await;
 }
 
 #[actix_rt::test]
-async fn records_that_are_broken_newer_or_repeated_change_nothing() {
+async fn records_that_are_invalid_of_a_newer_format_or_repeated_are_ignored() {
     let fleet = fleet(shape(2, 1, 0)).await;
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
@@ -326,7 +335,7 @@
         .await
         .unwrap();
     let v2 = version("v2");
-    next(&fleet, &first, &v2).await;
+    publish_next(&fleet, &first, &v2).await;
     fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
     assert!(
         fleet
@@ -338,20 +347,20 @@
 }
 
 #[actix_rt::test]
-async fn a_list_that_is_down_or_frozen_empties_nothing() {
+async fn unavailable_or_stale_instance_list_removes_no_reachable_members() {
     let mut fleet = fleet(shape(2, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     fleet.list.state.down.set(true);
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
     fleet.engines[1].agent = None;
     for _ in 0..6 {
-        answers(&fleet, &v1).await;
+        assert_generates(&fleet, &v1).await;
     }
     fleet.list.state.down.set(false);
     fleet.list.state.frozen.set(true);
     fleet.entries[1] = None;
-    let alone = || {
+    let disconnected = || {
         let node = fleet.entries[0].as_ref().unwrap().node();
         let membership = node.membership.borrow();
         membership
@@ -359,7 +368,7 @@
             .all(|(_, it)| !it.connected)
     };
     fleet
-        .until("entry-0 sees that entry-1 is gone", alone)
+        .until("entry-0 marks entry-1 disconnected", disconnected)
         .await;
     let addresses = fleet
         .caller()
@@ -369,12 +378,13 @@
     assert_eq!(
         addresses.addresses.len(),
         1,
-        "an entry that does not answer is not given out"
+        "an unreachable entry is not returned"
     );
 }
 
-/// Engines that hold one version and take a while to load, and a bundle with a rollout part.
-async fn tight(engines: usize, zone_order: &[&str]) -> (Fleet, Bundle) {
+/// Starts a rollout to engines that have memory for one version and a load delay. The bundle's
+/// rollout part allows one unavailable replica.
+async fn start_rollout(engines: usize, zone_order: &[&str]) -> (Fleet, Bundle) {
     let fleet = fleet(shape(1, engines, 0)).await;
     for engine in &fleet.engines {
         engine.endpoint.state.capacity.set(1);
@@ -389,13 +399,16 @@
         ..Default::default()
     });
     fleet.upload(&version("v2"));
-    fleet.publish(&second).await.expect("it is accepted");
+    fleet
+        .publish(&second)
+        .await
+        .expect("the bundle is accepted");
     (fleet, second)
 }
 
 #[actix_rt::test]
 async fn no_more_replicas_are_down_at_once_than_the_bundle_allows() {
-    let (fleet, _) = tight(4, &[]).await;
+    let (fleet, _) = start_rollout(4, &[]).await;
     let most_down = std::cell::Cell::new(0);
     let v2 = version("v2");
     fleet
@@ -409,7 +422,7 @@
         })
         .await;
     assert_eq!(most_down.get(), 1);
-    answers(&fleet, &v2).await;
+    assert_generates(&fleet, &v2).await;
 }
 
 #[actix_rt::test]
@@ -421,7 +434,7 @@
         engine.endpoint.state.capacity.set(1);
         engine.endpoint.state.refuse_loads.set(true);
     }
-    next(&fleet, &first, &version("v2")).await;
+    publish_next(&fleet, &first, &version("v2")).await;
     let failed = || {
         let agents = fleet.engines.iter().filter_map(|it| it.agent.as_ref());
         agents
@@ -430,7 +443,7 @@
             .count()
     };
     fleet
-        .until("it failed on one replica", || failed() == 1)
+        .until("v2 failed on one replica", || failed() == 1)
         .await;
     let waiting = || {
         let agents = fleet.engines.iter().filter_map(|it| it.agent.as_ref());
@@ -440,23 +453,23 @@
             .count()
     };
     fleet
-        .until("the others wait for their turns", || waiting() == 2)
+        .until("the other replicas wait for their turns", || waiting() == 2)
         .await;
-    // Three askers and the one failure stand on the log, and still nobody else went.
+    // The log holds three requests and one failure, and no other replica has switched.
     fleet
-        .until("all have asked", || {
+        .until("all requests are in the log", || {
             4 <= fleet.log.state.len("turns.bulletin")
         })
         .await;
     assert_eq!((failed(), fleet.serving(&v1)), (1, 2));
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
 }
 
 #[actix_rt::test]
 async fn zones_get_a_version_in_the_bundles_order() {
-    let (fleet, _) = tight(4, &["zone-1", "zone-0"]).await;
+    let (fleet, _) = start_rollout(4, &["zone-1", "zone-0"]).await;
     let v2 = version("v2");
-    let early = std::cell::Cell::new(false);
+    let out_of_order = std::cell::Cell::new(false);
     let serves = |zone: usize| {
         let engines = fleet.engines.iter().skip(zone).step_by(2);
         engines
@@ -465,11 +478,14 @@
     };
     fleet
         .until("v2 is everywhere", || {
-            early.set(early.get() || (0 < serves(0) && serves(1) < 2));
+            out_of_order.set(out_of_order.get() || (0 < serves(0) && serves(1) < 2));
             fleet.known(&v2)
         })
         .await;
-    assert!(!early.get(), "zone-0 went before zone-1 was done");
+    assert!(
+        !out_of_order.get(),
+        "zone-0 switched before zone-1 completed"
+    );
 }
 
 #[actix_rt::test]
@@ -494,28 +510,30 @@
             .filter(|it| it.phase == "waiting for its turn")
             .count()
     };
-    fleet.until("both wait", || waiting() == 2).await;
+    fleet
+        .until("both replicas wait for their turns", || waiting() == 2)
+        .await;
     assert_eq!(fleet.serving(&v1), 2);
     fleet.log.state.down.set(false);
     fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
 }
 
 #[actix_rt::test]
-async fn a_bundle_outlives_the_logs_retention_and_a_late_racer_is_not_taken_for_it() {
-    // The settings have a part for entries, so the fleet has no agents.
+async fn bundle_survives_log_retention_and_is_not_replaced_by_a_conflicting_record() {
+    // The `entry` settings are invalid for agents, so the fleet has none.
     let mut shape = shape(2, 0, 0);
     shape.settings = "entry: {checkpoint_s: 1}".to_owned();
     let mut fleet = fleet(shape).await;
     let v1 = version("v1");
     let first = fleet.bundle(1, None, &v1);
-    fleet.publish(&first).await.expect("it is accepted");
-    // A racer that lost, and that stands on the log when the winner has been dropped.
-    let loser = fleet.bundle(1, None, &version("v9"));
+    fleet.publish(&first).await.expect("the bundle is accepted");
+    // A conflicting bundle that lost, but remains in the log after the accepted one is dropped.
+    let conflicting = fleet.bundle(1, None, &version("v9"));
     let log = Http::new(&fleet.log.url(), std::time::Duration::from_secs(1));
-    let loser = Record::Bundle(fleet.key.sign(&loser, "ops")).encode();
-    log.append(CONFIG, &[loser]).await.unwrap();
+    let conflicting = Record::Bundle(fleet.key.sign(&conflicting, "ops")).encode();
+    log.append(CONFIG, &[conflicting]).await.unwrap();
     fleet
-        .until("a checkpoint stands on the log", || {
+        .until("the log holds a checkpoint", || {
             3 <= fleet.log.state.len(CONFIG)
         })
         .await;
@@ -525,7 +543,7 @@
     fleet.start_entry(0).await.unwrap();
     let node = fleet.entries[0].as_ref().unwrap().node();
     fleet
-        .until("an entry started afresh knows it", || {
+        .until("a restarted entry has the bundle", || {
             *node.bundle_number.borrow() == 1
         })
         .await;
@@ -534,7 +552,7 @@
 }
 
 #[actix_rt::test]
-async fn another_instance_at_an_agents_address_is_not_taken_for_it() {
+async fn address_that_belongs_to_another_instance_is_rejected() {
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
@@ -557,10 +575,10 @@
         })
     };
     fleet
-        .until("the entry has tried the address and refused it", || {
+        .until("the entry rejects the instance at the address", || {
             moved(true)
         })
         .await;
-    answers(&fleet, &v1).await;
+    assert_generates(&fleet, &v1).await;
     assert!(moved(false));
 }
