--- a/crates/gradeloft_gateway/src/agent/ask.rs
+++ b/crates/gradeloft_gateway/src/agent/chunk_request.rs
@@ -1,4 +1,4 @@
-//! One question for a piece of weights.
+//! A single request for a chunk of weights.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,62 +14,74 @@
 use super::{Agent, Version};
 use crate::logs::Topic;
 
-/// What became of a question.
+/// Outcome of a request for a chunk.
 #[derive(Debug)]
-pub struct Answered {
-    /// The question.
-    pub ask: ChunkRequest,
-    /// The piece, if it came and has its digest.
+pub struct ChunkOutcome {
+    /// Request that was sent.
+    pub request: ChunkRequest,
+    /// Content of the chunk, if it arrived and matches its digest.
     pub result: Result<Bytes, Failure>,
-    /// How long it took.
-    pub took: Duration,
+    /// Time from the request to its outcome.
+    pub elapsed: Duration,
 }
 
-/// Asks a source for a piece, and checks what comes.
-pub async fn piece(
+/// Requests a chunk from an upstream, and verifies its digest.
+pub async fn send(
     agent: Rc<Agent>,
     version: Version,
-    ask: ChunkRequest,
+    request: ChunkRequest,
     address: Option<SocketAddr>,
-) -> Answered {
+) -> ChunkOutcome {
     let started = agent.node.clock.now();
-    let result = match ask.from {
-        Upstream::Origin => origin_piece(&agent, &version, ask.chunk.digest).await,
-        // This platform has no store of weights beside the origin.
+    let result = match request.from {
+        Upstream::Origin => request_from_origin(&agent, &version, request.chunk.digest).await,
+        // The platform has no store of weights other than the origin.
         Upstream::Store => Err(Failure::NotHeld),
         Upstream::Owner(_) | Upstream::Source(_) => match address {
-            Some(address) => peer_piece(&agent, address, ask.chunk.digest).await,
+            Some(address) => request_from_peer(&agent, address, request.chunk.digest).await,
             None => Err(Failure::Gone),
         },
     };
     let digest = |it: &Bytes| agent.node.platform.origin.digest(it);
     let result = result.and_then(|content| {
-        if digest(&content) == ask.chunk.digest {
+        if digest(&content) == request.chunk.digest {
             Ok(content)
         } else {
             Err(Failure::Corrupt)
         }
     });
-    let took = agent.node.clock.now().since(started);
-    Answered { ask, result, took }
+    let elapsed = agent.node.clock.now().since(started);
+    ChunkOutcome {
+        request,
+        result,
+        elapsed,
+    }
 }
 
-async fn origin_piece(agent: &Agent, version: &Version, digest: Digest) -> Result<Bytes, Failure> {
-    let idx = agent.holding.borrow().positions.get(&digest).copied();
+async fn request_from_origin(
+    agent: &Agent,
+    version: &Version,
+    digest: Digest,
+) -> Result<Bytes, Failure> {
+    let idx = agent.staged_chunks.borrow().positions.get(&digest).copied();
     let idx = idx.ok_or(Failure::NotHeld)?;
     let address = agent.origin().ok_or(Failure::Gone)?;
     let origin = &agent.node.platform.origin;
     let read = origin.piece(address, &version.model, version.number, idx);
     read.await.map_err(|fault| {
         if let Some(log) = agent.node.logs.line(Topic::Weights) {
-            warn!(log, "origin did not give a piece"; "version" => version.number, "piece" => idx,
-                "fault" => %fault);
+            warn!(log, "chunk request to the origin failed"; "version" => version.number,
+                "piece" => idx, "fault" => %fault);
         }
         Failure::Gone
     })
 }
 
-async fn peer_piece(agent: &Agent, address: SocketAddr, digest: Digest) -> Result<Bytes, Failure> {
+async fn request_from_peer(
+    agent: &Agent,
+    address: SocketAddr,
+    digest: Digest,
+) -> Result<Bytes, Failure> {
     let peer = address.to_string();
     let call = Call::Chunk { digest };
     let reply = agent.node.peers.ask(&peer, Lane::Bulk, &call).await;
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Gets the pieces of a version: carries out what `gradeloft_policy::version::fetch` decides.
+//! Fetch of a version's chunks, as decided by `gradeloft_policy::version::fetch`.
 
 use std::{
     cell::RefCell,
@@ -35,9 +35,9 @@
 
 use super::{
     Agent, Version,
-    ask::{self, Answered},
-    change::Stop,
-    fill::{Member, node_hash},
+    chunk_request::{self, ChunkOutcome},
+    deploy::DeployError,
+    staging::{Member, node_hash},
 };
 use crate::{
     logs::Topic,
@@ -45,86 +45,94 @@
     traffic::{Purpose, Reach},
 };
 
-/// Pieces read from the origin at once by one agent. All readers together keep it busy with one each, and one that
-/// breaks off is asked for again behind half as many: with two, a second later.
+/// Number of concurrent chunk requests of one agent to the origin. All readers together saturate
+/// the origin with one request each, and a request that breaks off is retried behind half as many
+/// others as with two slots, which would delay it by a second.
 pub const ORIGIN_SLOTS: usize = 1;
-/// Pieces asked of one peer at once.
-const PER_SOURCE: u32 = 2;
-/// Time after which an ask counts as stalled, in milliseconds: all pieces that may wait for a slot
-/// at a peer, several times over.
+/// Maximum number of concurrent chunk requests to one peer.
+const REQUESTS_PER_PEER: u32 = 2;
+/// Time after which a request counts as stalled, in milliseconds: several times the transfer time
+/// of all chunks that may wait for a slot at a peer.
 const STALL_MS: u64 = 2_000;
-/// Time given to the owner of a piece, for each rank, in milliseconds: a third of the time in which the
-/// origin sends one copy.
+/// Time per rank after which the next owner of a chunk takes over, in milliseconds: a third of the
+/// time in which the origin sends one copy of a version.
 const TAKEOVER_MS: u64 = 400;
-/// How often an owner may say that it is about to read a piece, beside the time that a whole version
-/// takes on its link, before the next one reads it. An owner behind a link that carries little would
-/// hold up all others, and a piece that is read twice costs little.
-const ANNOUNCED: u64 = 0;
-/// Copies of a version that all agents together may read from the origin before they slow down. Above
-/// one, since agents own unequal numbers of few pieces.
+/// Maximum number of times that an owner may announce that it is about to read a chunk, in addition
+/// to the transfer time of a whole version on its link, before the next owner reads it. An owner on
+/// a slow link would delay all other agents, whereas a chunk that is read twice costs little.
+const MAX_ANNOUNCEMENTS: u64 = 0;
+/// Number of copies of a version that all agents together may read from the origin before they slow
+/// down. Above one, as a version has few chunks and agents own unequal numbers of them.
 const ORIGIN_COPIES: f64 = 4.0;
-/// How often asks are looked at again without an event.
-const TICK: Duration = Duration::from_millis(30);
-/// Silence after which a followed peer counts as gone.
-const FOLLOW_SILENCE: Duration = Duration::from_secs(3);
-/// Longest time for peers to say what they hold before the first piece is asked for.
-const SETTLE: Duration = Duration::from_millis(120);
-/// Time after which pieces are taken from other regions although another agent of the own region is
-/// the one to do so, in milliseconds. Bytes between regions are dear.
-const FAR_MS: u64 = 2_500;
-/// Time without a piece after which the fetch begins again, with the agents that there are then, in
-/// milliseconds: longer than an ask may stall.
-const STUCK_MS: u64 = 4_000;
-/// Pause before a piece is handed to the replica again.
-const STAGE_RETRY: Duration = Duration::from_millis(60);
+/// Interval between checks for stalled requests if there is no event.
+const CHECK_INTERVAL: Duration = Duration::from_millis(30);
+/// Silence after which a followed peer counts as unreachable.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum wait for peers to report which chunks they hold before the first chunk is requested.
+const REPORT_WAIT: Duration = Duration::from_millis(120);
+/// Time after which an agent fetches chunks from other regions although another agent of its own
+/// region is responsible for that, in milliseconds. Traffic between regions is expensive.
+const FAR_FETCH_DELAY_MS: u64 = 2_500;
+/// Time without an arrival after which the fetch is restarted with the agents known by then, in
+/// milliseconds: longer than `STALL_MS`.
+const FETCH_TIMEOUT_MS: u64 = 4_000;
+/// Pause before a failed attempt to stage a chunk is retried.
+const STAGE_RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 enum Event {
-    Asked(Answered),
-    Followed {
+    /// A chunk request has ended.
+    ChunkRequestEnded(ChunkOutcome),
+    /// A followed peer has reported the chunks that it holds; `incoming` is `None` if it is
+    /// unreachable.
+    PeerReport {
         key: SourceKey,
         node: u64,
         incoming: Option<Incoming>,
         positions: Vec<u32>,
     },
-    /// The replica has taken the piece at a position.
+    /// The chunk at a position is staged at the replica.
     Staged(u32),
 }
 
-/// Names what is asked of peers about a version.
+/// Returns the digest that identifies a version in calls to peers.
 pub fn version_digest(version: &Version) -> Digest {
     Digest::of(format!("{}/{}", version.model, version.number).as_bytes())
 }
 
-/// Gets the pieces of `version` that are not staged; gives how many those were.
-pub async fn run(agent: &Rc<Agent>, version: &Version, members: &[Member]) -> Result<usize, Stop> {
-    let mut driver = Driver::new(agent, version, members);
-    let missing = driver.fetch.borrow().missing();
+/// Fetches and stages the missing chunks of `version`, and returns the number of them.
+pub async fn run(
+    agent: &Rc<Agent>,
+    version: &Version,
+    members: &[Member],
+) -> Result<usize, DeployError> {
+    let mut fetcher = Fetcher::new(agent, version, members);
+    let missing = fetcher.fetch.borrow().missing();
     if missing == 0 {
         return Ok(0);
     }
-    let _fetching = Fetching::new(agent, &driver.fetch);
-    driver.run().await?;
+    let _guard = FetchGuard::new(agent, &fetcher.fetch);
+    fetcher.run().await?;
     Ok(missing)
 }
 
-/// Shows the fetch to peers that ask, until it is dropped.
-struct Fetching(Rc<Agent>);
+/// Keeps the fetch registered with the agent, for calls of peers, until dropped.
+struct FetchGuard(Rc<Agent>);
 
-impl Fetching {
-    fn new(agent: &Rc<Agent>, fetch: &Rc<RefCell<Fetch>>) -> Fetching {
+impl FetchGuard {
+    fn new(agent: &Rc<Agent>, fetch: &Rc<RefCell<Fetch>>) -> FetchGuard {
         *agent.fetching.borrow_mut() = Some(Rc::clone(fetch));
-        Fetching(Rc::clone(agent))
+        FetchGuard(Rc::clone(agent))
     }
 }
 
-impl Drop for Fetching {
+impl Drop for FetchGuard {
     fn drop(&mut self) {
         *self.0.fetching.borrow_mut() = None;
         self.0.congested.set(false);
     }
 }
 
-struct Driver<'a> {
+struct Fetcher<'a> {
     agent: &'a Rc<Agent>,
     version: &'a Version,
     manifest: Manifest,
@@ -132,23 +140,24 @@
     fetch: Rc<RefCell<Fetch>>,
     window: Window,
     followed: HashMap<u64, SourceKey>,
-    /// Peers that said what they hold, or could not be reached.
-    answered: HashSet<SourceKey>,
-    /// What far peers hold that another agent of the own region is to take.
+    /// Peers that have reported the chunks that they hold, or were unreachable.
+    reported: HashSet<SourceKey>,
+    /// Positions of chunks held by far peers that another agent of the own region is responsible
+    /// for.
     withheld: HashMap<SourceKey, HashSet<usize>>,
     events: FuturesUnordered<LocalBoxFuture<'static, Event>>,
-    /// Pieces that the replica does not hold yet.
+    /// Number of chunks that are being staged.
     staging: usize,
     started: Time,
-    /// When a piece came last.
-    arrived: Time,
+    /// Time of the last arrival of a chunk.
+    last_arrival: Time,
 }
 
-impl<'a> Driver<'a> {
-    fn new(agent: &'a Rc<Agent>, version: &'a Version, members: &'a [Member]) -> Driver<'a> {
-        let holding = agent.holding.borrow();
-        let size_bytes = agent.piece_bytes();
-        let chunks = holding.digests.iter().map(|it| Chunk {
+impl<'a> Fetcher<'a> {
+    fn new(agent: &'a Rc<Agent>, version: &'a Version, members: &'a [Member]) -> Fetcher<'a> {
+        let staged_chunks = agent.staged_chunks.borrow();
+        let size_bytes = agent.chunk_bytes();
+        let chunks = staged_chunks.digests.iter().map(|it| Chunk {
             digest: *it,
             size_bytes,
         });
@@ -157,81 +166,82 @@
             chunks: chunks.collect(),
         };
         let held = |it: Digest| {
-            let idx = holding.positions.get(&it);
-            idx.is_some_and(|it| holding.staged[*it as usize])
+            let idx = staged_chunks.positions.get(&it);
+            idx.is_some_and(|it| staged_chunks.staged[*it as usize])
         };
         let own = node_hash(agent.replica);
         let started = agent.node.clock.now();
-        let piece_time = agent.piece_time();
+        let chunk_time = agent.chunk_time();
         let tuning = Tuning {
             scheme: Scheme::Owners,
             peer_slots: 1,
             origin_slots: ORIGIN_SLOTS,
-            per_source: PER_SOURCE,
+            per_source: REQUESTS_PER_PEER,
             stall_ms: STALL_MS,
-            chunk_ms: piece_time.as_millis() as u64,
+            chunk_ms: chunk_time.as_millis() as u64,
             takeover_ms: TAKEOVER_MS,
-            max_announcements: ANNOUNCED,
+            max_announcements: MAX_ANNOUNCEMENTS,
             objective: Objective::Time,
             origin_copies: ORIGIN_COPIES,
         };
         let mut fetch = Fetch::new(own, &manifest, held, tuning, started);
-        drop(holding);
+        drop(staged_chunks);
         let nodes: Vec<u64> = members.iter().map(|it| it.node).collect();
         fetch.set_readers(agent.readers(version, &nodes));
-        Driver {
+        Fetcher {
             agent,
             version,
             manifest,
             members,
             fetch: Rc::new(RefCell::new(fetch)),
-            window: Window::new(piece_time),
+            window: Window::new(chunk_time),
             followed: HashMap::new(),
-            answered: HashSet::new(),
+            reported: HashSet::new(),
             withheld: HashMap::new(),
             events: FuturesUnordered::new(),
             staging: 0,
             started,
-            arrived: started,
+            last_arrival: started,
         }
     }
 
-    async fn run(&mut self) -> Result<(), Stop> {
+    async fn run(&mut self) -> Result<(), DeployError> {
         self.follow_partners();
-        let settled = self.agent.node.clock.now().after(SETTLE);
+        let start = self.agent.node.clock.now().after(REPORT_WAIT);
         while !(self.fetch.borrow().is_complete() && self.staging == 0) {
             let now = self.agent.node.clock.now();
-            if settled <= now || self.all_answered() {
-                self.pump();
+            if start <= now || self.all_reported() {
+                self.send_requests();
             }
             tokio::select! {
-                Some(event) = self.events.next() => self.handle(event),
-                () = actix_rt::time::sleep(TICK) => self.expire(),
+                Some(event) = self.events.next() => self.handle_event(event),
+                () = actix_rt::time::sleep(CHECK_INTERVAL) => self.handle_timeouts(),
             }
             if self.superseded() {
-                return Err(Stop::Superseded);
+                return Err(DeployError::Superseded);
             }
-            if self.arrived.after_ms(STUCK_MS) <= self.agent.node.clock.now() {
-                return Err("no piece came for long".to_owned().into());
+            if self.last_arrival.after_ms(FETCH_TIMEOUT_MS) <= self.agent.node.clock.now() {
+                return Err("no chunk arrived for too long".to_owned().into());
             }
         }
         Ok(())
     }
 
-    /// Whether every peer that is followed has said what it holds.
-    fn all_answered(&self) -> bool {
+    /// Returns whether every followed peer has reported which chunks it holds.
+    fn all_reported(&self) -> bool {
         let mut followed = self.followed.values();
-        followed.all(|it| self.answered.contains(it))
+        followed.all(|it| self.reported.contains(it))
     }
 
-    /// Whether a newer version was named before much of this one came into the fleet. One of which half
-    /// is somewhere is finished: the newer one may not be had for long, and until it is there nothing
-    /// else may serve once this one is due.
+    /// Returns whether a newer version was named before half of this one was available in the
+    /// fleet. A version that is half available is finished: fetching the newer one may take long,
+    /// and once this one is due, replicas that have loaded neither must not serve.
     fn superseded(&self) -> bool {
-        let half_there = self.fetch.borrow().half_available();
-        !half_there && self.agent.target().as_ref() != Some(self.version)
+        let half_available = self.fetch.borrow().half_available();
+        !half_available && self.agent.target().as_ref() != Some(self.version)
     }
 
+    /// Returns the peers to follow.
     fn partners(&self) -> Vec<partners::Member> {
         let own = node_hash(self.agent.replica);
         let region = self.agent.region();
@@ -247,35 +257,37 @@
             partners::choose(Scheme::Owners, own, self.manifest.digest.short(), &others);
         let owners = self.owners_to_follow();
         let chosen: HashSet<u64> = partners.iter().map(|it| it.node).collect();
-        let also = |it: &partners::Member| owners.contains(&it.node) && !chosen.contains(&it.node);
-        partners.extend(others.into_iter().filter(also));
+        let is_new_owner =
+            |it: &partners::Member| owners.contains(&it.node) && !chosen.contains(&it.node);
+        partners.extend(others.into_iter().filter(is_new_owner));
         partners
     }
 
-    /// Owners of the pieces that this agent is the one of its region to take from elsewhere. From them it has such a
-    /// piece at once; its partners there may get it last.
+    /// Returns the owners of the chunks that this agent fetches from other regions for its own. The
+    /// owners have such a chunk first; this agent's partners there may get it last.
     fn owners_to_follow(&self) -> HashSet<u64> {
         let chunks = self.manifest.distinct_chunks();
         let fetch = self.fetch.borrow();
-        let near = self.near();
-        let mine = (0..chunks.len()).filter(|it| self.is_first(chunks[*it], &near));
-        mine.filter_map(|it| fetch.first_owner(it)).collect()
+        let near = self.near_agents();
+        let responsible = (0..chunks.len()).filter(|it| self.is_far_fetcher(chunks[*it], &near));
+        responsible.filter_map(|it| fetch.first_owner(it)).collect()
     }
 
-    /// The agents of this region.
-    fn near(&self) -> Vec<u64> {
+    /// Returns the agents of this region.
+    fn near_agents(&self) -> Vec<u64> {
         let region = self.agent.region();
         let near = self.members.iter().filter(|it| it.region == region);
         near.map(|it| it.node).collect()
     }
 
-    /// Whether this agent is the one of its region to take a piece from elsewhere.
-    fn is_first(&self, chunk: Chunk, near: &[u64]) -> bool {
+    /// Returns whether this agent is the one of its region that fetches a chunk from other regions.
+    fn is_far_fetcher(&self, chunk: Chunk, near: &[u64]) -> bool {
         let own = node_hash(self.agent.replica);
         let others = near.iter().copied().filter(|it| *it != own);
         rendezvous::rank(chunk.digest.short(), own, others) == 0
     }
 
+    /// Follows the partners that are not followed yet.
     fn follow_partners(&mut self) {
         for partner in self.partners() {
             if self.followed.contains_key(&partner.node) {
@@ -293,8 +305,8 @@
                 let call = Call::Follow { manifest };
                 let opened = agent.node.peers.open(&partner.address, Lane::Bulk, &call);
                 match opened.await {
-                    Ok(incoming) => followed(key, node, incoming).await,
-                    Err(_) => Event::Followed {
+                    Ok(incoming) => next_report(key, node, incoming).await,
+                    Err(_) => Event::PeerReport {
                         key,
                         node,
                         incoming: None,
@@ -306,8 +318,8 @@
         }
     }
 
-    /// Makes every ask that can be made now.
-    fn pump(&mut self) {
+    /// Sends every request that may be sent now.
+    fn send_requests(&mut self) {
         self.fetch.borrow_mut().set_peer_slots(self.window.size());
         loop {
             let now = self.agent.node.clock.now();
@@ -315,26 +327,29 @@
                 .agent
                 .node
                 .with_rng(|rng| self.fetch.borrow_mut().next_request(now, rng));
-            let Some(ask) = next else {
+            let Some(request) = next else {
                 return;
             };
-            let asking = ask::piece(
+            let sending = chunk_request::send(
                 Rc::clone(self.agent),
                 self.version.clone(),
-                ask,
-                self.address(ask.from),
+                request,
+                self.address(request.from),
             );
-            self.events.push(asking.map(Event::Asked).boxed_local());
+            self.events
+                .push(sending.map(Event::ChunkRequestEnded).boxed_local());
         }
     }
 
-    /// Whether a piece comes from this agent's region; where the origin lies is not told.
+    /// Returns whether an upstream is in this agent's region; `false` for the origin, whose region
+    /// is unknown.
     fn is_near(&self, from: Upstream) -> bool {
         let address = self.address(from);
         let member = self.members.iter().find(|it| Some(it.address) == address);
         member.is_some_and(|it| it.region == self.agent.region())
     }
 
+    /// Returns the address of an upstream, if it is a known peer.
     fn address(&self, from: Upstream) -> Option<SocketAddr> {
         let node = match from {
             Upstream::Owner(node) => node,
@@ -345,7 +360,8 @@
         member.map(|it| it.address)
     }
 
-    fn expire(&mut self) {
+    /// Handles stalled requests, and releases the withheld chunks after a delay.
+    fn handle_timeouts(&mut self) {
         let now = self.agent.node.clock.now();
         let stalled = self.fetch.borrow().stalled(now);
         if !stalled.is_empty() {
@@ -356,7 +372,7 @@
                 .borrow_mut()
                 .failed(idx, from, Failure::Stalled, now);
         }
-        if self.started.after_ms(FAR_MS) <= now {
+        if self.started.after_ms(FAR_FETCH_DELAY_MS) <= now {
             for (key, positions) in std::mem::take(&mut self.withheld) {
                 self.fetch.borrow_mut().add_held(key, positions.into_iter());
             }
@@ -364,43 +380,48 @@
         self.follow_partners();
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.agent.node.clock.now();
         match event {
-            Event::Asked(Answered {
-                ask,
+            Event::ChunkRequestEnded(ChunkOutcome {
+                request,
                 result: Ok(content),
-                took,
+                elapsed,
             }) => {
-                // A piece from the origin waited there, which says nothing of this agent's link.
-                if matches!(ask.from, Upstream::Owner(_) | Upstream::Source(_)) {
-                    self.window.record_arrival(took);
+                // Chunks from the origin are queued there, so their transfer time does not show the
+                // state of this agent's link.
+                if matches!(request.from, Upstream::Owner(_) | Upstream::Source(_)) {
+                    self.window.record_arrival(elapsed);
                     self.agent.congested.set(self.window.is_congested());
                 }
-                if self.fetch.borrow_mut().arrived(ask.idx, ask.from, now) {
-                    self.arrived(ask, content);
+                if self
+                    .fetch
+                    .borrow_mut()
+                    .arrived(request.idx, request.from, now)
+                {
+                    self.accept_chunk(request, content);
                 }
             }
-            Event::Asked(Answered {
-                ask,
+            Event::ChunkRequestEnded(ChunkOutcome {
+                request,
                 result: Err(failure),
                 ..
             }) => {
-                self.warn(ask, failure);
+                self.log_failure(request, failure);
                 self.fetch
                     .borrow_mut()
-                    .failed(ask.idx, ask.from, failure, now);
+                    .failed(request.idx, request.from, failure, now);
             }
-            Event::Followed {
+            Event::PeerReport {
                 key,
                 node,
                 incoming,
                 positions,
             } => {
-                self.answered.insert(key);
-                self.learn(key, positions);
+                self.reported.insert(key);
+                self.add_held(key, positions);
                 match incoming {
-                    Some(incoming) => self.events.push(followed(key, node, incoming)),
+                    Some(incoming) => self.events.push(next_report(key, node, incoming)),
                     None => {
                         self.followed.remove(&node);
                         self.withheld.remove(&key);
@@ -410,14 +431,14 @@
             }
             Event::Staged(idx) => {
                 self.staging -= 1;
-                self.agent.staged(self.version, idx);
+                self.agent.mark_staged(self.version, idx);
             }
         }
     }
 
-    /// A peer holds pieces. Of what far peers hold, only what this agent is the first of its region
-    /// for counts at once.
-    fn learn(&mut self, key: SourceKey, positions: Vec<u32>) {
+    /// Records the chunks that a peer holds. Chunks of far peers are withheld for a while, except
+    /// those that this agent fetches for its region.
+    fn add_held(&mut self, key: SourceKey, positions: Vec<u32>) {
         let positions = positions.into_iter().map(|it| it as usize);
         let positions: HashSet<usize> = positions.collect();
         self.fetch.borrow_mut().mark_seen(positions.iter().copied());
@@ -426,43 +447,47 @@
             return;
         }
         let chunks = self.manifest.distinct_chunks();
-        let near = self.near();
-        let first = |idx: &usize| {
+        let near = self.near_agents();
+        let is_responsible = |idx: &usize| {
             let chunk = chunks.get(*idx);
-            chunk.is_some_and(|it| self.is_first(*it, &near))
+            chunk.is_some_and(|it| self.is_far_fetcher(*it, &near))
         };
-        let (mine, others): (HashSet<usize>, HashSet<usize>) =
-            positions.into_iter().partition(first);
+        let (responsible, others): (HashSet<usize>, HashSet<usize>) =
+            positions.into_iter().partition(is_responsible);
         self.withheld.entry(key).or_default().extend(others);
-        self.fetch.borrow_mut().add_held(key, mine.into_iter());
+        self.fetch
+            .borrow_mut()
+            .add_held(key, responsible.into_iter());
     }
 
-    fn arrived(&mut self, ask: ChunkRequest, content: Bytes) {
-        self.arrived = self.agent.node.clock.now();
+    /// Counts an arrived chunk, and stages it at all positions with its digest.
+    fn accept_chunk(&mut self, request: ChunkRequest, content: Bytes) {
+        self.last_arrival = self.agent.node.clock.now();
         let label = Reason {
-            reason: match ask.from {
+            reason: match request.from {
                 Upstream::Origin | Upstream::Store => "origin",
                 Upstream::Owner(_) | Upstream::Source(_) => "peer",
             },
         };
         self.agent.node.metrics.pieces.get_or_create(&label).inc();
-        let near = self.is_near(ask.from);
+        let near = self.is_near(request.from);
         let reach = Reach::of(near);
         self.agent.node.count(Purpose::Pieces, reach, content.len());
-        let holding = self.agent.holding.borrow();
-        let same = holding.digests.iter().zip(0..);
-        let same: Vec<u32> = same
-            .filter(|(it, _)| **it == ask.chunk.digest)
+        let staged_chunks = self.agent.staged_chunks.borrow();
+        let same = staged_chunks.digests.iter().zip(0..);
+        let positions: Vec<u32> = same
+            .filter(|(it, _)| **it == request.chunk.digest)
             .map(|(_, idx)| idx)
             .collect();
-        drop(holding);
-        for idx in same {
+        drop(staged_chunks);
+        for idx in positions {
             self.stage(idx, content.clone());
         }
     }
 
-    /// Hands a piece to the replica, until it takes it or the version is given up. Also while a newer one is
-    /// named already: this one may be finished all the same, and then needs every piece.
+    /// Stages a chunk at the replica, with retries until it succeeds or the fetch is dropped.
+    /// Retries continue when a newer version is named, as this version may still be finished and
+    /// then needs every chunk.
     fn stage(&mut self, idx: u32, content: Bytes) {
         self.staging += 1;
         let agent = Rc::clone(self.agent);
@@ -473,13 +498,13 @@
                 if staged.await.is_ok() {
                     return Event::Staged(idx);
                 }
-                actix_rt::time::sleep(STAGE_RETRY).await;
+                actix_rt::time::sleep(STAGE_RETRY_PAUSE).await;
             }
         };
         self.events.push(staging.boxed_local());
     }
 
-    fn warn(&self, ask: ChunkRequest, failure: Failure) {
+    fn log_failure(&self, request: ChunkRequest, failure: Failure) {
         let expected = matches!(
             failure,
             Failure::Busy | Failure::NotHeld | Failure::Pending | Failure::Limited(_)
@@ -488,19 +513,24 @@
             return;
         }
         if let Some(log) = self.agent.node.logs.line(Topic::Weights) {
-            warn!(log, "piece not given"; "version" => self.version.number,
-                "piece" => ask.idx, "from" => ?ask.from, "failure" => ?failure);
+            warn!(log, "chunk request failed"; "version" => self.version.number,
+                "piece" => request.idx, "from" => ?request.from, "failure" => ?failure);
         }
     }
 }
 
-fn followed(key: SourceKey, node: u64, mut incoming: Incoming) -> LocalBoxFuture<'static, Event> {
+/// Waits for the next report of a followed peer.
+fn next_report(
+    key: SourceKey,
+    node: u64,
+    mut incoming: Incoming,
+) -> LocalBoxFuture<'static, Event> {
     async move {
-        let (incoming, positions) = match timeout(FOLLOW_SILENCE, incoming.next()).await {
+        let (incoming, positions) = match timeout(FOLLOW_TIMEOUT, incoming.next()).await {
             Ok(Ok(Some(Reply::Have(positions)))) => (Some(incoming), positions),
             _ => (None, Vec::new()),
         };
-        Event::Followed {
+        Event::PeerReport {
             key,
             node,
             incoming,
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -1,19 +1,19 @@
-//! The process beside a replica: brings the weights that the operator named, and reports to
-//! entries what the replica holds.
+//! Agent beside a replica: deploys the weights that the operator named, and reports the replica's
+//! state to entries.
 //!
-//! - [`ask`]: one question for a piece of weights.
-//! - [`change`]: brings the replica to the version that it is to hold.
-//! - [`fetch`]: gets the pieces of a version from peers and the origin.
-//! - [`fill`]: stages and checks the pieces of a version.
-//! - [`receive`]: datagrams that it receives from entries.
-//! - [`share`]: gives pieces to other agents.
-
-pub mod ask;
-pub mod change;
+//! - [`chunk_request`]: a single request for a chunk of weights.
+//! - [`deploy`]: deployment of the target version to the replica.
+//! - [`fetch`]: fetch of a version's chunks from peers and the origin.
+//! - [`receive`]: datagrams from entries.
+//! - [`staging`]: staging and verification of a version's chunks.
+//! - [`upload`]: uploads of chunks to other agents.
+
+pub mod chunk_request;
+pub mod deploy;
 pub mod fetch;
-pub mod fill;
 pub mod receive;
-pub mod share;
+pub mod staging;
+pub mod upload;
 
 use std::{
     cell::{Cell, RefCell},
@@ -54,109 +54,112 @@
     traffic::{Purpose, Reach},
 };
 
-/// Pause between questions to the replica. They are free, and an entry's view of the replica is this
-/// old at most.
-const ASK: Duration = Duration::from_millis(250);
-/// Pause between questions while weights are being loaded.
-const ASK_LOADING: Duration = Duration::from_millis(60);
-/// Silence after which an entry gets no more reports: several of its pauses between datagrams to agents.
-const SILENCE_MS: u64 = 4_000;
-/// Longest pause between two reports to entries.
-const REPORT_MS: u64 = 1_000;
-/// Longest wait of one read of the operator's table: half of the eight seconds to load a version in.
-const WAIT_ORDERS: Duration = Duration::from_secs(4);
-const PAUSE_ORDERS: Duration = Duration::from_millis(50);
-
-/// Part of the link that pieces of weights may use; the rest is for requests and tokens.
-const LINK_USED: f64 = 0.85;
-/// Connections of one reader to the origin: its pieces, a manifest, and one that is about to end.
+/// Interval between polls of the replica. Polls are cheap, and the interval bounds the age of an
+/// entry's view of the replica.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between polls of the replica while weights are being loaded.
+const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Silence after which an entry gets no more reports, in milliseconds: several of its intervals
+/// between datagrams to agents.
+const ENTRY_TIMEOUT_MS: u64 = 4_000;
+/// Maximum interval between two reports to entries, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 1_000;
+/// Maximum wait of one read of the operator's table: half of the eight seconds within which a
+/// version is to be loaded.
+const OPERATOR_READ_WAIT: Duration = Duration::from_secs(4);
+const OPERATOR_READ_PAUSE: Duration = Duration::from_millis(50);
+
+/// Fraction of the link that chunk uploads may use; the rest is for requests and tokens.
+const UPLOAD_LINK_FRACTION: f64 = 0.85;
+/// Number of connections of one reader to the origin: its chunk requests, a manifest request, and
+/// one that is about to close.
 const READER_CONNECTIONS: u32 = fetch::ORIGIN_SLOTS as u32 + 2;
-/// Bytes of a piece where the configuration does not say.
-const PIECE_BYTES: u64 = 49_152;
+/// Size of a chunk if the configuration does not specify it, in bytes.
+const DEFAULT_CHUNK_BYTES: u64 = 49_152;
 
 /// A version of a model's weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Version {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Number.
+    /// Version number.
     pub number: u64,
 }
 
-/// Pieces of the version that is being fetched or was fetched last.
+/// Chunks of the version that is being fetched or was fetched last.
 #[derive(Debug, Default)]
-pub struct Holding {
-    /// The version.
+pub struct StagedChunks {
+    /// Version of the weights.
     pub version: Option<Version>,
-    /// Digests of its pieces, in order; empty until the manifest is known.
+    /// Digests of the version's chunks, in order; empty until the manifest is known.
     pub digests: Vec<Digest>,
-    /// Positions of each digest.
+    /// Position of each digest.
     pub positions: HashMap<Digest, u32>,
-    /// Whether each piece is staged and had its digest.
+    /// Whether each chunk is staged and matched its digest when last checked.
     pub staged: Vec<bool>,
 }
 
-/// What an entry said last.
+/// State of an entry according to its newest datagram.
 #[derive(Clone, Copy, Debug)]
-struct Sighting {
-    at: Time,
-    /// Whether the platform's store serves it.
+struct KnownEntry {
+    received_at: Time,
+    /// Whether the platform's store serves the entry.
     store: Access,
-    /// Whether it is in this agent's region.
+    /// Whether the entry is in this agent's region.
     near: bool,
 }
 
-/// The process.
+/// Agent of one replica.
 pub struct Agent {
-    /// What it shares with entries.
+    /// State and connections that agents and entries have in common.
     pub node: Rc<Node>,
-    /// The replica's engine.
+    /// Engine of the replica.
     pub engine: Rc<dyn EngineApi>,
     /// Service that the replica belongs to.
     pub service: String,
-    /// Where the replica listens.
+    /// Address of the replica.
     pub replica: SocketAddr,
-    /// Pieces held.
-    pub holding: RefCell<Holding>,
-    /// The fetch that goes on, if one does.
+    /// Chunks staged at the replica.
+    pub staged_chunks: RefCell<StagedChunks>,
+    /// Current fetch, if there is one.
     pub fetching: RefCell<Option<Rc<RefCell<Fetch>>>>,
-    /// Notified when a piece has been staged.
-    pub arrived: Notify,
-    /// Paces the pieces that go out, beside the tokens of the replica.
-    pub pace_out: RefCell<Pacer>,
-    /// Pieces that go out to peers now.
+    /// Notified when a chunk has been staged.
+    pub chunk_staged: Notify,
+    /// Paces uploads, so that they leave room for the replica's tokens on the link.
+    pub upload_pacer: RefCell<Pacer>,
+    /// Number of current uploads to peers.
     pub uploads: Cell<usize>,
     state: Cell<Option<State>>,
     loading: Cell<bool>,
-    /// How far each model's change-over is, as an entry said last.
-    switched: RefCell<HashMap<u64, SwitchProgress>>,
-    /// When the replica answered first.
-    begun_at: Cell<Option<Time>>,
-    /// Part of the spread of first reads of the store after which this agent reads, from 0 to 1.
-    first_read: Cell<Option<f64>>,
-    /// When to ask an entry for the operator's records.
+    /// Progress of the switch to a new version by hash of the model, as last reported by an entry.
+    switch_progress: RefCell<HashMap<u64, SwitchProgress>>,
+    /// Time of the replica's first answer.
+    first_answer_at: Cell<Option<Time>>,
+    /// Fraction of the spread of first store reads after which this agent reads, from 0 to 1.
+    first_read_fraction: Cell<Option<f64>>,
+    /// Schedule of requests to entries for the operator's records.
     refresh: Cell<Refresh>,
-    /// Whether every stream of the service can go on at another replica.
+    /// Whether every stream of the service can be resumed at another replica.
     resumable: Cell<bool>,
-    /// Whether the staged pieces are being looked through.
-    adopting: Cell<bool>,
+    /// Whether a recovery of the staged chunks is running.
+    recovering: Cell<bool>,
     config: RefCell<Option<Document>>,
-    /// Newest version of each model, and since when it counts as named.
-    named: RefCell<HashMap<String, (u64, Time)>>,
-    /// Entries that spoke a moment ago.
-    entries: RefCell<HashMap<Ipv4Addr, Sighting>>,
+    /// Newest version of each model, and the time from which it counts as named.
+    named_versions: RefCell<HashMap<String, (u64, Time)>>,
+    /// Entries from which a datagram was received recently.
+    entries: RefCell<HashMap<Ipv4Addr, KnownEntry>>,
     reported_at: Cell<Time>,
-    /// Whether the last report said that the replica is to get no requests.
+    /// Whether the last report excluded the replica from requests.
     reported_closed: Cell<bool>,
-    /// Whether pieces come so slowly that the instance's link must be full.
+    /// Whether chunks arrive so slowly that the instance's link must be saturated.
     pub congested: Cell<bool>,
-    /// The same, as it was reported last.
+    /// Value of `congested` in the last report.
     reported_congested: Cell<bool>,
-    /// The replica is to get no requests until then.
+    /// Time until which the replica gets no requests.
     closed_until: Cell<Time>,
 }
 
-/// A running agent.
+/// Handle of a running agent.
 pub struct Handle {
     agent: Rc<Agent>,
     _metrics: Server,
@@ -167,55 +170,59 @@
     /// Starts an agent.
     pub async fn start(node: Rc<Node>) -> io::Result<Handle> {
         let Role::Agent { replica, service } = node.settings().role.clone() else {
-            return Err(io::Error::other("the settings are not an agent's"));
+            return Err(io::Error::other(
+                "the settings do not have the role of an agent",
+            ));
         };
         let engine = node.platform.engine.clone();
-        let engine = engine.ok_or_else(|| io::Error::other("no engine"))?;
-        let rate = (node.settings().link_bytes_per_s as f64 * LINK_USED).max(1.0) as u64;
+        let engine =
+            engine.ok_or_else(|| io::Error::other("the platform has no engine for this agent"))?;
+        let rate = (node.settings().link_bytes_per_s as f64 * UPLOAD_LINK_FRACTION).max(1.0) as u64;
         let agent = Rc::new(Agent {
             node,
             engine,
             service,
             replica,
-            holding: RefCell::default(),
+            staged_chunks: RefCell::default(),
             fetching: RefCell::default(),
-            arrived: Notify::new(),
-            pace_out: RefCell::new(Pacer::new(rate)),
+            chunk_staged: Notify::new(),
+            upload_pacer: RefCell::new(Pacer::new(rate)),
             uploads: Cell::default(),
             state: Cell::default(),
             loading: Cell::default(),
-            switched: RefCell::default(),
-            begun_at: Cell::default(),
+            switch_progress: RefCell::default(),
+            first_answer_at: Cell::default(),
             refresh: Cell::default(),
             resumable: Cell::default(),
-            adopting: Cell::default(),
+            recovering: Cell::default(),
             config: RefCell::default(),
-            named: RefCell::default(),
+            named_versions: RefCell::default(),
             entries: RefCell::default(),
             reported_at: Cell::default(),
             reported_closed: Cell::default(),
-            first_read: Cell::default(),
+            first_read_fraction: Cell::default(),
             congested: Cell::default(),
             reported_congested: Cell::default(),
             closed_until: Cell::default(),
         });
-        let observing = Rc::downgrade(&agent);
+        let weak_agent = Rc::downgrade(&agent);
         agent.node.set_observer(Rc::new(move |table, records| {
-            if let Some(agent) = observing.upgrade() {
-                agent.changed(table, &records);
+            if let Some(agent) = weak_agent.upgrade() {
+                agent.apply_records(table, &records);
             }
         }));
         agent.node.set_election(Rc::new(Rc::downgrade(&agent)));
-        let handler = Rc::new(share::Peers(Rc::clone(&agent)));
+        let handler = Rc::new(upload::PeerHandler(Rc::clone(&agent)));
         let peers = peer_listener(&agent.node, handler).await?;
         let metrics = crate::entry::lookup::serve_metrics(&agent.node).await?;
         let scope = &agent.node.scope;
-        let orders = Rc::clone(&agent.node).follow(Table::Operator, WAIT_ORDERS, PAUSE_ORDERS);
-        scope.spawn(orders);
+        let follow =
+            Rc::clone(&agent.node).follow(Table::Operator, OPERATOR_READ_WAIT, OPERATOR_READ_PAUSE);
+        scope.spawn(follow);
         scope.spawn(Rc::clone(&agent.node).detect_stalls());
-        scope.spawn(Rc::clone(&agent).watch());
-        scope.spawn(Rc::clone(&agent).listen());
-        scope.spawn(Rc::clone(&agent).update());
+        scope.spawn(Rc::clone(&agent).poll_replica());
+        scope.spawn(Rc::clone(&agent).receive_datagrams());
+        scope.spawn(Rc::clone(&agent).deploy_versions());
         Ok(Handle {
             agent,
             _metrics: metrics,
@@ -223,50 +230,50 @@
         })
     }
 
-    /// Whether it is not known which pieces of a version lie staged.
-    pub fn unadopted(&self, version: &Version) -> bool {
-        self.holding.borrow().version.as_ref() != Some(version)
+    /// Returns whether it is unknown which chunks of a version are staged.
+    pub fn needs_recovery(&self, version: &Version) -> bool {
+        self.staged_chunks.borrow().version.as_ref() != Some(version)
     }
 
-    /// Bytes of a piece of the weights.
-    pub fn piece_bytes(&self) -> u64 {
+    /// Returns the size of a chunk, in bytes.
+    pub fn chunk_bytes(&self) -> u64 {
         let config = self.config.borrow();
         let services = config.iter().flat_map(|it| &it.services);
-        let mut own = services.filter(|it| *it.name == *self.service);
-        let layout = own.find_map(|it| it.layout);
-        layout.map_or(PIECE_BYTES, |it| u64::from(it.piece_bytes))
+        let mut own_service = services.filter(|it| *it.name == *self.service);
+        let layout = own_service.find_map(|it| it.layout);
+        layout.map_or(DEFAULT_CHUNK_BYTES, |it| u64::from(it.piece_bytes))
     }
 
-    /// Time of a piece on this instance's link.
-    pub fn piece_time(&self) -> Duration {
+    /// Returns the transfer time of a chunk on this instance's link.
+    pub fn chunk_time(&self) -> Duration {
         let rate = self.node.settings().link_bytes_per_s.max(1);
-        Duration::from_secs_f64(self.piece_bytes() as f64 / rate as f64)
+        Duration::from_secs_f64(self.chunk_bytes() as f64 / rate as f64)
     }
 
-    /// Region of this instance.
+    /// Returns the region of this instance.
     pub fn region(&self) -> String {
         let settings = self.node.settings();
         settings.region(&settings.zone).to_owned()
     }
 
-    /// A piece has been staged.
-    pub fn staged(&self, version: &Version, idx: u32) {
-        let mut holding = self.holding.borrow_mut();
-        if holding.version.as_ref() == Some(version)
-            && let Some(held) = holding.staged.get_mut(idx as usize)
+    /// Marks a chunk as staged.
+    pub fn mark_staged(&self, version: &Version, idx: u32) {
+        let mut chunks = self.staged_chunks.borrow_mut();
+        if chunks.version.as_ref() == Some(version)
+            && let Some(staged) = chunks.staged.get_mut(idx as usize)
         {
-            *held = true;
+            *staged = true;
         }
-        drop(holding);
-        self.arrived.notify_waiters();
+        drop(chunks);
+        self.chunk_staged.notify_waiters();
     }
 
-    /// Where weights come from.
+    /// Returns the address of the origin of weights.
     pub fn origin(&self) -> Option<SocketAddr> {
         self.with_origin(|it| it.origin).flatten()
     }
 
-    /// The agents of `nodes` that read a version from the origin.
+    /// Returns the agents among `nodes` that read a version from the origin.
     pub fn readers(&self, version: &Version, nodes: &[u64]) -> Vec<u64> {
         let connections = self.with_origin(|it| it.max_connections);
         let key = fetch::version_digest(version).short();
@@ -280,39 +287,40 @@
         services.find(|it| it.origin.is_some()).map(get)
     }
 
-    /// What the replica said of itself last.
+    /// Returns the replica's state as of its last answer, or `None` if the last poll failed.
     pub fn state(&self) -> Option<State> {
         self.state.get()
     }
 
-    /// Instances of entries that spoke a moment ago.
+    /// Returns the addresses of entries from which a datagram was received recently.
     pub fn entries(&self) -> Vec<Ipv4Addr> {
         let now = self.node.clock.now();
         let mut entries = self.entries.borrow_mut();
-        entries.retain(|_, it| now < it.at.after_ms(SILENCE_MS));
+        entries.retain(|_, it| now < it.received_at.after_ms(ENTRY_TIMEOUT_MS));
         entries.keys().copied().collect()
     }
 
-    /// An entry that spoke a moment ago, of this region if there is one.
-    pub(super) fn draw_entry(&self) -> Option<Ipv4Addr> {
+    /// Returns a random entry from which a datagram was received recently, in this region if there
+    /// is one.
+    pub(super) fn random_entry(&self) -> Option<Ipv4Addr> {
         let known = self.entries();
         let entries = self.entries.borrow();
         let near = |it: &Ipv4Addr| entries.get(it).is_some_and(|it| it.near);
         let near: Vec<Ipv4Addr> = known.iter().copied().filter(near).collect();
-        let from = if near.is_empty() { known } else { near };
-        self.node.with_rng(|it| from.choose(it).copied())
+        let candidates = if near.is_empty() { known } else { near };
+        self.node.with_rng(|it| candidates.choose(it).copied())
     }
 
-    fn changed(&self, table: Table, records: &[Record]) {
+    fn apply_records(&self, table: Table, records: &[Record]) {
         if table != Table::Operator {
             return;
         }
         for record in records.iter().filter(|it| it.value.is_some()) {
             match self.node.platform.decoder.order(record) {
-                Ok(Order::Config(document)) => self.configure(*document),
+                Ok(Order::Config(document)) => self.apply_config(*document),
                 Ok(Order::Weights { model, version }) => {
                     let written = self.node.written_at(table, record);
-                    self.name(model, version, written);
+                    self.add_named_version(model, version, written);
                 }
                 Ok(Order::Evacuation { .. } | Order::Other) => {}
                 Err(error) => {
@@ -324,7 +332,7 @@
         }
     }
 
-    fn configure(&self, document: Document) {
+    fn apply_config(&self, document: Document) {
         let mut config = self.config.borrow_mut();
         let newer = config
             .as_ref()
@@ -332,7 +340,7 @@
         if newer {
             self.node.metrics.config.set(document.version as i64);
             self.resumable.set(document.resumes(&self.service));
-            // Routes and keys are an entry's matter, and take most of the memory.
+            // Only entries need routes and keys, which use most of the memory.
             *config = Some(Document {
                 routes: Vec::new(),
                 keys: HashMap::new(),
@@ -341,17 +349,23 @@
         }
     }
 
-    /// Asks the replica for its state, and reports it to entries.
-    async fn watch(self: Rc<Agent>) {
+    /// Polls the replica's state continuously, and reports it to entries.
+    async fn poll_replica(self: Rc<Agent>) {
         loop {
-            self.ask().await;
+            self.update_state().await;
             self.node.log_traffic();
-            let pause = if self.loading.get() { ASK_LOADING } else { ASK };
+            let pause = if self.loading.get() {
+                LOADING_POLL_INTERVAL
+            } else {
+                POLL_INTERVAL
+            };
             actix_rt::time::sleep(pause).await;
         }
     }
 
-    async fn ask(&self) {
+    /// Queries the replica's state once, and reports it to entries if it changed or a report is
+    /// due.
+    async fn update_state(&self) {
         let before = self.state.get();
         let state = match self.engine.state().await {
             Ok(state) => Some(state),
@@ -359,13 +373,13 @@
                 if before.is_some()
                     && let Some(log) = self.node.logs.line(Topic::Dependency)
                 {
-                    warn!(log, "replica lost"; "fault" => %fault);
+                    warn!(log, "replica stopped responding"; "fault" => %fault);
                 }
                 None
             }
         };
-        if state.is_some() && self.begun_at.get().is_none() {
-            self.begun_at.set(Some(self.node.clock.now()));
+        if state.is_some() && self.first_answer_at.get().is_none() {
+            self.first_answer_at.set(Some(self.node.clock.now()));
         }
         let born = |it: Option<State>| it.and_then(|it| it.born);
         if born(before).is_some()
@@ -379,7 +393,7 @@
             && state.is_some()
             && let Some(log) = self.node.logs.line(Topic::Dependency)
         {
-            info!(log, "replica answers"; "state" => ?state);
+            info!(log, "replica responds"; "state" => ?state);
         }
         self.state.set(state);
         let version = state.and_then(|it| it.version);
@@ -387,26 +401,27 @@
             .metrics
             .weights
             .set(version.unwrap_or_default() as i64);
-        let reported = |it: Option<State>| it.map(|it| (it.born, it.version, it.busy));
+        let reported_part = |it: Option<State>| it.map(|it| (it.born, it.version, it.busy));
         let closed = self.closed();
-        let reopened = self.reported_closed.replace(closed) != closed;
+        let closed_changed = self.reported_closed.replace(closed) != closed;
         let congested = self.congested.get();
-        // That it is congested matters at once; that it no longer is can wait for the next report, as this may flip
-        // several times a second.
-        let turned = congested && !self.reported_congested.get();
-        let changed = reopened || turned || reported(before) != reported(state);
-        let due = self.reported_at.get().after_ms(REPORT_MS) <= self.node.clock.now();
+        // Entries need to learn of congestion at once. Its end can wait for the next report, as
+        // congestion may start and end several times a second.
+        let newly_congested = congested && !self.reported_congested.get();
+        let changed =
+            closed_changed || newly_congested || reported_part(before) != reported_part(state);
+        let due = self.reported_at.get().after_ms(REPORT_INTERVAL_MS) <= self.node.clock.now();
         if changed || due {
             self.report();
         }
     }
 
-    /// Whether the replica is to get no requests now.
+    /// Returns whether the replica must get no requests now.
     fn closed(&self) -> bool {
         self.loading.get() || self.node.clock.now() < self.closed_until.get()
     }
 
-    /// Sends the replica's state to the entries that are known, or to the seeds while none is.
+    /// Sends the replica's state to all known entries, or to the seeds if none is known.
     fn report(&self) {
         self.reported_at.set(self.node.clock.now());
         self.reported_congested.set(self.congested.get());
@@ -419,7 +434,7 @@
         }
     }
 
-    /// Sends the replica's state to some entries.
+    /// Sends the replica's state to the given entries.
     fn report_to(&self, entries: impl Iterator<Item = Ipv4Addr>) {
         let SocketAddr::V4(replica) = self.replica else {
             return;
@@ -437,12 +452,12 @@
 }
 
 impl Handle {
-    /// The agent.
+    /// Returns the agent.
     pub fn agent(&self) -> &Rc<Agent> {
         &self.agent
     }
 
-    /// Ends at once: the replica goes on without its agent.
+    /// Stops the agent at once; the replica continues without it.
     pub fn leave(self) {
         info!(self.agent.node.logs.root, "left");
         self.agent.node.scope.end();
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that an agent receives from entries, and when it asks one of them for records.
+//! Datagrams from entries, and the decision when to request records from an entry or the store.
 
 use std::{
     rc::{Rc, Weak},
@@ -12,37 +12,42 @@
 };
 use rand::Rng;
 
-use super::{Agent, Sighting, Version};
+use super::{Agent, KnownEntry, Version};
 use crate::node::Election;
 
-/// Silence of all entries that the store serves after which an agent reads what the operator writes
-/// itself, in milliseconds: three of their pauses.
-const SILENCE_MS: u64 = 1_600;
-/// Time after a replica's first answer for an entry to send its agent something, in milliseconds. Until then the
-/// agent has nothing to do; longer would keep an added replica empty.
-const FIRST_MESSAGE_MS: u64 = 250;
-/// Time after a start at which an agent reads for itself even if its replica does not answer, in
+/// Silence of all entries with access to the store after which an agent reads the operator's table
+/// from the store itself, in milliseconds: three intervals between datagrams of an entry.
+const SERVED_ENTRY_TIMEOUT_MS: u64 = 1_600;
+/// Time after a replica's first answer within which an entry may send the agent its first datagram,
+/// in milliseconds. Without one the agent has nothing to do, so a longer time would leave an added
+/// replica empty.
+const FIRST_DATAGRAM_MS: u64 = 250;
+/// Time after its start at which an agent reads the store itself even if its replica does not
+/// answer, in milliseconds.
+const LATEST_FIRST_READ_MS: u64 = 3_000;
+/// Time over which agents that start together and know no entry spread their first store reads, in
 /// milliseconds.
-const LATEST_START_MS: u64 = 3_000;
-/// Time over which agents that start together and find no entry spread their first reads, in milliseconds.
-const FIRST_READS_MS: f64 = 1_000.0;
-/// The same where entries are there and give nothing, as they may not have it themselves yet.
-const UNGIVEN_READS_MS: f64 = 8_000.0;
-/// Longest pause after reads that failed: hundreds of agents ask at once when no entry can be reached.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const FIRST_READ_SPREAD_MS: f64 = 1_000.0;
+/// Spread of first reads if entries are known but send no records, as they may not have any
+/// themselves yet, in milliseconds.
+const FIRST_READ_SPREAD_WITH_ENTRIES_MS: f64 = 8_000.0;
+/// Maximum backoff after failed reads of the store: hundreds of agents read it at once if no entry
+/// is reachable.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 impl Agent {
-    /// Whether to ask an entry, whose copy of the operator's table goes up to `end`, for its records now:
-    /// a version was named that this agent does not know, or it has not asked for a while.
-    fn wants(&self, switched: &[Switched], end: u64, now: Time) -> bool {
+    /// Returns whether to request records now from an entry whose copy of the operator's table ends
+    /// at `end`: if this agent has no copy or does not know a version that the entry reports, or if
+    /// the entry's copy is newer and a refresh is due.
+    fn needs_records(&self, switched: &[Switched], end: u64, now: Time) -> bool {
         let target = self.target();
         let newer = |it: &Switched| {
             target.as_ref().is_none_or(|own| {
                 rendezvous::hash(own.model.as_bytes()) == it.model && own.number < it.version
             })
         };
-        let unknown = !self.node.loaded(Table::Operator);
-        if unknown || switched.iter().any(newer) {
+        let empty = !self.node.loaded(Table::Operator);
+        if empty || switched.iter().any(newer) {
             return true;
         }
         let mut refresh = self.refresh.get();
@@ -52,42 +57,48 @@
         due
     }
 
-    fn receive_progress(&self, models: &[Switched]) {
-        let mut switched = self.switched.borrow_mut();
+    fn update_progress(&self, models: &[Switched]) {
+        let mut switch_progress = self.switch_progress.borrow_mut();
         for model in models {
             let progress = SwitchProgress {
                 version: model.version,
                 replicas: usize::from(model.replicas),
             };
-            switched.entry(model.model).or_default().update(progress);
+            switch_progress
+                .entry(model.model)
+                .or_default()
+                .update(progress);
         }
     }
 
-    /// Replicas that take requests with a version, as an entry said last.
-    pub fn switched(&self, version: &Version) -> usize {
+    /// Returns the number of replicas that accept requests with a version, as last reported by an
+    /// entry.
+    pub fn switched_replicas(&self, version: &Version) -> usize {
         let model = rendezvous::hash(version.model.as_bytes());
-        let switched = self.switched.borrow();
-        switched
+        let switch_progress = self.switch_progress.borrow();
+        switch_progress
             .get(&model)
             .map_or(0, |it| it.replicas_with(version.number))
     }
 
-    /// Whether it is time to read what the operator writes although no entry has ever given it.
-    fn reads_first(&self, served: bool, now: Time) -> bool {
-        let drawn = self.first_read.get();
-        let drawn = drawn.unwrap_or_else(|| self.node.with_rng(Rng::random));
-        self.first_read.set(Some(drawn));
+    /// Returns whether to read the operator's table from the store although no entry has sent it
+    /// yet. `served` tells whether an entry with access to the store is known.
+    fn first_read_due(&self, served: bool, now: Time) -> bool {
+        let fraction = self.first_read_fraction.get();
+        let fraction = fraction.unwrap_or_else(|| self.node.with_rng(Rng::random));
+        self.first_read_fraction.set(Some(fraction));
         if served {
-            let spread_ms = (drawn * UNGIVEN_READS_MS) as u64;
-            return Time::ZERO.after_ms(LATEST_START_MS + spread_ms) <= now;
+            let spread_ms = (fraction * FIRST_READ_SPREAD_WITH_ENTRIES_MS) as u64;
+            return Time::ZERO.after_ms(LATEST_FIRST_READ_MS + spread_ms) <= now;
         }
-        let spread_ms = (drawn * FIRST_READS_MS) as u64;
-        let begun = self.begun_at.get();
-        let begun = begun.is_some_and(|it| it.after_ms(FIRST_MESSAGE_MS + spread_ms) <= now);
-        begun || Time::ZERO.after_ms(LATEST_START_MS + spread_ms) <= now
+        let spread_ms = (fraction * FIRST_READ_SPREAD_MS) as u64;
+        let first_answer = self.first_answer_at.get();
+        let replica_waited =
+            first_answer.is_some_and(|it| it.after_ms(FIRST_DATAGRAM_MS + spread_ms) <= now);
+        replica_waited || Time::ZERO.after_ms(LATEST_FIRST_READ_MS + spread_ms) <= now
     }
 
-    pub(super) async fn listen(self: Rc<Agent>) {
+    pub(super) async fn receive_datagrams(self: Rc<Agent>) {
         loop {
             let (from, datagram) = self.node.next_datagram().await;
             self.node.detect_stall();
@@ -95,27 +106,32 @@
                 store, switched, ..
             } = datagram.sender
             {
-                let at = self.node.clock.now();
+                let received_at = self.node.clock.now();
                 self.node
                     .note_peer_copies(datagram.ends, datagram.unconfirmed_ms);
-                // What lay in the socket while this process stood still is outdated.
+                // Datagrams that were queued in the socket while this process was paused are
+                // outdated.
                 let current = self.node.datagrams_are_current();
-                let mut new = false;
+                let mut is_new = false;
                 if current {
-                    self.receive_progress(&switched);
+                    self.update_progress(&switched);
                     let near = self.node.near(&datagram.zone);
-                    let sighting = Sighting { at, store, near };
-                    new = self.entries.borrow_mut().insert(from, sighting).is_none();
+                    let entry = KnownEntry {
+                        received_at,
+                        store,
+                        near,
+                    };
+                    is_new = self.entries.borrow_mut().insert(from, entry).is_none();
                 }
                 let end = datagram.ends[Table::Operator as usize];
-                if self.wants(&switched, end, at)
+                if self.needs_records(&switched, end, received_at)
                     && self.node.catch_up_from(from, &datagram.zone, datagram.ends)
                 {
                     let mut refresh = self.refresh.get();
-                    refresh.asked(at);
+                    refresh.asked(received_at);
                     self.refresh.set(refresh);
                 }
-                if new {
+                if is_new {
                     self.report_to([from].into_iter());
                 }
             }
@@ -124,24 +140,27 @@
 }
 
 impl Election for Weak<Agent> {
-    /// An agent reads what the operator writes only while no entry sends it. After a start it gives the
-    /// entries time to: when everything starts at once, the configuration would else go to each agent
-    /// over the links that requests and weights need.
+    /// Returns whether the agent reads a table from the store, which it does only while no entry
+    /// sends it. After a start it waits for entries: if all processes start at once, the store
+    /// would otherwise send the configuration to each agent over the links that requests and
+    /// weights need.
     fn reads(&self, table: Table) -> bool {
         let Some(agent) = self.upgrade() else {
             return false;
         };
         let now = agent.node.clock.now();
-        let serves = |it: &Sighting| it.store == Access::Served && now < it.at.after_ms(SILENCE_MS);
+        let serves = |it: &KnownEntry| {
+            it.store == Access::Served && now < it.received_at.after_ms(SERVED_ENTRY_TIMEOUT_MS)
+        };
         let served = agent.entries.borrow().values().any(serves);
         if agent.node.loaded(table) {
             !served
         } else {
-            agent.reads_first(served, now)
+            agent.first_read_due(served, now)
         }
     }
 
     fn longest_pause(&self) -> Duration {
-        LONGEST_PAUSE
+        MAX_BACKOFF
     }
 }
--- /dev/null
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -0,0 +1,350 @@
+//! Staging and verification of a version's chunks.
+
+use std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration};
+
+use bytes::Bytes;
+use gradeloft_daemon::transport::client::Lane;
+use gradeloft_policy::rendezvous;
+use gradeloft_wire::{
+    frame::{Call, Reply, Table},
+    id::Digest,
+};
+use rand::Rng;
+use slog::{info, warn};
+use tokio::time::timeout;
+
+use super::{Agent, StagedChunks, Version, deploy::DeployError, fetch};
+use crate::logs::Topic;
+
+/// Number of peers that are asked for a manifest if the origin is unreachable.
+const MANIFEST_PEERS: usize = 4;
+/// Number of entries that are asked for the replicas before the store is read.
+const REPLICAS_ATTEMPTS: u32 = 4;
+/// Maximum pause before another entry is asked, in milliseconds; doubles with each attempt.
+const REPLICAS_BACKOFF_MS: u64 = 100;
+/// Timeout of requests for a manifest or for the list of replicas.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time for which readers are asked for a manifest before the origin is asked, in milliseconds:
+/// several times what a reader needs to get the list of members and to read the manifest.
+const READERS_TIMEOUT_MS: u64 = 900;
+/// Time for the origin to send a manifest before other readers are asked for it as well: an idle
+/// origin needs a few milliseconds per reader.
+const ORIGIN_HEAD_START: Duration = Duration::from_millis(80);
+/// Pause before another reader is asked.
+const READER_PAUSE: Duration = Duration::from_millis(50);
+
+/// An agent of the service, which can hold chunks.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct Member {
+    /// Hash of the address of the agent's instance.
+    pub node: u64,
+    /// Address at which the agent answers peers.
+    pub address: SocketAddr,
+    /// Region of the agent's instance.
+    pub region: String,
+}
+
+/// Fetches missing chunks until the whole version is staged, and returns the other agents of the
+/// service.
+pub async fn stage(agent: &Rc<Agent>, version: &Version) -> Result<Vec<u64>, DeployError> {
+    let members = members(agent).await;
+    // Staged chunks that are known to be of another version are not read; only chunks of unknown
+    // version are verified.
+    if select_version(agent, version, &members).await? == StagedVersion::Unknown {
+        verify_chunks(agent, version).await;
+    }
+    let fetched = fetch::run(agent, version, &members).await?;
+    if let Some(log) = agent.node.logs.line(Topic::Weights) {
+        info!(log, "weights staged"; "model" => &version.model, "version" => version.number,
+            "fetched" => fetched, "members" => members.len());
+    }
+    let own = node_hash(agent.replica);
+    let others = members.iter().map(|it| it.node).filter(|it| *it != own);
+    Ok(others.collect())
+}
+
+/// Reads back every staged chunk of a version, and fails unless all are present and match their
+/// digests.
+pub async fn verify(agent: &Rc<Agent>, version: &Version) -> Result<(), String> {
+    verify_chunks(agent, version).await;
+    let chunks = agent.staged_chunks.borrow();
+    let bad = chunks.staged.iter().filter(|it| !**it).count();
+    if 0 < bad || chunks.staged.is_empty() || chunks.version.as_ref() != Some(version) {
+        return Err(format!("{bad} staged chunks are missing or corrupt"));
+    }
+    Ok(())
+}
+
+/// Determines which chunks of the version that the replica serves are still staged, so that they
+/// can be uploaded to other agents.
+pub async fn recover(agent: &Rc<Agent>, version: &Version) -> Result<(), String> {
+    let members = members(agent).await;
+    let before = agent.staged_chunks.borrow().version.clone();
+    let digests = manifest(agent, version, &members).await?;
+    // The deployment of a newer version may have started in the meantime.
+    if agent.staged_chunks.borrow().version != before || agent.target().as_ref() != Some(version) {
+        return Err("another version is being deployed".to_owned());
+    }
+    reset_chunks(agent, version, digests);
+    verify_chunks(agent, version).await;
+    let chunks = agent.staged_chunks.borrow();
+    let held = chunks.staged.iter().filter(|it| **it).count();
+    if let Some(log) = agent.node.logs.line(Topic::Weights) {
+        info!(log, "staged chunks recovered"; "version" => version.number, "held" => held,
+            "pieces" => chunks.staged.len(), "holding" => ?chunks.version);
+    }
+    drop(chunks);
+    agent.chunk_staged.notify_waiters();
+    Ok(())
+}
+
+/// Returns the agents of the service, including this one.
+async fn members(agent: &Rc<Agent>) -> Vec<Member> {
+    update_replicas(agent).await;
+    let settings = agent.node.settings();
+    let decoder = &agent.node.platform.decoder;
+    let records = agent.node.records(Table::Replicas);
+    let listings = records.iter().filter_map(|it| decoder.listing(it).ok());
+    let mut seen = HashSet::from([agent.replica]);
+    let mut members: Vec<Member> = listings
+        .filter(|it| *it.service == *agent.service && seen.insert(it.address))
+        .map(|it| Member {
+            node: node_hash(it.address),
+            address: SocketAddr::new(it.address.ip(), settings.peer_port),
+            region: settings.region(&it.zone).to_owned(),
+        })
+        .collect();
+    members.push(Member {
+        node: node_hash(agent.replica),
+        address: SocketAddr::new(agent.replica.ip(), settings.peer_port),
+        region: settings.region(&settings.zone).to_owned(),
+    });
+    members
+}
+
+/// Updates the copy of the table of replicas from an entry. All agents do so when a version is
+/// named, and if all of them read the store, the transfers of the table would saturate its links.
+/// So an existing copy is used if no entry sends a newer one, and the store is read only if there
+/// is no copy.
+async fn update_replicas(agent: &Agent) {
+    for attempt in 0..REPLICAS_ATTEMPTS {
+        let Some(entry) = agent.random_entry() else {
+            break;
+        };
+        let records = agent.node.ask_records(entry, Table::Replicas);
+        let received = timeout(REQUEST_TIMEOUT, records).await == Ok(true);
+        if agent.node.loaded(Table::Replicas) && (received || 0 < attempt) {
+            return;
+        }
+        let max_pause_ms = REPLICAS_BACKOFF_MS << attempt;
+        let pause = agent.node.with_rng(|it| it.random_range(0..=max_pause_ms));
+        actix_rt::time::sleep(Duration::from_millis(pause)).await;
+    }
+    if !agent.node.loaded(Table::Replicas) {
+        agent.node.read_snapshot(Table::Replicas).await;
+    }
+}
+
+/// Returns the hash of the address of an agent's instance.
+pub fn node_hash(address: SocketAddr) -> u64 {
+    rendezvous::hash(address.ip().to_string().as_bytes())
+}
+
+/// Version of the chunks that are staged when the staging of a version starts.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum StagedVersion {
+    /// Another version.
+    Other,
+    /// Any version, including the one to stage.
+    Unknown,
+}
+
+/// Makes a version the one to be staged, with the digests of its chunks.
+async fn select_version(
+    agent: &Rc<Agent>,
+    version: &Version,
+    members: &[Member],
+) -> Result<StagedVersion, String> {
+    let known = {
+        let chunks = agent.staged_chunks.borrow();
+        chunks.version.as_ref() == Some(version) && !chunks.digests.is_empty()
+    };
+    if known {
+        return Ok(StagedVersion::Unknown);
+    }
+    let digests = manifest(agent, version, members).await?;
+    Ok(match reset_chunks(agent, version, digests) {
+        Some(_) => StagedVersion::Other,
+        None => StagedVersion::Unknown,
+    })
+}
+
+/// Makes a version the one to be staged, with no chunk marked as staged, and returns the previous
+/// version.
+fn reset_chunks(agent: &Agent, version: &Version, digests: Vec<Digest>) -> Option<Version> {
+    let positions = digests.iter().zip(0..).map(|(it, idx)| (*it, idx));
+    let before = agent.staged_chunks.replace(StagedChunks {
+        version: Some(version.clone()),
+        positions: positions.collect(),
+        staged: vec![false; digests.len()],
+        digests,
+    });
+    agent.chunk_staged.notify_waiters();
+    before.version
+}
+
+/// Returns the digests of a version's chunks. Readers get them from the origin, all other agents
+/// from the readers. Other peers are asked too if the origin is unreachable, and the origin if the
+/// readers are.
+async fn manifest(
+    agent: &Agent,
+    version: &Version,
+    members: &[Member],
+) -> Result<Vec<Digest>, String> {
+    let nodes: Vec<u64> = members.iter().map(|it| it.node).collect();
+    let readers = agent.readers(version, &nodes);
+    let is_reader = readers.contains(&node_hash(agent.replica));
+    let readers: Vec<SocketAddr> = members
+        .iter()
+        .filter(|it| readers.contains(&it.node) && it.address.ip() != agent.replica.ip())
+        .map(|it| it.address)
+        .collect();
+    let received = if is_reader {
+        manifest_for_reader(agent, version, &readers).await
+    } else {
+        manifest_from_readers(agent, version, &readers).await
+    };
+    if let Some(digests) = received {
+        return Ok(digests);
+    }
+    let mut last_error = match manifest_from_origin(agent, version).await {
+        Ok(digests) if !digests.is_empty() => return Ok(digests),
+        Ok(_) => "the manifest is empty".to_owned(),
+        Err(error) => error,
+    };
+    let others = members
+        .iter()
+        .filter(|it| it.address.ip() != agent.replica.ip());
+    for member in others.take(MANIFEST_PEERS) {
+        match manifest_from_peer(agent, version, member.address).await {
+            Ok(digests) if !digests.is_empty() => return Ok(digests),
+            Ok(_) => "the manifest is empty".clone_into(&mut last_error),
+            Err(error) => last_error = error,
+        }
+    }
+    Err(format!("failed to get the manifest: {last_error}"))
+}
+
+/// Returns the manifest from the origin or another reader, whichever answers first. If a reader
+/// learns of a version slightly late, chunks already saturate the origin's link, which delays the
+/// origin's answer by a second.
+async fn manifest_for_reader(
+    agent: &Agent,
+    version: &Version,
+    others: &[SocketAddr],
+) -> Option<Vec<Digest>> {
+    let from_others = async {
+        actix_rt::time::sleep(ORIGIN_HEAD_START).await;
+        manifest_from_readers(agent, version, others).await
+    };
+    tokio::select! {
+        Ok(digests) = manifest_from_origin(agent, version) => Some(digests).filter(|it| !it.is_empty()),
+        Some(digests) = from_others => Some(digests),
+        else => None,
+    }
+}
+
+/// Returns the manifest from a reader of the version; `None` if no reader sends it in time.
+async fn manifest_from_readers(
+    agent: &Agent,
+    version: &Version,
+    readers: &[SocketAddr],
+) -> Option<Vec<Digest>> {
+    let until = agent.node.clock.now().after_ms(READERS_TIMEOUT_MS);
+    let first = node_hash(agent.replica) as usize % readers.len().max(1);
+    // Agents start with different readers, to spread the load over them.
+    for address in readers.iter().cycle().skip(first) {
+        if until <= agent.node.clock.now() {
+            break;
+        }
+        if let Ok(digests) = manifest_from_peer(agent, version, *address).await
+            && !digests.is_empty()
+        {
+            return Some(digests);
+        }
+        actix_rt::time::sleep(READER_PAUSE).await;
+    }
+    None
+}
+
+async fn manifest_from_origin(agent: &Agent, version: &Version) -> Result<Vec<Digest>, String> {
+    let address = agent.origin().ok_or("the configuration has no origin")?;
+    let origin = &agent.node.platform.origin;
+    let read = origin.manifest(address, &version.model, version.number);
+    let read = timeout(REQUEST_TIMEOUT, read).await;
+    read.map_err(|_| "the origin did not answer in time")?
+        .map_err(|it| it.to_string())
+}
+
+async fn manifest_from_peer(
+    agent: &Agent,
+    version: &Version,
+    address: SocketAddr,
+) -> Result<Vec<Digest>, String> {
+    let call = Call::Pieces {
+        model: version.model.clone(),
+        version: version.number,
+    };
+    let peer = address.to_string();
+    let asking = agent.node.peers.ask(&peer, Lane::Live, &call);
+    match timeout(REQUEST_TIMEOUT, asking).await {
+        Ok(Ok(Reply::Pieces(digests))) => Ok(digests),
+        other => Err(format!("peer {address}: {}", describe_failure(&other))),
+    }
+}
+
+fn describe_failure<T, E: std::fmt::Debug, F>(answer: &Result<Result<T, E>, F>) -> String {
+    match answer {
+        Ok(Ok(_)) => "the manifest is not available".to_owned(),
+        Ok(Err(fault)) => format!("{fault:?}"),
+        Err(_) => "no answer in time".to_owned(),
+    }
+}
+
+/// Reads back all staged chunks, and marks those that match their digests. Stops if another version
+/// is selected in the meantime, as the marks do not apply to its chunks.
+async fn verify_chunks(agent: &Agent, version: &Version) {
+    let staged = agent.engine.staged(&version.model).await;
+    let staged = match staged {
+        Ok(staged) => staged,
+        Err(fault) => {
+            if let Some(log) = agent.node.logs.line(Topic::Weights) {
+                warn!(log, "failed to list staged chunks"; "fault" => %fault);
+            }
+            Vec::new()
+        }
+    };
+    let digests = agent.staged_chunks.borrow().digests.clone();
+    for (digest, idx) in digests.iter().zip(0..) {
+        let good = staged.contains(&idx) && read_back(agent, version, idx, *digest).await.is_some();
+        let mut chunks = agent.staged_chunks.borrow_mut();
+        if chunks.version.as_ref() != Some(version) {
+            return;
+        }
+        if let Some(is_staged) = chunks.staged.get_mut(idx as usize) {
+            *is_staged = good;
+        }
+    }
+}
+
+/// Returns the content of a staged chunk, if it matches its digest.
+pub async fn read_back(
+    agent: &Agent,
+    version: &Version,
+    idx: u32,
+    digest: Digest,
+) -> Option<Bytes> {
+    let content = agent.engine.piece(&version.model, idx).await.ok()?;
+    let good = agent.node.platform.origin.digest(&content) == digest;
+    good.then_some(content)
+}
--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -1,4 +1,4 @@
-//! Agents that bring weights to the replicas beside them.
+//! Tests of agents, which deploy weights to replicas.
 
 mod support;
 
@@ -19,19 +19,20 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use support::{
-    FakeEngine, FakeOrigin, PATIENCE, PIECES, World, address, content, run, start_agent,
+    CHUNKS, FakeEngine, FakeOrigin, TEST_TIMEOUT, World, address, chunk_content, run, start_agent,
     start_agent_with,
 };
 
 #[test]
-fn empty_replicas_are_filled_and_the_origin_sends_little_more_than_one_copy() {
+fn empty_replicas_get_weights_with_little_more_than_one_copy_per_version_from_origin() {
     run(async {
         let world = World::start(5, |_, _| {}).await;
-        world.all_at(1).await;
-        world.name(2);
-        world.all_at(2).await;
-        let copies = world.origin.pieces.get() as f64 / f64::from(PIECES);
-        // Two versions, each read once but for agents that did not hear of each other in time.
+        world.wait_for_version(1).await;
+        world.name_version(2);
+        world.wait_for_version(2).await;
+        let copies = world.origin.chunk_requests.get() as f64 / f64::from(CHUNKS);
+        // Each of the two versions is read once, plus chunks read by agents that did not know of
+        // each other in time.
         assert!(
             (2.0..4.0).contains(&copies),
             "{copies} copies for 2 versions of 5 replicas"
@@ -40,66 +41,66 @@
 }
 
 #[test]
-fn agents_read_from_the_origin_within_its_connections() {
+fn concurrent_origin_reads_respect_connection_limit() {
     run(async {
         let world = World::start(8, |_, _| {}).await;
-        world.all_at(1).await;
-        let most = world.origin.most_reading.get();
-        // Two readers, with two pieces each.
-        assert!(most <= 4, "{most} pieces at once");
+        world.wait_for_version(1).await;
+        let max_reads = world.origin.max_concurrent_reads.get();
+        // The limit allows two readers, here with two chunks each.
+        assert!(max_reads <= 4, "{max_reads} chunks at once");
     });
 }
 
 #[test]
-fn pieces_that_turn_bad_after_staging_are_never_loaded() {
+fn chunks_that_become_corrupt_after_staging_are_not_loaded() {
     run(async {
-        let rot = |_: &FakeOrigin, engines: &[Rc<FakeEngine>]| engines[1].rot.set(4);
-        let world = World::start(3, rot).await;
-        world.all_at(1).await;
+        let prepare = |_: &FakeOrigin, engines: &[Rc<FakeEngine>]| engines[1].corrupt_next.set(4);
+        let world = World::start(3, prepare).await;
+        world.wait_for_version(1).await;
     });
 }
 
 #[test]
-fn a_version_that_is_superseded_while_a_staged_piece_is_bad_is_brought_all_the_same() {
+fn version_superseded_while_a_staged_chunk_is_corrupt_is_still_loaded() {
     run(async {
         let world = World::start(3, |_, _| {}).await;
-        world.all_at(1).await;
-        world.engines[1].rot.set(2);
-        world.name(2);
+        world.wait_for_version(1).await;
+        world.engines[1].corrupt_next.set(2);
+        world.name_version(2);
         let staged = |engine: &FakeEngine| {
             let staged = engine.staged.borrow();
-            (0..PIECES).all(|it| staged.get(&it) != Some(&content(1, it)))
+            (0..CHUNKS).all(|it| staged.get(&it) != Some(&chunk_content(1, it)))
         };
-        world.all(staged).await;
+        world.wait_for_all(staged).await;
         world.origin.down.set(true);
-        world.name(3);
+        world.name_version(3);
         let ordered = |engine: &FakeEngine| engine.orders.borrow().iter().any(|it| it.0 == 2);
-        world.all(ordered).await;
-        assert!(world.engines.iter().all(|it| !it.spoilt.get()));
+        world.wait_for_all(ordered).await;
+        assert!(world.engines.iter().all(|it| !it.loaded_corrupt.get()));
     });
 }
 
 #[test]
-fn spoilt_pieces_of_the_origin_are_read_again() {
+fn corrupt_chunks_from_origin_are_read_again() {
     run(async {
-        let world = World::start(2, |origin, _| origin.spoil.set(3)).await;
-        world.all_at(1).await;
+        let world = World::start(2, |origin, _| origin.corrupt_next.set(3)).await;
+        world.wait_for_version(1).await;
     });
 }
 
 #[test]
-fn an_origin_that_was_down_is_read_once_it_is_back() {
+fn agents_read_from_origin_once_it_is_reachable_again() {
     run(async {
         let world = World::start(3, |origin, _| origin.down.set(true)).await;
         actix_rt::time::sleep(Duration::from_millis(300)).await;
         assert!(world.engines.iter().all(|it| it.orders.borrow().is_empty()));
         world.origin.down.set(false);
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
     });
 }
 
-/// An instance on which a process takes connections and answers nothing.
-async fn silent_peer(last: u8, connections: Rc<Cell<usize>>) {
+/// Starts a peer that accepts connections and never answers.
+async fn unresponsive_peer(last: u8, connections: Rc<Cell<usize>>) {
     let listener = TcpListener::bind((address(last), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         let mut open = Vec::new();
@@ -111,27 +112,27 @@
 }
 
 #[test]
-fn the_manifest_is_read_at_the_origin_before_any_peer_is_waited_for() {
+fn manifest_is_read_from_origin_without_waiting_for_peers() {
     run(async {
         let tables = Rc::new(Tables::default());
         let origin = Rc::new(FakeOrigin::default());
         let engine = Rc::new(FakeEngine::default());
-        silent_peer(2, Rc::clone(&origin.peer_connections)).await;
+        unresponsive_peer(2, Rc::clone(&origin.peer_connections)).await;
         tables.write(Table::Replicas, "1", Some("-"));
         tables.write(Table::Replicas, "2", Some("-"));
         tables.write(Table::Operator, "config", Some("-"));
         let _agent = start_agent(1, &tables, &origin, &engine).await;
-        while origin.manifests.get() == 0 {
+        while origin.manifest_requests.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(origin.connections_before.get(), 0);
+        assert_eq!(origin.peer_connections_before.get(), 0);
     });
 }
 
-/// Tells an agent again and again that an entry is here, and collects what it says of its replica.
-async fn hear(last: u8, agent: u8, store: Access, heard: Rc<RefCell<Vec<Sender>>>) {
+/// Starts an entry that sends datagrams to an agent, and collects the agent's reports.
+async fn fake_entry(last: u8, agent: u8, store: Access, reports: Rc<RefCell<Vec<Sender>>>) {
     let socket = Rc::new(UdpSocket::bind((address(last), 7700)).await.unwrap());
-    let telling = Rc::clone(&socket);
+    let sending = Rc::clone(&socket);
     actix_rt::spawn(async move {
         let datagram = Datagram {
             incarnation: 1,
@@ -149,7 +150,7 @@
         };
         let bytes = codec::body(&datagram);
         loop {
-            telling.send_to(&bytes, (address(agent), 7700)).await.ok();
+            sending.send_to(&bytes, (address(agent), 7700)).await.ok();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
     });
@@ -157,75 +158,78 @@
         let mut buffer = [0; MAX_BYTES];
         while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
             let datagram: Datagram = codec::parse(&buffer[..length]).unwrap();
-            heard.borrow_mut().push(datagram.sender);
+            reports.borrow_mut().push(datagram.sender);
         }
     });
 }
 
-/// On a large fleet replicas made tokens of a version with weights of the one before. Their agents had been killed
-/// 0.2 s before the version was named: after the start they began to adopt what lay staged, of the version before,
-/// and were still waiting for its manifest when they began to bring the new one. The late manifest then took the
-/// place of the new one's, by which pieces were fetched and checked before the order (log of one of them: adopted 48
-/// of version 1, staged 48 of version 2, ordered 2; and right after, 8 of 48 pieces were of version 2).
+/// Guards against replicas that serve weights of the previous version under the number of the new
+/// one. An agent that restarts 0.2 s before a version is named determines which chunks of the
+/// previous version are staged, and may still wait for its manifest when the deployment of the new
+/// version starts. If the late manifest replaces that of the new version, chunks are fetched and
+/// verified against the wrong digests: the replica then loads, for example, 8 of 48 chunks of the
+/// new version and the rest of the previous one.
 #[test]
-fn a_manifest_that_comes_late_does_not_replace_that_of_the_version_that_is_brought() {
+fn late_manifest_does_not_replace_manifest_of_version_being_deployed() {
     run(async {
         let prepare = |origin: &FakeOrigin, engines: &[Rc<FakeEngine>]| {
-            origin.withheld.set(Some(1));
-            for idx in 0..PIECES {
-                engines[0].put(idx, content(1, idx));
+            origin.withheld_manifest.set(Some(1));
+            for idx in 0..CHUNKS {
+                engines[0].put(idx, chunk_content(1, idx));
             }
             engines[0].version.set(Some(1));
             engines[0].slow_reads.set(true);
         };
         let world = World::start(1, prepare).await;
-        // It adopts what lies staged.
-        while world.origin.manifests.get() == 0 {
+        // Wait until the agent requests the manifest to recover the staged chunks.
+        while world.origin.manifest_requests.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.name(2);
-        while world.origin.manifests.get() < 2 {
+        world.name_version(2);
+        while world.origin.manifest_requests.get() < 2 {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        let held = || {
-            let holding = world.agents[0].agent().holding.borrow();
-            holding.version.as_ref().map(|it| it.number)
+        let staged_version = || {
+            let staged_chunks = world.agents[0].agent().staged_chunks.borrow();
+            staged_chunks.version.as_ref().map(|it| it.number)
         };
-        while held() != Some(2) {
+        while staged_version() != Some(2) {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.origin.withheld.set(None);
+        world.origin.withheld_manifest.set(None);
         let engine = &world.engines[0];
         while engine.version.get() != Some(2) {
-            assert_eq!(held(), Some(2));
+            assert_eq!(staged_version(), Some(2));
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.all_at(2).await;
+        world.wait_for_version(2).await;
         let staged = engine.staged.borrow();
-        assert!((0..PIECES).all(|it| staged.get(&it) == Some(&content(2, it))));
+        assert!((0..CHUNKS).all(|it| staged.get(&it) == Some(&chunk_content(2, it))));
     });
 }
 
-/// A version that was half in the fleet when a newer one was named is finished. A piece that the replica did not take
-/// at that moment was not handed over again, counted as fetched, and the look before the order passed over what had
-/// never been there.
+/// A version that is half available in the fleet when a newer one is named is finished. Guards
+/// against a load without a chunk that the replica refused to stage at that moment: it counts as
+/// fetched but must be staged again, and the check before the order must also find chunks that were
+/// never staged.
 #[test]
-fn a_superseded_version_that_is_finished_is_ordered_with_every_piece() {
+fn superseded_version_that_is_finished_is_loaded_with_every_chunk() {
     run(async {
         let world = World::start(1, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         let engine = &world.engines[0];
-        engine.refused.set(Some(5));
-        world.name(2);
-        let others = || {
+        engine.refused_chunk.set(Some(5));
+        world.name_version(2);
+        let others_staged = || {
             let staged = engine.staged.borrow();
-            let of_two = (0..PIECES).filter(|it| staged.get(it) == Some(&content(2, *it)));
-            of_two.count() as u32 == PIECES - 1
+            let second_version =
+                (0..CHUNKS).filter(|it| staged.get(it) == Some(&chunk_content(2, *it)));
+            second_version.count() as u32 == CHUNKS - 1
         };
-        while !others() || engine.refusals.get() == 0 {
+        while !others_staged() || engine.refusals.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        world.name(3);
+        world.name_version(3);
         while world.agents[0].agent().target().unwrap().number != 3 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
@@ -234,33 +238,33 @@
         while engine.refusals.get() < before + 3 && !ordered() {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        engine.refused.set(None);
-        world.all_at(3).await;
-        assert!(!engine.spoilt.get());
+        engine.refused_chunk.set(None);
+        world.wait_for_version(3).await;
+        assert!(!engine.loaded_corrupt.get());
     });
 }
 
 #[test]
-fn a_replica_stays_closed_after_an_order_for_a_version_that_is_superseded_already() {
+fn replica_stays_closed_after_loading_a_superseded_version() {
     run(async {
         let world = World::start(1, |_, _| {}).await;
-        let heard = Rc::new(RefCell::new(Vec::new()));
-        // The agent reads for itself what the operator writes.
-        hear(9, 1, Access::Unserved, Rc::clone(&heard)).await;
-        world.all_at(1).await;
+        let reports = Rc::new(RefCell::new(Vec::new()));
+        // The entry has no access to the store, so the agent reads the store itself.
+        fake_entry(9, 1, Access::Unserved, Rc::clone(&reports)).await;
+        world.wait_for_version(1).await;
         let engine = &world.engines[0];
-        engine.slow.set(true);
-        world.name(2);
+        engine.hold_loads.set(true);
+        world.name_version(2);
         let ordered = |version| engine.orders.borrow().iter().any(|it| it.0 == version);
         while !ordered(2) {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        world.name(3);
+        world.name_version(3);
         let target = || world.agents[0].agent().target().unwrap().number;
         while target() != 3 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        engine.finish();
+        engine.finish_load();
         while !ordered(3) {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
@@ -270,18 +274,18 @@
             };
             engine.is_some_and(|it| it.version == Some(2) && !it.loading)
         };
-        assert!(!heard.borrow().iter().any(open), "{:?}", heard.borrow());
-        engine.finish();
-        world.all_at(3).await;
+        assert!(!reports.borrow().iter().any(open), "{:?}", reports.borrow());
+        engine.finish_load();
+        world.wait_for_version(3).await;
     });
 }
 
-/// Tells every agent again and again how many engines hold a version, as an entry does that sees them.
-async fn tell_progress(last: u8, version: u64, engines: Vec<Rc<FakeEngine>>) {
+/// Starts an entry that sends every agent the number of engines with a version.
+async fn send_progress(last: u8, version: u64, engines: Vec<Rc<FakeEngine>>) {
     let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         loop {
-            let done = engines
+            let switched = engines
                 .iter()
                 .filter(|it| it.version.get() == Some(version));
             let datagram = Datagram {
@@ -298,7 +302,7 @@
                     switched: vec![Switched {
                         model: rendezvous::hash(b"w"),
                         version,
-                        replicas: done.count() as u16,
+                        replicas: switched.count() as u16,
                     }],
                 },
             };
@@ -311,39 +315,39 @@
     });
 }
 
-/// Users saw requests begin on older weights after their time: the last replicas changed over late. Each
-/// wave of replicas waits until most of those before it are back, or until a fixed part of the version's
-/// time has passed. Every order of the waves after the first fell on just those parts: an agent kept the
-/// first count that it heard of a version, which is none, however many entries told later.
+/// Guards against the last replicas switching too late, so that requests begin on outdated weights.
+/// A wave waits until most replicas of earlier waves serve again, or until a fixed fraction of the
+/// version's rollout time has passed. If an agent keeps the first count that is reported for a
+/// version, which is 0, every wave waits for its fixed time.
 #[test]
-fn a_wave_goes_on_as_soon_as_entries_say_that_those_before_it_are_back() {
+fn wave_starts_as_soon_as_entries_report_that_earlier_waves_serve() {
     run(async {
         let world = World::start(8, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         for agent in &world.agents {
             let node = &agent.agent().node;
             let before = node.settings();
-            // So long that no wave begins because its time has come.
+            // Long enough that no wave starts because its fixed time has passed.
             *node.settings.borrow_mut() = Rc::new(Settings {
-                version_ms: 10 * PATIENCE.as_millis() as u64,
+                version_ms: 10 * TEST_TIMEOUT.as_millis() as u64,
                 ..(*before).clone()
             });
         }
-        tell_progress(9, 2, world.engines.clone()).await;
-        world.name(2);
-        world.all_at(2).await;
+        send_progress(9, 2, world.engines.clone()).await;
+        world.name_version(2);
+        world.wait_for_version(2).await;
     });
 }
 
 #[test]
-fn versions_only_move_up_and_each_order_has_its_fence() {
+fn version_numbers_only_increase_and_each_order_has_its_fence() {
     run(async {
         let world = World::start(2, |_, _| {}).await;
-        // Both follow the table from here on, so both read the two records in order.
-        world.all_at(1).await;
-        world.name(3);
-        world.name(2);
-        world.all_at(3).await;
+        // Both agents follow the table from here on, so both read the two records in order.
+        world.wait_for_version(1).await;
+        world.name_version(3);
+        world.name_version(2);
+        world.wait_for_version(3).await;
         for engine in &world.engines {
             let orders = engine.orders.borrow();
             assert!(orders.is_sorted(), "{orders:?}");
@@ -352,42 +356,43 @@
     });
 }
 
-/// A replica ended each time it loaded a version, and was ordered to again as soon as it was back. Cause: the agent
-/// kept no count of what became of its orders. Evidence: an order in each start of the replica, 0.4 s apart.
+/// Guards against a crash loop: a replica that exits whenever it loads a version must not be
+/// ordered to load it as soon as it is back. An agent that does not count failed orders repeats the
+/// order at each restart, every 0.4 s.
 #[test]
-fn a_version_that_ends_its_replica_is_not_ordered_on_and_on() {
+fn version_that_crashes_its_replica_is_retried_with_backoff() {
     run(async {
         let world = World::start(1, |_, engines| engines[0].born.set(Some(1_000))).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         let engine = &world.engines[0];
-        engine.fatal.set(Some(2));
-        world.name(2);
+        engine.fatal_version.set(Some(2));
+        world.name_version(2);
         let orders = || {
             let orders = engine.orders.borrow();
             orders.iter().filter(|it| it.0 == 2).count()
         };
-        world.all(|_| orders() == 3).await;
-        // Time for several orders more, and less than the pause before the next.
+        world.wait_for_all(|_| orders() == 3).await;
+        // Enough time for several further orders, but less than the backoff.
         actix_rt::time::sleep(Duration::from_secs(2)).await;
         assert_eq!(orders(), 3);
-        world.name(3);
-        world.all_at(3).await;
-        assert_eq!(orders(), 3, "a newer version is waited for no longer");
+        world.name_version(3);
+        world.wait_for_version(3).await;
+        assert_eq!(orders(), 3, "a newer version must end the retries");
     });
 }
 
 #[test]
-fn an_agent_that_no_entry_answers_reads_the_store_itself() {
+fn agent_reads_the_store_itself_if_no_entry_answers() {
     run(async {
-        // An entry of another region says that it knows more, and answers no calls.
-        hear(9, 1, Access::Served, Rc::default()).await;
+        // An entry of another region reports newer records, and answers no calls.
+        fake_entry(9, 1, Access::Served, Rc::default()).await;
         let world = World::start(1, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
     });
 }
 
-/// What an entry sends that serves nobody and says nothing else.
-fn message(store: Access) -> Vec<u8> {
+/// Returns a datagram from an entry without load, with the given access to the store.
+fn entry_datagram(store: Access) -> Vec<u8> {
     codec::body(&Datagram {
         incarnation: 1,
         zone: "z".to_owned(),
@@ -404,16 +409,16 @@
     })
 }
 
-/// Hundreds of entries were heard for the first time, or once more after a loss, and each time the agent reported to all
-/// of them: the reports of a fleet's agents grew with the square of its entries and filled the links between regions,
-/// over which nothing else came through.
+/// If an agent reports to all entries whenever it gets the first datagram of one, or one again
+/// after losses, the reports grow with the square of the number of entries. With hundreds of
+/// entries they saturate the links between regions.
 #[test]
-fn an_entry_that_speaks_for_the_first_time_gets_a_report_and_the_others_none() {
+fn first_datagram_of_an_entry_causes_a_report_to_that_entry_only() {
     run(async {
         let received = Rc::default();
-        hear(30, 1, Access::Unserved, Rc::clone(&received)).await;
+        fake_entry(30, 1, Access::Unserved, Rc::clone(&received)).await;
         let world = World::start(1, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         let reports = || received.borrow().len();
         while reports() < 2 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
@@ -422,8 +427,8 @@
         let newcomers = 20;
         for last in 40..40 + newcomers {
             let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
-            let sent = message(Access::Unserved);
-            socket.send_to(&sent, (address(1), 7700)).await.unwrap();
+            let datagram = entry_datagram(Access::Unserved);
+            socket.send_to(&datagram, (address(1), 7700)).await.unwrap();
             let mut buffer = [0; MAX_BYTES];
             let (length, _) = socket.recv_from(&mut buffer).await.unwrap();
             let report: Datagram = codec::parse(&buffer[..length]).unwrap();
@@ -434,9 +439,10 @@
     });
 }
 
-/// At a start no entry knows of the replicas, and so none sends to their agents: these read the store by hundreds.
+/// When everything starts, no entry knows any replica, so no entry sends datagrams to agents.
+/// Agents that don't report to the seeds then read the store, by the hundreds.
 #[test]
-fn an_agent_that_starts_makes_itself_known_to_the_seeds_and_leaves_the_store_to_them() {
+fn starting_agent_reports_to_seeds_and_does_not_read_the_store() {
     run(async {
         let tables = Rc::new(Tables::default());
         let seed = UdpSocket::bind((address(9), 7700)).await.unwrap();
@@ -444,26 +450,29 @@
         let (origin, engine) = (Rc::default(), Rc::default());
         let _agent = start_agent_with(1, seeds, &tables, &origin, &engine).await;
         let mut buffer = [0; MAX_BYTES];
-        // It goes on to do so while the seed answers.
+        // The agent continues to report while the seed answers.
         for _ in 0..3 {
             let (length, from) = seed.recv_from(&mut buffer).await.unwrap();
             let report: Datagram = codec::parse(&buffer[..length]).unwrap();
             assert!(matches!(report.sender, Sender::Agent { .. }));
-            seed.send_to(&message(Access::Served), from).await.unwrap();
+            seed.send_to(&entry_datagram(Access::Served), from)
+                .await
+                .unwrap();
         }
         assert_eq!(tables.snapshots(Table::Operator), 0);
     });
 }
 
-/// When a version was named, each agent whose entry did not list the replicas at once read all of them from the store:
-/// at hundreds of agents the table filled the links to it for seconds.
+/// If each agent whose entry does not send the replicas at once reads them from the store when a
+/// version is named, then with hundreds of agents the transfers of the table saturate the store's
+/// links for seconds.
 #[test]
-fn a_copy_of_the_replicas_that_is_there_is_good_enough_when_no_entry_gives_a_newer_one() {
+fn existing_copy_of_replicas_is_used_if_no_entry_sends_a_newer_one() {
     run(async {
         let world = World::start(3, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         for (agent, last) in (1..=3).zip(30..) {
-            hear(last, agent, Access::Unserved, Rc::default()).await;
+            fake_entry(last, agent, Access::Unserved, Rc::default()).await;
         }
         for agent in &world.agents {
             while agent.agent().entries().is_empty() {
@@ -471,28 +480,31 @@
             }
         }
         let before = world.tables.snapshots(Table::Replicas);
-        world.name(2);
-        world.all_at(2).await;
+        world.name_version(2);
+        world.wait_for_version(2).await;
         assert_eq!(world.tables.snapshots(Table::Replicas), before);
     });
 }
 
 #[test]
-fn the_time_of_a_version_that_an_agent_reads_late_counts_from_before_the_interruption() {
+fn version_read_late_counts_as_named_before_the_store_outage() {
     run(async {
         let world = World::start(1, |_, _| {}).await;
-        world.all_at(1).await;
+        world.wait_for_version(1).await;
         let agent = world.agents[0].agent();
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
         while agent.node.access() == Access::Served {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        let away = agent.node.clock.now();
-        world.name(2);
+        let outage_start = agent.node.clock.now();
+        world.name_version(2);
         world.tables.mood.set(Mood::Well);
-        world.all_at(2).await;
+        world.wait_for_version(2).await;
         let named = agent.named_at(&agent.target().unwrap());
-        assert!(named <= away, "{named:?}, away at {away:?}");
+        assert!(
+            named <= outage_start,
+            "{named:?}, outage at {outage_start:?}"
+        );
     });
 }
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -1,4 +1,4 @@
-//! Agents beside engines in memory, before an origin and a platform in memory.
+//! Agents with in-memory engines, an in-memory origin and an in-memory platform.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,12 +29,12 @@
 use gradeloft_standin::tables::Tables;
 use gradeloft_wire::{frame::Table, id::Digest};
 
-pub(crate) const PIECES: u32 = 12;
-pub(crate) const PIECE_BYTES: usize = 4_096;
-/// Enough for two readers.
+pub(crate) const CHUNKS: u32 = 12;
+pub(crate) const CHUNK_BYTES: usize = 4_096;
+/// Number of connections that the origin accepts: enough for two readers.
 pub(crate) const ORIGIN_CONNECTIONS: u32 = 8;
-/// A bound on every wait of a test; none comes near it unless something is wrong.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of a test. Passing tests take much less time.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn address(last: u8) -> Ipv4Addr {
     let pid = std::process::id();
@@ -45,44 +45,46 @@
     SocketAddr::from((address(last), 8001))
 }
 
-pub(crate) fn content(version: u64, idx: u32) -> Bytes {
-    Bytes::from(vec![(version * 31 + u64::from(idx)) as u8; PIECE_BYTES])
+pub(crate) fn chunk_content(version: u64, idx: u32) -> Bytes {
+    Bytes::from(vec![(version * 31 + u64::from(idx)) as u8; CHUNK_BYTES])
 }
 
-/// An engine in memory, which checks what it loads as a real one would not.
+/// An in-memory engine that, unlike a real one, verifies the chunks that it loads.
 #[derive(Default)]
 pub(crate) struct FakeEngine {
     pub(crate) staged: RefCell<BTreeMap<u32, Bytes>>,
     pub(crate) version: Cell<Option<u64>>,
+    /// Versions and fences of the accepted orders.
     pub(crate) orders: RefCell<Vec<(u64, u64)>>,
-    /// Set once it has loaded anything but whole, unmixed weights.
-    pub(crate) spoilt: Cell<bool>,
-    /// So many next pieces turn bad after they were staged.
-    pub(crate) rot: Cell<u32>,
-    /// Whether loading goes on until [`FakeEngine::finish`].
-    pub(crate) slow: Cell<bool>,
-    /// Whether it takes time to read a piece back.
+    /// Set once the engine loads anything but the complete chunks of one version.
+    pub(crate) loaded_corrupt: Cell<bool>,
+    /// Number of next chunks that become corrupt after they were staged.
+    pub(crate) corrupt_next: Cell<u32>,
+    /// Whether a load continues until [`FakeEngine::finish_load`] is called.
+    pub(crate) hold_loads: Cell<bool>,
+    /// Whether reading back a chunk takes time.
     pub(crate) slow_reads: Cell<bool>,
-    /// Refuses to stage this piece, and counts how often.
-    pub(crate) refused: Cell<Option<u32>>,
+    /// Position of a chunk that the engine refuses to stage.
+    pub(crate) refused_chunk: Cell<Option<u32>>,
+    /// Number of refusals to stage that chunk.
     pub(crate) refusals: Cell<u32>,
-    /// When this start of it began.
+    /// Time at which the current process of the engine started.
     pub(crate) born: Cell<Option<u64>>,
-    /// Version whose weights end it when it is to load them.
-    pub(crate) fatal: Cell<Option<u64>>,
+    /// Version that makes the engine exit and restart when it is ordered to load it.
+    pub(crate) fatal_version: Cell<Option<u64>>,
 }
 
 impl FakeEngine {
     pub(crate) fn put(&self, idx: u32, mut content: Bytes) {
-        if 0 < self.rot.get() {
-            self.rot.set(self.rot.get() - 1);
+        if 0 < self.corrupt_next.get() {
+            self.corrupt_next.set(self.corrupt_next.get() - 1);
             content = Bytes::from_static(b"rotten");
         }
         self.staged.borrow_mut().insert(idx, content);
     }
 
-    /// Ends the loading that was ordered last.
-    pub(crate) fn finish(&self) {
+    /// Finishes the load that was ordered last.
+    pub(crate) fn finish_load(&self) {
         let ordered = self.orders.borrow().last().map(|it| it.0);
         self.version.set(ordered);
     }
@@ -116,7 +118,7 @@
     }
 
     fn stage<'a>(&'a self, _: &'a str, idx: u32, content: Bytes) -> Answer<'a, ()> {
-        if self.refused.get() == Some(idx) {
+        if self.refused_chunk.get() == Some(idx) {
             self.refusals.set(self.refusals.get() + 1);
             return Box::pin(async { Err(Fault::Unreachable) });
         }
@@ -126,14 +128,15 @@
 
     fn load<'a>(&'a self, load: Load<'a>) -> Answer<'a, Taken> {
         self.orders.borrow_mut().push((load.version, load.fence));
-        let whole =
-            (0..PIECES).all(|it| self.staged.borrow().get(&it) == Some(&content(load.version, it)));
-        self.spoilt.set(self.spoilt.get() || !whole);
-        if self.fatal.get() == Some(load.version) {
+        let complete = (0..CHUNKS)
+            .all(|it| self.staged.borrow().get(&it) == Some(&chunk_content(load.version, it)));
+        self.loaded_corrupt
+            .set(self.loaded_corrupt.get() || !complete);
+        if self.fatal_version.get() == Some(load.version) {
             self.born.set(self.born.get().map(|it| it + 1));
             self.version.set(None);
-        } else if !self.slow.get() {
-            self.finish();
+        } else if !self.hold_loads.get() {
+            self.finish_load();
         }
         Box::pin(async { Ok(Taken::Started) })
     }
@@ -141,36 +144,45 @@
 
 #[derive(Default)]
 pub(crate) struct FakeOrigin {
-    pub(crate) pieces: Cell<u64>,
-    pub(crate) manifests: Cell<u64>,
-    /// Connections that a silent peer had when the first manifest was asked for.
+    /// Number of requests for chunks.
+    pub(crate) chunk_requests: Cell<u64>,
+    /// Number of requests for manifest_requests.
+    pub(crate) manifest_requests: Cell<u64>,
+    /// Number of connections to an unresponsive peer.
     pub(crate) peer_connections: Rc<Cell<usize>>,
-    pub(crate) connections_before: Cell<usize>,
-    /// Pieces that are being read now, and most that were at once.
-    pub(crate) reading: Cell<u32>,
-    pub(crate) most_reading: Cell<u32>,
-    /// Answers nothing while set.
+    /// Number of connections to that peer at the first request for a manifest.
+    pub(crate) peer_connections_before: Cell<usize>,
+    /// Number of chunks that are being read.
+    pub(crate) concurrent_reads: Cell<u32>,
+    /// Maximum number of chunks that were read at once.
+    pub(crate) max_concurrent_reads: Cell<u32>,
+    /// Whether the origin is unreachable.
     pub(crate) down: Cell<bool>,
-    /// Withholds the manifest of this version.
-    pub(crate) withheld: Cell<Option<u64>>,
-    /// So many next pieces are spoilt.
-    pub(crate) spoil: Cell<u32>,
+    /// Version whose manifest is not sent.
+    pub(crate) withheld_manifest: Cell<Option<u64>>,
+    /// Number of next chunks that are sent corrupt.
+    pub(crate) corrupt_next: Cell<u32>,
 }
 
 impl Origin for FakeOrigin {
     fn manifest<'a>(&'a self, _: SocketAddr, _: &'a str, version: u64) -> Answer<'a, Vec<Digest>> {
         Box::pin(async move {
-            if self.manifests.replace(self.manifests.get() + 1) == 0 {
-                self.connections_before.set(self.peer_connections.get());
+            if self
+                .manifest_requests
+                .replace(self.manifest_requests.get() + 1)
+                == 0
+            {
+                self.peer_connections_before
+                    .set(self.peer_connections.get());
             }
             if self.down.get() {
                 return Err(Fault::Unreachable);
             }
-            while self.withheld.get() == Some(version) {
+            while self.withheld_manifest.get() == Some(version) {
                 actix_rt::time::sleep(Duration::from_millis(3)).await;
             }
-            Ok((0..PIECES)
-                .map(|it| Digest::of(&content(version, it)))
+            Ok((0..CHUNKS)
+                .map(|it| Digest::of(&chunk_content(version, it)))
                 .collect())
         })
     }
@@ -180,17 +192,20 @@
             if self.down.get() {
                 return Err(Fault::Unreachable);
             }
-            self.pieces.set(self.pieces.get() + 1);
-            self.reading.set(self.reading.get() + 1);
-            self.most_reading
-                .set(self.most_reading.get().max(self.reading.get()));
+            self.chunk_requests.set(self.chunk_requests.get() + 1);
+            self.concurrent_reads.set(self.concurrent_reads.get() + 1);
+            self.max_concurrent_reads.set(
+                self.max_concurrent_reads
+                    .get()
+                    .max(self.concurrent_reads.get()),
+            );
             actix_rt::time::sleep(Duration::from_millis(3)).await;
-            self.reading.set(self.reading.get() - 1);
-            if 0 < self.spoil.get() {
-                self.spoil.set(self.spoil.get() - 1);
+            self.concurrent_reads.set(self.concurrent_reads.get() - 1);
+            if 0 < self.corrupt_next.get() {
+                self.corrupt_next.set(self.corrupt_next.get() - 1);
                 return Ok(Bytes::from_static(b"spoilt"));
             }
-            Ok(content(version, idx))
+            Ok(chunk_content(version, idx))
         })
     }
 
@@ -259,8 +274,8 @@
         warmup: None,
         layout: Some(Layout {
             layers: 4,
-            pieces: PIECES,
-            piece_bytes: PIECE_BYTES as u32,
+            pieces: CHUNKS,
+            piece_bytes: CHUNK_BYTES as u32,
         }),
         models: if origin.is_none() {
             vec!["w".to_owned()]
@@ -306,7 +321,7 @@
 }
 
 impl World {
-    /// Agents beside `count` empty replicas, of which each knows all.
+    /// Starts agents of `count` empty replicas, all of which are in the table of replicas.
     pub(crate) async fn start(
         count: u8,
         prepare: impl Fn(&FakeOrigin, &[Rc<FakeEngine>]),
@@ -331,20 +346,24 @@
         }
     }
 
-    pub(crate) fn name(&self, version: u64) {
+    /// Names a version as the operator does.
+    pub(crate) fn name_version(&self, version: u64) {
         self.tables
             .write(Table::Operator, "version/w", Some(&version.to_string()));
     }
 
-    pub(crate) async fn all(&self, holds: impl Fn(&FakeEngine) -> bool) {
-        while !self.engines.iter().all(|it| holds(it)) {
+    /// Waits until all engines meet a condition.
+    pub(crate) async fn wait_for_all(&self, condition: impl Fn(&FakeEngine) -> bool) {
+        while !self.engines.iter().all(|it| condition(it)) {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    pub(crate) async fn all_at(&self, version: u64) {
-        self.all(|it| it.version.get() == Some(version)).await;
-        assert!(self.engines.iter().all(|it| !it.spoilt.get()));
+    /// Waits until all engines serve a version, and checks that none has loaded corrupt chunks.
+    pub(crate) async fn wait_for_version(&self, version: u64) {
+        self.wait_for_all(|it| it.version.get() == Some(version))
+            .await;
+        assert!(self.engines.iter().all(|it| !it.loaded_corrupt.get()));
     }
 }
 
@@ -357,7 +376,7 @@
     start_agent_with(last, Vec::new(), tables, origin, engine).await
 }
 
-/// As [`start_agent`], with entries that are known from the settings.
+/// Starts an agent like [`start_agent`], with seeds in its settings.
 pub(crate) async fn start_agent_with(
     last: u8,
     seeds: Vec<Ipv4Addr>,
@@ -404,6 +423,8 @@
 
 pub(crate) fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(PATIENCE, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time");
     });
 }
