--- a/crates/gradeloft_gateway/src/agent/deploy.rs
+++ b/crates/gradeloft_gateway/src/agent/deploy.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use gradeloft_platform::fleet::{Load, Taken};
+use gradeloft_platform::fleet::{Load, LoadOutcome};
 use gradeloft_policy::{
     clock::Time,
     version::{
@@ -244,11 +244,13 @@
             info!(log, "load ordered"; "order" => ?load, "result" => ?ordered);
         }
         match ordered {
-            Ok(Taken::Started) => self.wait_until_loaded(version, born).await,
-            Ok(Taken::Conflict) => Err("the order does not fit the replica's state"
+            Ok(LoadOutcome::Started) => self.wait_until_loaded(version, born).await,
+            Ok(LoadOutcome::Conflict) => Err("the order does not fit the replica's state"
                 .to_owned()
                 .into()),
-            Ok(Taken::Fenced) => Err("the replica has accepted a higher fence".to_owned().into()),
+            Ok(LoadOutcome::Fenced) => {
+                Err("the replica has accepted a higher fence".to_owned().into())
+            }
             // The replica may have accepted the order nevertheless; its next state shows that.
             Err(fault) => Err(fault.to_string().into()),
         }
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -296,8 +296,8 @@
         version: version.number,
     };
     let peer = address.to_string();
-    let asking = agent.node.peers.ask(&peer, Lane::Live, &call);
-    match timeout(REQUEST_TIMEOUT, asking).await {
+    let calling = agent.node.peers.call(&peer, Lane::Live, &call);
+    match timeout(REQUEST_TIMEOUT, calling).await {
         Ok(Ok(Reply::Pieces(digests))) => Ok(digests),
         other => Err(format!("peer {address}: {}", describe_failure(&other))),
     }
--- a/crates/gradeloft_gateway/src/agent/upload.rs
+++ b/crates/gradeloft_gateway/src/agent/upload.rs
@@ -123,7 +123,7 @@
         tokio::select! {
             () = chunk_staged => {}
             () = actix_rt::time::sleep(FOLLOW_HEARTBEAT) => {}
-            () = outgoing.gone() => return,
+            () = outgoing.closed() => return,
         }
         actix_rt::time::sleep(REPORT_BATCH_TIME).await;
     }
--- a/crates/gradeloft_platform/src/list.rs
+++ b/crates/gradeloft_platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances, which lags.
+//! The platform's list of live and leaving instances, which may be stale.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 use gradeloft_wire::border::platform::{Instance, Instances};
 
 use crate::{
-    Answer,
-    http::{Base, Reuse},
+    CallFuture,
+    http::{BaseClient, ConnectionReuse},
 };
 
-/// The list, as gradeloft uses it.
-pub trait List {
-    /// All instances that the platform knows of.
-    fn instances(&self) -> Answer<'_, Vec<Instance>>;
+/// Interface of the list of instances.
+pub trait InstanceList {
+    /// Returns all instances on the list.
+    fn instances(&self) -> CallFuture<'_, Vec<Instance>>;
 }
 
-/// The list over HTTP.
+/// A client of the list over HTTP.
 #[derive(Clone)]
-pub struct Http(Base);
+pub struct Http(BaseClient);
 
 impl Http {
-    /// A list at a base URL.
+    /// Creates a client of the list at a base URL; `timeout` limits the time to the response head.
     pub fn new(url: &str, timeout: Duration) -> Http {
-        Http(Base::new(url, timeout, Reuse::Kept))
+        Http(BaseClient::new(url, timeout, ConnectionReuse::KeepAlive))
     }
 }
 
-impl List for Http {
-    fn instances(&self) -> Answer<'_, Vec<Instance>> {
+impl InstanceList for Http {
+    fn instances(&self) -> CallFuture<'_, Vec<Instance>> {
         async move {
             let list: Instances = self.0.get("/v1/instances").await?;
             Ok(list.instances)
--- a/crates/gradeloft_platform/src/weights.rs
+++ b/crates/gradeloft_platform/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store and the origin: content by digest.
+//! The weight store and the origin, which serve content by digest.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -7,29 +7,36 @@
 use gradeloft_wire::id::Digest;
 
 use crate::{
-    Answer,
-    http::{Base, Reuse},
+    CallFuture,
+    http::{BaseClient, ConnectionReuse},
 };
 
-/// A source of weights outside the fleet.
-pub trait Weights {
-    /// Content named by a digest, at most `max_bytes`; the caller checks the digest.
-    fn content(&self, digest: Digest, max_bytes: usize) -> Answer<'_, Bytes>;
+/// Interface of a weight source other than the instances.
+pub trait WeightSource {
+    /// Returns the content with this digest, of at most `max_bytes`; the caller verifies the
+    /// digest.
+    fn content(&self, digest: Digest, max_bytes: usize) -> CallFuture<'_, Bytes>;
 }
 
-/// A source over HTTP.
+/// A client of a source over HTTP.
 #[derive(Clone)]
-pub struct Http(Base);
+pub struct Http(BaseClient);
 
 impl Http {
-    /// A source at a base URL, read from an address of this instance if one is given.
+    /// Creates a client of the source at a base URL, with the local address `source` if one is
+    /// given; `timeout` limits the time to the response head.
     pub fn new(url: &str, timeout: Duration, source: Option<IpAddr>) -> Http {
-        Http(Base::from(url, timeout, Reuse::Kept, source))
+        Http(BaseClient::from(
+            url,
+            timeout,
+            ConnectionReuse::KeepAlive,
+            source,
+        ))
     }
 }
 
-impl Weights for Http {
-    fn content(&self, digest: Digest, max_bytes: usize) -> Answer<'_, Bytes> {
+impl WeightSource for Http {
+    fn content(&self, digest: Digest, max_bytes: usize) -> CallFuture<'_, Bytes> {
         async move {
             self.0
                 .bytes(&format!("/v1/content/{digest}"), max_bytes)
