--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -90,8 +90,8 @@
 }
 
 /// Records in the log that this replica serves the targets, so that the next availability zones can
-/// continue. This includes versions that the engine served before the agent started. Returns whether
-/// all are recorded.
+/// continue. This includes versions that the engine served before the agent started. Without an order
+/// of the zones nothing is recorded. Returns whether all are recorded.
 async fn report_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
     let mut reported = agent.has_zone_order();
     for (target, _) in targets.iter().zip(failed).filter(|(_, failed)| !**failed) {
@@ -264,7 +264,8 @@
     })
 }
 
-/// Reads the engine's state, and notifies watchers of the served versions that a bundle named.
+/// Reads the engine's state, and notifies watchers of the served versions that a bundle named. If
+/// the read fails, watchers are notified that none is served.
 async fn observe(agent: &Agent, engine: &dyn Engine) -> Result<EngineState, String> {
     let result = engine.state().await;
     let serving: Vec<Pin> = match &result {
@@ -278,8 +279,9 @@
     };
     if let Ok(state) = &result {
         for unknown in state.serving.iter().filter(|it| !agent.is_known(it)) {
-            warn!(agent.node.log, "the engine serves weights that no bundle named"; "model" => &unknown.model,
-                "version" => &unknown.version, "manifest" => &unknown.manifest);
+            warn!(agent.node.log, "engine serves weights that no bundle named";
+                "model" => &unknown.model, "version" => &unknown.version,
+                "manifest" => &unknown.manifest);
         }
     }
     agent.node.notice.send_if_modified(|it| {
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -254,7 +254,8 @@
         Ok(outcome) => table.complete(key, outcome.clone()),
         Err(Kind::Unreachable) => table.mark_not_run(key),
         Err(kind) => {
-            info!(agent.node.log, "outcome of a keyed call unknown"; "attempt" => %id, "kind" => kind.name());
+            info!(agent.node.log, "outcome of a keyed call unknown"; "attempt" => %id,
+                "kind" => kind.name());
         }
     }
     result
