--- a/crates/gradeloft_gateway/src/agent/chunk_request.rs
+++ b/crates/gradeloft_gateway/src/agent/chunk_request.rs
@@ -67,7 +67,7 @@
     let idx = idx.ok_or(Failure::NotHeld)?;
     let address = agent.origin().ok_or(Failure::Gone)?;
     let origin = &agent.node.platform.origin;
-    let read = origin.piece(address, &version.model, version.number, idx);
+    let read = origin.chunk(address, &version.model, version.number, idx);
     read.await.map_err(|fault| {
         if let Some(log) = agent.node.logs.line(Topic::Weights) {
             warn!(log, "chunk request to the origin failed"; "version" => version.number,
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -241,7 +241,7 @@
         let services = config.iter().flat_map(|it| &it.services);
         let mut own_service = services.filter(|it| *it.name == *self.service);
         let layout = own_service.find_map(|it| it.layout);
-        layout.map_or(DEFAULT_CHUNK_BYTES, |it| u64::from(it.piece_bytes))
+        layout.map_or(DEFAULT_CHUNK_BYTES, |it| u64::from(it.chunk_bytes))
     }
 
     /// Returns the transfer time of a chunk on this instance's link.
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -344,7 +344,7 @@
     idx: u32,
     digest: Digest,
 ) -> Option<Bytes> {
-    let content = agent.engine.piece(&version.model, idx).await.ok()?;
+    let content = agent.engine.chunk(&version.model, idx).await.ok()?;
     let good = agent.node.platform.origin.digest(&content) == digest;
     good.then_some(content)
 }
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -109,13 +109,13 @@
         Box::pin(async move { Ok(staged) })
     }
 
-    fn piece<'a>(&'a self, _: &'a str, idx: u32) -> CallFuture<'a, Bytes> {
+    fn chunk<'a>(&'a self, _: &'a str, idx: u32) -> CallFuture<'a, Bytes> {
         Box::pin(async move {
             if self.slow_reads.get() {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
             }
-            let piece = self.staged.borrow().get(&idx).cloned();
-            piece.ok_or(Fault::Missing)
+            let chunk = self.staged.borrow().get(&idx).cloned();
+            chunk.ok_or(Fault::Missing)
         })
     }
 
@@ -194,7 +194,7 @@
         })
     }
 
-    fn piece<'a>(
+    fn chunk<'a>(
         &'a self,
         _: SocketAddr,
         _: &'a str,
@@ -287,8 +287,8 @@
         warmup: None,
         layout: Some(Layout {
             layers: 4,
-            pieces: CHUNKS,
-            piece_bytes: CHUNK_BYTES as u32,
+            chunks: CHUNKS,
+            chunk_bytes: CHUNK_BYTES as u32,
         }),
         models: if origin.is_none() {
             vec!["w".to_owned()]
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -151,7 +151,7 @@
         Box::pin(async { Err(Fault::Missing) })
     }
 
-    fn piece<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64, _: u32) -> CallFuture<'a, Bytes> {
+    fn chunk<'a>(&'a self, _: SocketAddr, _: &'a str, _: u64, _: u32) -> CallFuture<'a, Bytes> {
         Box::pin(async { Err(Fault::Missing) })
     }
 
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Interface to a platform with tables of records, and with model engines that load weights from
-//! numbered pieces.
+//! numbered chunks.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -131,11 +131,11 @@
 pub trait Engine {
     /// Returns the engine's state.
     fn state(&self) -> CallFuture<'_, State>;
-    /// Returns the positions of the staged pieces.
+    /// Returns the positions of the staged chunks.
     fn staged<'a>(&'a self, model: &'a str) -> CallFuture<'a, Vec<u32>>;
-    /// Returns the content of a staged piece; the caller checks its digest.
-    fn piece<'a>(&'a self, model: &'a str, idx: u32) -> CallFuture<'a, Bytes>;
-    /// Stages a piece, replacing the one at this position.
+    /// Returns the content of a staged chunk; the caller checks its digest.
+    fn chunk<'a>(&'a self, model: &'a str, idx: u32) -> CallFuture<'a, Bytes>;
+    /// Stages a chunk, replacing the one at this position.
     fn stage<'a>(&'a self, model: &'a str, idx: u32, content: Bytes) -> CallFuture<'a, ()>;
     /// Orders the engine to load the staged weights.
     fn load<'a>(&'a self, load: Load<'a>) -> CallFuture<'a, LoadOutcome>;
@@ -143,15 +143,15 @@
 
 /// Interface of the origin of weights.
 pub trait Origin {
-    /// Returns the digests of a version's pieces, in order.
+    /// Returns the digests of a version's chunks, in order.
     fn manifest<'a>(
         &'a self,
         address: SocketAddr,
         model: &'a str,
         version: u64,
     ) -> CallFuture<'a, Vec<Digest>>;
-    /// Returns the content of a piece; the caller checks its digest.
-    fn piece<'a>(
+    /// Returns the content of a chunk; the caller checks its digest.
+    fn chunk<'a>(
         &'a self,
         address: SocketAddr,
         model: &'a str,
--- a/crates/gradeloft_platform/src/lib.rs
+++ b/crates/gradeloft_platform/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`endpoint`]: model engines and plain services.
 //! - [`fleet`]: the store, engines and origin of a platform with tables of records and weights in
-//!   numbered pieces.
+//!   numbered chunks.
 //! - [`http`]: the HTTP client shared by the implementations.
 //! - [`list`]: the list of instances.
 //! - [`log`]: the append-only log.
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -82,15 +82,15 @@
     }
 }
 
-/// Division of a service's weights into pieces.
+/// Division of a service's weights into chunks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Layout {
     /// Number of layers of the model.
     pub layers: u32,
-    /// Number of pieces of one version.
-    pub pieces: u32,
-    /// Size of one piece, in bytes.
-    pub piece_bytes: u32,
+    /// Number of chunks of one version.
+    pub chunks: u32,
+    /// Size of one chunk, in bytes.
+    pub chunk_bytes: u32,
 }
 
 /// Speed of the engines of a service, as published by the operator.
@@ -129,13 +129,13 @@
     pub max_connections: u32,
     /// Load that its replicas tolerate while they are cold; `None` if they are never cold.
     pub warmup: Option<Warmup>,
-    /// Division of its weights into pieces, for services that run a model.
+    /// Division of its weights into chunks, for services that run a model.
     pub layout: Option<Layout>,
     /// Speed of its engines, for services that run a model.
     pub speed: Option<Speed>,
     /// Models that its replicas may load.
     pub models: Vec<String>,
-    /// Address that serves pieces of weights, for the service that is the origin.
+    /// Address that serves chunks of weights, for the service that is the origin.
     pub origin: Option<SocketAddr>,
 }
 
