--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -458,7 +458,7 @@
     }
 
     /// Stops the agent at once; the replica continues without it.
-    pub fn leave(self) {
+    pub fn stop(self) {
         info!(self.agent.node.logs.root, "left");
         self.agent.node.scope.end();
     }
