--- a/crates/gradeloft_gateway/tests/entry/draining.rs
+++ b/crates/gradeloft_gateway/tests/entry/draining.rs
@@ -248,7 +248,7 @@
     run(async {
         let body = "x".repeat(500 << 10);
         let script = vec![Step::Read, ok(&body)];
-        let _world = start(RouteKind::Once, vec![vec![script]]).await;
+        let _harness = start(RouteKind::Once, vec![vec![script]]).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         let mut caller = socket.connect((address(1), 8005).into()).await.unwrap();
@@ -293,7 +293,7 @@
     run(async {
         let body = "x".repeat(bytes);
         let script = vec![Step::Read, ok(&body)];
-        let _world = start(RouteKind::Once, vec![vec![script]]).await;
+        let _harness = start(RouteKind::Once, vec![vec![script]]).await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         let mut caller = socket.connect((address(1), 8005).into()).await.unwrap();
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -1,4 +1,4 @@
-//! How often an entry tells others of itself.
+//! Gossip datagrams that an entry sends and accepts.
 
 use std::{
     cell::Cell,
@@ -24,7 +24,7 @@
 
 use crate::support::{Harness, TestConfig, address, ok, run, wait_until};
 
-/// What another entry says of itself.
+/// Returns a datagram in which another entry announces its state.
 fn datagram(zone: &str, store: Access) -> Datagram {
     Datagram {
         incarnation: 1,
@@ -42,28 +42,28 @@
     }
 }
 
-/// Another entry, which says again and again whether the store serves it.
-async fn telling_entry(octet: u8, to: u8, store: Rc<Cell<Access>>) {
+/// Starts another entry that periodically announces whether the store serves it.
+async fn announcing_entry(octet: u8, to: u8, store: Rc<Cell<Access>>) {
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         loop {
-            let told = codec::body(&datagram("z", store.get()));
-            socket.send_to(&told, (address(to), 7700)).await.unwrap();
+            let bytes = codec::body(&datagram("z", store.get()));
+            socket.send_to(&bytes, (address(to), 7700)).await.unwrap();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
     });
 }
 
-/// Another entry, which counts the datagrams that come to it.
+/// Starts another entry that counts the datagrams it receives.
 async fn counting_entry(octet: u8, zone: &str) -> Rc<Cell<u32>> {
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-    let told = codec::body(&datagram(zone, Access::Served));
+    let bytes = codec::body(&datagram(zone, Access::Served));
     let count = Rc::new(Cell::new(0));
     let counted = Rc::clone(&count);
     actix_rt::spawn(async move {
         let mut buffer = [0; MAX_BYTES];
         loop {
-            socket.send_to(&told, (address(1), 7700)).await.unwrap();
+            socket.send_to(&bytes, (address(1), 7700)).await.unwrap();
             let received =
                 tokio::time::timeout(Duration::from_millis(100), socket.recv_from(&mut buffer));
             if let Ok(Ok(_)) = received.await {
@@ -74,8 +74,8 @@
     count
 }
 
-/// A datagram that an entry sent, if it is what another region's entries are told.
-fn region(datagram: &Datagram) -> Option<&Region> {
+/// Returns the region state in a datagram that a delegate sends to another region.
+fn unrelayed_region(datagram: &Datagram) -> Option<&Region> {
     match &datagram.sender {
         Sender::Region {
             relayed: false,
@@ -85,38 +85,38 @@
     }
 }
 
-/// What comes to an instance, as long as it is asked for.
-struct Ear {
+/// Another entry, which announces itself and receives datagrams only while the test waits for them.
+struct UdpPeer {
     socket: UdpSocket,
     zone: &'static str,
 }
 
-impl Ear {
-    async fn at(octet: u8, zone: &'static str) -> Ear {
+impl UdpPeer {
+    async fn bind(octet: u8, zone: &'static str) -> UdpPeer {
         let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-        Ear { socket, zone }
+        UdpPeer { socket, zone }
     }
 
-    /// Says that there is an entry here.
-    async fn speak(&self, to: u8) {
-        let told = codec::body(&datagram(self.zone, Access::Served));
+    /// Announces the entry to the instance `to`.
+    async fn announce(&self, to: u8) {
+        let bytes = codec::body(&datagram(self.zone, Access::Served));
         self.socket
-            .send_to(&told, (address(to), 7700))
+            .send_to(&bytes, (address(to), 7700))
             .await
             .unwrap();
     }
 
-    /// The next datagram that fits, while it goes on speaking.
-    async fn hear<T>(&self, to: u8, fits: impl Fn(&Datagram) -> Option<T>) -> T {
+    /// Returns the next datagram that `select` selects. Announces the entry meanwhile.
+    async fn receive<T>(&self, to: u8, select: impl Fn(&Datagram) -> Option<T>) -> T {
         let mut buffer = [0; MAX_BYTES];
         loop {
-            self.speak(to).await;
+            self.announce(to).await;
             let pause = Duration::from_millis(100);
             let received = tokio::time::timeout(pause, self.socket.recv_from(&mut buffer));
             if let Ok(Ok((length, _))) = received.await {
                 let datagram: Datagram = codec::parse(&buffer[..length]).unwrap();
-                if let Some(fitting) = fits(&datagram) {
-                    return fitting;
+                if let Some(selected) = select(&datagram) {
+                    return selected;
                 }
             }
         }
@@ -128,76 +128,80 @@
 }
 
 #[test]
-fn a_speaker_tells_another_region_of_its_members_and_their_requests() {
+fn a_delegate_sends_members_and_loads_of_its_region_to_another_region() {
     run(async {
-        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
-        let near = Ear::at(3, "z").await;
-        near.speak(1).await;
-        let far = Ear::at(4, "elsewhere").await;
-        let members = far.hear(1, |it| match region(it)? {
+        let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let near = UdpPeer::bind(3, "z").await;
+        near.announce(1).await;
+        let far = UdpPeer::bind(4, "elsewhere").await;
+        let members = far.receive(1, |it| match unrelayed_region(it)? {
             Region::Members(members) if members.len() == 2 => Some(members.clone()),
             _ => None,
         });
-        let speaking = async {
+        let announcing = async {
             loop {
-                near.speak(1).await;
+                near.announce(1).await;
                 actix_rt::time::sleep(Duration::from_millis(50)).await;
             }
         };
         let members = tokio::select! {
             members = members => members,
-            () = speaking => unreachable!("it speaks until the test ends"),
+            () = announcing => unreachable!("announces until the test ends"),
         };
         let mut addresses: Vec<_> = members.iter().map(|it| it.address).collect();
         addresses.sort_unstable();
         assert_eq!(addresses, [address(1), address(3)]);
-        far.hear(1, |it| {
-            matches!(region(it)?, Region::Loads(_)).then_some(())
+        far.receive(1, |it| {
+            matches!(unrelayed_region(it)?, Region::Loads(_)).then_some(())
         })
         .await;
     });
 }
 
 #[test]
-fn only_the_speakers_of_a_large_region_tell_others_of_it() {
+fn only_delegates_of_a_large_region_send_its_state_to_other_regions() {
     run(async {
-        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
-        // Two of the region's entries come before the world's own in the draw.
-        let ours = roster::hash(&address(1));
-        let before: Vec<u8> = (10..90)
+        let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        // Two of the region's entries precede the entry under test in the order of delegates.
+        let own_hash = roster::hash(&address(1));
+        let delegates_before: Vec<u8> = (10..90)
             .filter(|it| !delegates::is_delegate(address(1), [address(*it); 2].into_iter()))
             .take(2)
             .collect();
-        assert!(before.iter().all(|it| roster::hash(&address(*it)) != ours));
+        assert!(
+            delegates_before
+                .iter()
+                .all(|it| roster::hash(&address(*it)) != own_hash)
+        );
         let mut near = Vec::new();
-        for octet in before {
+        for octet in delegates_before {
             near.push(counting_entry(octet, "z").await);
         }
         wait_until(|| async { near.iter().all(|it| 0 < it.get()) }).await;
-        let far = Ear::at(4, "elsewhere").await;
-        let world_knows = |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
-        far.hear(1, world_knows).await;
-        // A word of its own now and then, but nothing on the region.
-        let random_words = async {
+        let far = UdpPeer::bind(4, "elsewhere").await;
+        let from_entry = |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
+        far.receive(1, from_entry).await;
+        // The entry occasionally announces itself, but never sends region state.
+        let own_datagrams = async {
             for _ in 0..2 {
-                let random = |it: &Datagram| match &it.sender {
+                let own_datagram = |it: &Datagram| match &it.sender {
                     Sender::Region { .. } => panic!("{it:?}"),
                     _ => Some(()),
                 };
-                far.hear(1, random).await;
+                far.receive(1, own_datagram).await;
             }
         };
-        random_words.await;
+        own_datagrams.await;
     });
 }
 
 #[test]
-fn what_another_region_tells_is_passed_on_to_the_own_region_and_not_further() {
+fn state_of_another_region_is_forwarded_once_within_the_own_region() {
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let entry = harness.entry.entry();
-        let near = Ear::at(3, "z").await;
-        near.hear(1, |it| {
+        let near = UdpPeer::bind(3, "z").await;
+        near.receive(1, |it| {
             matches!(it.sender, Sender::Entry { .. }).then_some(())
         })
         .await;
@@ -208,55 +212,61 @@
             store: Access::Served,
             end: 0,
         };
-        let told = |relayed| Datagram {
+        let region_datagram = |relayed| Datagram {
             sender: Sender::Region {
                 relayed,
                 word: Region::Members(vec![member]),
             },
             ..datagram("elsewhere", Access::Served)
         };
-        let speaker = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let bytes = codec::body(&told(false));
-        speaker.send_to(&bytes, (address(1), 7700)).await.unwrap();
-        let passed_on = near.hear(1, |it| match &it.sender {
+        let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
+        let bytes = codec::body(&region_datagram(false));
+        sender_socket
+            .send_to(&bytes, (address(1), 7700))
+            .await
+            .unwrap();
+        let forwarded = near.receive(1, |it| match &it.sender {
             Sender::Region { relayed, word } => Some((*relayed, it.zone.clone(), word.clone())),
             _ => None,
         });
         let expected = (true, "elsewhere".to_owned(), Region::Members(vec![member]));
-        assert_eq!(passed_on.await, expected);
+        assert_eq!(forwarded.await, expected);
         assert!(
             entry
                 .addresses(&Lookup::default())
                 .iter()
                 .any(|it| it.ip() == address(50))
         );
-        // What was passed on once is taken in, and goes no further.
-        let bytes = codec::body(&told(true));
-        speaker.send_to(&bytes, (address(1), 7700)).await.unwrap();
-        let mut further = 0;
+        // A relayed datagram is applied but not forwarded again.
+        let bytes = codec::body(&region_datagram(true));
+        sender_socket
+            .send_to(&bytes, (address(1), 7700))
+            .await
+            .unwrap();
+        let mut forwarded_again = 0;
         let own = |it: &Datagram| matches!(it.sender, Sender::Entry { .. });
         for _ in 0..8 {
-            further += near.hear(1, |it| Some(u32::from(!own(it)))).await;
+            forwarded_again += near.receive(1, |it| Some(u32::from(!own(it)))).await;
         }
-        assert_eq!(further, 0);
+        assert_eq!(forwarded_again, 0);
     });
 }
 
 #[test]
-fn an_entry_that_asks_is_told_of_its_own_region() {
+fn an_entry_that_asks_gets_the_entries_of_its_own_region() {
     run(async {
-        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
-        let first = Ear::at(4, "elsewhere").await;
-        first.speak(1).await;
+        let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let first = UdpPeer::bind(4, "elsewhere").await;
+        first.announce(1).await;
         let second = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let mut asking = datagram("elsewhere", Access::Served);
-        if let Sender::Entry { asks, .. } = &mut asking.sender {
+        let mut asking_datagram = datagram("elsewhere", Access::Served);
+        if let Sender::Entry { asks, .. } = &mut asking_datagram.sender {
             *asks = true;
         }
         let mut buffer = [0; MAX_BYTES];
-        let named = loop {
-            first.speak(1).await;
-            let bytes = codec::body(&asking);
+        let listed = loop {
+            first.announce(1).await;
+            let bytes = codec::body(&asking_datagram);
             second.send_to(&bytes, (address(1), 7700)).await.unwrap();
             let (length, _) = second.recv_from(&mut buffer).await.unwrap();
             let response: Datagram = codec::parse(&buffer[..length]).unwrap();
@@ -266,44 +276,45 @@
                 break entries;
             }
         };
-        assert!(!named.contains(&address(1)));
+        assert!(!listed.contains(&address(1)));
     });
 }
 
-/// Entries of a large region send to each other once a second. So a configuration that one of them had read from the store
-/// was not known to be there for up to a second.
+/// Entries of a large region send to each other once a second. Guards against a delay of up to a
+/// second before the others learn that one of them has read a configuration from the store.
 #[test]
-fn an_entry_that_reads_records_from_the_store_says_so_at_once() {
+fn an_entry_that_reads_records_from_the_store_announces_them_at_once() {
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
-        let ear = Ear::at(3, "z").await;
+        let peer = UdpPeer::bind(3, "z").await;
         for octet in 10..90 {
             let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-            let known = codec::body(&datagram("z", Access::Served));
-            socket.send_to(&known, (address(1), 7700)).await.unwrap();
+            let bytes = codec::body(&datagram("z", Access::Served));
+            socket.send_to(&bytes, (address(1), 7700)).await.unwrap();
         }
         let clock = Clock::start();
         let mut longest = Duration::ZERO;
         for version in 2..8 {
             // At any time between two regular datagrams.
-            let regular = |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
-            ear.hear(1, regular).await;
+            let from_entry =
+                |it: &Datagram| matches!(it.sender, Sender::Entry { .. }).then_some(());
+            peer.receive(1, from_entry).await;
             harness
                 .tables
                 .write(Table::Operator, "config", Some(&version.to_string()));
             let written = clock.now();
-            let newest = |it: &Datagram| (version <= it.ends[1]).then_some(());
-            ear.hear(1, newest).await;
+            let has_version = |it: &Datagram| (version <= it.ends[1]).then_some(());
+            peer.receive(1, has_version).await;
             longest = longest.max(clock.now().since(written));
         }
         assert!(longest < Duration::from_millis(600), "{longest:?}");
     });
 }
 
-/// Each of 547 entries wrote its own row to one partition of the store, which takes them one after the other, and refused
-/// what would wait over two seconds there.
+/// Guards against a separate write of each entry: with 547 entries and one partition, the store
+/// applied the writes one after another and refused those that would wait for over two seconds.
 #[test]
-fn the_entries_of_a_region_are_registered_together() {
+fn entries_of_a_region_share_registration_writes() {
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let mut others = Vec::new();
@@ -318,9 +329,9 @@
 }
 
 #[test]
-fn the_agent_of_a_replica_that_is_not_listed_gets_an_answer() {
+fn the_agent_of_an_unlisted_replica_gets_a_reply() {
     run(async {
-        let _world = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
+        let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let agent = UdpSocket::bind((address(9), 7700)).await.unwrap();
         let report = Datagram {
             sender: Sender::Agent {
@@ -339,7 +350,7 @@
 }
 
 #[test]
-fn an_entry_that_takes_over_reading_trusts_what_it_reads() {
+fn an_entry_that_takes_over_reading_applies_removals_at_once() {
     run(async {
         let ok_script = || vec![vec![Step::Read, ok("receipt")]];
         let harness = Harness::start(
@@ -347,8 +358,8 @@
             vec![ok_script(), ok_script()],
         )
         .await;
-        // The third in order for the table, and the two before it. Which those are depends on the
-        // addresses, and so on this process.
+        // The entry under test is third in the rendezvous order of the table, after two announcing
+        // entries. The order depends on the addresses, and so on the process identifier.
         let table = Table::Replicas;
         let nodes: Vec<u64> = (10..90)
             .map(|it| rendezvous::hash(&address(it).octets()))
@@ -359,10 +370,10 @@
         let entry = added.entry();
         let store = Rc::new(Cell::new(Access::Served));
         for place in 0..2 {
-            telling_entry(octet(place), octet(2), Rc::clone(&store)).await;
+            announcing_entry(octet(place), octet(2), Rc::clone(&store)).await;
         }
         wait_until(|| async {
-            // Ends the read that waits.
+            // Ends the pending read.
             harness.list_all();
             entry.node.on_standby(table)
         })
@@ -370,51 +381,51 @@
         store.set(Access::Unserved);
         wait_until(|| async { !entry.node.on_standby(table) }).await;
         harness.tables.write(table, "i-0", None);
-        let told = || {
+        let removal_received = || {
             let records = entry.node.records(table);
             records.iter().all(|it| it.key != "i-0")
         };
-        wait_until(|| async { told() }).await;
+        wait_until(|| async { removal_received() }).await;
         assert_eq!(entry.replicas.borrow().len(), 1);
     });
 }
 
 #[test]
-fn a_word_that_lay_in_the_socket_while_the_process_stood_still_confirms_nothing() {
+fn a_datagram_queued_during_a_process_pause_confirms_no_copy() {
     run(async {
         let harness = Harness::start_unready(TestConfig::of(RouteKind::Once), Vec::new()).await;
-        // Nobody else has a copy that is whole now.
+        // No other entry has a confirmed copy.
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
         let added = harness.add_entry(2, &harness.tables).await;
         let node = &added.entry().node;
-        // Looks whether it stands still, from here on.
+        // The entry detects process pauses from here on.
         wait_until(|| async { node.access() == Access::Unserved }).await;
-        let mut told = datagram("z", Access::Served);
-        // Its copy of the operator's table is whole; of another it has more.
-        told.unconfirmed_ms = [0; 3];
-        told.ends = [0, 0, 9];
-        let told = codec::body(&told);
+        let mut announcement = datagram("z", Access::Served);
+        // The sender's copy of the operator's table is complete, and its copy of `Replicas` is newer.
+        announcement.unconfirmed_ms = [0; 3];
+        announcement.ends = [0, 0, 9];
+        let bytes = codec::body(&announcement);
         let socket = UdpSocket::bind((address(3), 7700)).await.unwrap();
-        let tell = || socket.send_to(&told, (address(2), 7700));
-        tell().await.unwrap();
-        let still = Some(node.clock.now());
+        let announce = || socket.send_to(&bytes, (address(2), 7700));
+        announce().await.unwrap();
+        let pause_start = Some(node.clock.now());
         std::thread::sleep(Duration::from_millis(1_500));
         wait_until(|| async { node.behind(Table::Replicas).is_some() }).await;
-        assert!(node.confirmed_until(Table::Operator) < still);
+        assert!(node.confirmed_until(Table::Operator) < pause_start);
         wait_until(|| async {
-            tell().await.unwrap();
-            still < node.confirmed_until(Table::Operator)
+            announce().await.unwrap();
+            pause_start < node.confirmed_until(Table::Operator)
         })
         .await;
     });
 }
 
-/// The largest fleet of the design: 410 entries in seven regions before replicas that are all busy. Each word has
-/// room in a datagram, and together they say all.
+/// The largest supported fleet: 410 entries in seven regions, and all replicas busy. Each message
+/// fits into a datagram, and together the messages are complete.
 #[test]
-fn nothing_that_a_large_fleet_has_to_say_is_left_out() {
-    const BUSY: u32 = 400;
+fn the_state_of_the_largest_fleet_is_sent_completely() {
+    const BUSY_REPLICAS: u32 = 400;
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let entry = harness.entry.entry();
@@ -432,13 +443,13 @@
         };
         {
             let mut replicas = entry.replicas.borrow_mut();
-            for idx in 0..BUSY {
+            for idx in 0..BUSY_REPLICAS {
                 let key = replicas.apply_listing(busy(idx));
                 replicas.get_mut(key).unwrap().own_requests = 8;
             }
         }
-        let far = Ear::at(4, "elsewhere").await;
-        // Members of another region, in as many words as they need.
+        let far = UdpPeer::bind(4, "elsewhere").await;
+        // Members of another region, in several messages.
         let member = |idx: u32| Member {
             address: Ipv4Addr::new(10, 8, (idx >> 8) as u8, idx as u8),
             incarnation: u64::MAX,
@@ -446,27 +457,27 @@
             store: Access::Served,
             end: u64::MAX,
         };
-        let all: Vec<u32> = (0..410).collect();
-        for some in all.chunks(50) {
-            let word = Region::Members(some.iter().map(|it| member(*it)).collect());
-            let told = Datagram {
+        let members: Vec<u32> = (0..410).collect();
+        for chunk in members.chunks(50) {
+            let word = Region::Members(chunk.iter().map(|it| member(*it)).collect());
+            let announcement = Datagram {
                 sender: Sender::Region {
                     relayed: true,
                     word,
                 },
                 ..datagram("elsewhere", Access::Served)
             };
-            let bytes = codec::body(&told);
+            let bytes = codec::body(&announcement);
             assert!(bytes.len() <= MAX_BYTES);
             far.socket
                 .send_to(&bytes, (address(1), 7700))
                 .await
                 .unwrap();
         }
-        let mut told: BTreeMap<u16, Vec<u32>> = BTreeMap::new();
-        while told.values().map(Vec::len).sum::<usize>() < BUSY as usize {
+        let mut received: BTreeMap<u16, Vec<u32>> = BTreeMap::new();
+        while received.values().map(Vec::len).sum::<usize>() < BUSY_REPLICAS as usize {
             let (part, replicas) = far
-                .hear(1, |it| match region(it)? {
+                .receive(1, |it| match unrelayed_region(it)? {
                     Region::Loads(loads) if !loads.loads.is_empty() => {
                         let replicas = loads.loads.iter().map(|it| it.replica);
                         Some((loads.part, replicas.collect()))
@@ -474,17 +485,18 @@
                     _ => None,
                 })
                 .await;
-            told.insert(part, replicas);
+            received.insert(part, replicas);
         }
-        let distinct: BTreeSet<u32> = told.into_values().flatten().collect();
-        assert_eq!(distinct.len(), BUSY as usize);
+        let distinct: BTreeSet<u32> = received.into_values().flatten().collect();
+        assert_eq!(distinct.len(), BUSY_REPLICAS as usize);
         assert_eq!(entry.node.metrics.unsent.get(), 0);
     });
 }
 
-/// All entries that are short would send to a region whose words are lost, as nothing tells what it has.
+/// Otherwise all entries short of capacity would send requests to a region whose datagrams are lost,
+/// as nothing reports its free capacity.
 #[test]
-fn models_of_a_region_that_is_silent_count_as_full_until_it_tells() {
+fn replicas_of_a_silent_region_count_as_full_until_it_reports() {
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let entry = harness.entry.entry();
@@ -504,7 +516,7 @@
         let others = || entry.replicas.borrow().get(key).unwrap().other_requests;
         wait_until(|| async { others() == 8 }).await;
         let hash = entry.replicas.borrow().get(key).unwrap().hash();
-        let told = Datagram {
+        let announcement = Datagram {
             sender: Sender::Region {
                 relayed: true,
                 word: Region::Loads(Loads {
@@ -518,9 +530,12 @@
             },
             ..datagram("elsewhere", Access::Served)
         };
-        let speaker = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let bytes = codec::body(&told);
-        speaker.send_to(&bytes, (address(1), 7700)).await.unwrap();
+        let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
+        let bytes = codec::body(&announcement);
+        sender_socket
+            .send_to(&bytes, (address(1), 7700))
+            .await
+            .unwrap();
         wait_until(|| async { others() == 3 }).await;
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/quarantine.rs
+++ b/crates/gradeloft_gateway/tests/entry/quarantine.rs
@@ -1,11 +1,14 @@
-//! Requests that end each replica which begins them.
+//! Quarantine of requests that crash replicas.
 //!
-//! What users saw: within half a minute forty replicas of one model ended, each with all that it worked on, and
-//! for seconds a third of the callers were sent away. The order of events: a replica begins a certain request
-//! and ends a tenth of a second later; the entry sends the request to another replica, which ends too; the caller
-//! gets a 502 and asks again, at another entry, which knows nothing of it. The cause: what an entry learned of a
-//! request went with the attempt, and only the replica was blamed. The evidence: one path, team and body behind
-//! each end, and the entries' lines of these requests, `failures=lost,lost` at ever other replicas.
+//! Guards against one request that crashes forty replicas of a model within half a minute, each with
+//! all its running requests, so that a third of the callers are refused for seconds. A replica crashes
+//! a tenth of a second after it starts the request; the entry retries at another replica, which crashes
+//! too; the caller gets a 502 and retries at another entry, which has no record of the request. Cause:
+//! an entry discarded its observations of a request with the attempt, and attributed the failure only
+//! to the replica.
+//!
+//! Evidence: the same path, team and body preceded each crash, and the entries logged these requests
+//! with `failures=lost,lost` at different replicas each time.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,13 +25,13 @@
 
 use crate::support::{self, HEADERS, Harness, TestConfig, address, replica_id, run, wait_until};
 
-/// Replicas end when they begin a request with this in its body.
-const MARKED: &str = "ends replicas";
-/// Most marked requests that may reach replicas in all, once three of them have ended: what three entries have
-/// under way before they hear of it.
-const MOST: usize = 6;
+/// Replicas crash when they start a request whose body contains this text.
+const MARKER: &str = "ends replicas";
+/// Highest number of marked requests that may reach replicas in all. The quarantine starts after
+/// three crashes, and three entries may have requests in flight before they learn of it.
+const MAX_MARKED_REQUESTS: usize = 6;
 
-/// Entries in two regions before replicas that some requests end.
+/// Entries in two regions with replicas that marked requests crash.
 struct Fleet {
     harness: Harness,
     others: Vec<Handle>,
@@ -36,18 +39,19 @@
 }
 
 impl Fleet {
-    /// One entry.
-    async fn alone(replicas: u8) -> Fleet {
+    /// Starts a fleet with one entry.
+    async fn with_one_entry(replicas: u8) -> Fleet {
         Fleet::start(replicas, &[]).await
     }
 
-    /// Entry 1 in the region `z`, and others in their zones, each of which is a region.
+    /// Starts entry 1 in the region `z` and `others` in their availability zones, each of which is a
+    /// region.
     async fn start(replicas: u8, others: &[(u8, &str)]) -> Fleet {
         let harness =
             Harness::start_unready(TestConfig::of(RouteKind::Idempotent), Vec::new()).await;
-        let mut started = Vec::new();
+        let mut other_entries = Vec::new();
         for (octet, zone) in others {
-            started.push(
+            other_entries.push(
                 harness
                     .add_entry_in_zone(*octet, zone, &harness.tables)
                     .await,
@@ -57,7 +61,7 @@
         let mut fragile = Vec::new();
         for idx in 0..replicas {
             let nature = Nature {
-                marker: MARKED.to_owned(),
+                marker: MARKER.to_owned(),
                 request_header: HEADERS.attempt_id.to_owned(),
                 seal_header: HEADERS.seal.to_owned(),
                 work: Duration::from_millis(20),
@@ -67,12 +71,12 @@
         }
         let fleet = Fleet {
             harness,
-            others: started,
+            others: other_entries,
             replicas: fragile,
         };
         for idx in 0..fleet.replicas.len() {
             fleet.list(idx);
-            fleet.relist(idx);
+            fleet.keep_listed(idx);
         }
         for octet in [1].into_iter().chain(others.iter().map(|it| it.0)) {
             let ready = || async {
@@ -81,117 +85,120 @@
             };
             wait_until(ready).await;
         }
-        fleet.whole().await;
-        // Entries that have not met yet can't tell each other anything.
-        let met = |handle: &Handle| {
+        fleet.wait_until_listed().await;
+        // Entries exchange suspects only after they have discovered each other.
+        let has_all_peers = |handle: &Handle| {
             handle.entry().addresses(&Lookup::default()).len() == 1 + others.len()
         };
-        wait_until(|| async { fleet.entries().all(met) }).await;
+        wait_until(|| async { fleet.entries().all(has_all_peers) }).await;
         fleet
     }
 
-    /// All entries.
+    /// Returns all entries.
     fn entries(&self) -> impl Iterator<Item = &Handle> {
         [&self.harness.entry].into_iter().chain(&self.others)
     }
 
-    /// Lists a replica as it is now.
+    /// Lists a replica in its current state.
     fn list(&self, idx: usize) {
         let replica = &self.replicas[idx];
         self.harness.list_replica(listing(idx, replica));
     }
 
-    /// Lists a replica anew each time it has started again.
-    fn relist(&self, idx: usize) {
+    /// Starts a task that lists a replica again after each restart.
+    fn keep_listed(&self, idx: usize) {
         let replica = Rc::clone(&self.replicas[idx]);
-        let lists = self.harness.replica_lister();
+        let list_replica = self.harness.replica_lister();
         actix_rt::spawn(async move {
             let mut ends = 0;
             loop {
                 ends = replica.restarted(ends).await.ends;
-                lists(listing(idx, &replica));
+                list_replica(listing(idx, &replica));
             }
         });
     }
 
-    /// Asks an entry, and gives the status of its answer.
+    /// Sends a request to an entry and returns the status code of the response.
     async fn send(&self, octet: u8, body: &str) -> String {
         let response = support::send(octet, &support::request("POST", body)).await;
         let status = response.split(' ').nth(1).unwrap_or("none");
         status.to_owned()
     }
 
-    /// Marked requests that reached replicas.
-    fn marked(&self) -> usize {
+    /// Returns the number of marked requests that have reached replicas.
+    fn marked_requests(&self) -> usize {
         self.replicas.iter().map(|it| it.seen().marked).sum()
     }
 
-    /// Requests that reached replicas.
-    fn arrived(&self) -> usize {
+    /// Returns the number of requests that have reached replicas.
+    fn total_requests(&self) -> usize {
         self.replicas.iter().map(|it| it.seen().arrived).sum()
     }
 
-    /// Ends all replicas at once, and waits until they have started again.
-    async fn end_all(&self) {
+    /// Crashes all replicas at once and waits until they have restarted.
+    async fn crash_all(&self) {
         let ends = self.replicas.iter().map(|it| it.seen().ends);
         let ends: Vec<usize> = ends.collect();
         self.replicas.iter().for_each(|it| it.end());
         for (replica, ends) in self.replicas.iter().zip(ends) {
             replica.restarted(ends).await;
         }
-        self.whole().await;
+        self.wait_until_listed().await;
     }
 
-    /// Waits until all replicas run and every entry knows it.
-    async fn whole(&self) {
-        let born = |handle: &Handle, idx: usize| {
+    /// Waits until every entry has the current start of each replica.
+    async fn wait_until_listed(&self) {
+        let start_time = |handle: &Handle, idx: usize| {
             let replicas = handle.entry().replicas.borrow();
             let key = replicas.key(&replica_id(idx))?;
             replicas.get(key)?.listing.born
         };
-        let knows = |handle: &Handle| {
+        let is_current = |handle: &Handle| {
             let mut all = self.replicas.iter().enumerate();
-            all.all(|(idx, replica)| born(handle, idx) == Some(replica.seen().born))
+            all.all(|(idx, replica)| start_time(handle, idx) == Some(replica.seen().born))
         };
-        wait_until(|| async { self.entries().all(knows) }).await;
+        wait_until(|| async { self.entries().all(is_current) }).await;
     }
 
-    /// Sends the marked request to entries by turns; gives how many reached replicas. Each replica that ends stays
-    /// away until the entry has found out.
-    async fn ask_marked(&self, entries: &[u8], times: usize) -> usize {
+    /// Sends the marked request to the entries in turn, and returns how many requests reached replicas.
+    /// A crashed replica stays down until the entry has detected the crash.
+    async fn send_marked_by_turns(&self, entries: &[u8], times: usize) -> usize {
         for turn in 0..times {
-            self.ask_once(entries[turn % entries.len()]).await;
-            self.whole().await;
+            self.send_marked(entries[turn % entries.len()]).await;
+            self.wait_until_listed().await;
         }
-        self.marked()
+        self.marked_requests()
     }
 
-    /// Sends the marked request to an entry, and waits until it has found out what ended, and all runs again.
-    async fn ask_once(&self, octet: u8) {
+    /// Sends the marked request to an entry, and waits until the entry has detected all crashes and the
+    /// replicas run again.
+    async fn send_marked(&self, octet: u8) {
         self.replicas.iter().for_each(|it| it.stays_away(true));
-        self.send(octet, MARKED).await;
-        let asked = self.entry(octet);
-        wait_until(|| async { asked.entry().unsettled() == 0 }).await;
+        self.send(octet, MARKER).await;
+        let handle = self.entry(octet);
+        wait_until(|| async { handle.entry().unsettled() == 0 }).await;
         self.replicas.iter().for_each(|it| it.stays_away(false));
         wait_until(|| async { self.replicas.iter().all(|it| it.runs()) }).await;
     }
 
-    /// Waits until nothing is to be found out any more, and all entries know the same.
-    async fn agreed(&self) {
-        let known = |handle: &Handle| {
+    /// Waits until no crash is undecided and all entries have the same suspects.
+    async fn wait_until_agreed(&self) {
+        let sorted_suspects = |handle: &Handle| {
             let mut suspects = handle.entry().suspects();
             suspects.sort_unstable();
             suspects
         };
         let first = &self.harness.entry;
-        let settled = |it: &Handle| it.entry().unsettled() == 0 && known(it) == known(first);
+        let settled = |it: &Handle| {
+            it.entry().unsettled() == 0 && sorted_suspects(it) == sorted_suspects(first)
+        };
         wait_until(|| async { self.entries().all(settled) }).await;
     }
 
-    /// The entry of an instance.
+    /// Returns the entry with the given last octet.
     fn entry(&self, octet: u8) -> &Handle {
-        let own = |it: &&Handle| it.entry().node.settings().address == address(octet);
-        self.entries().find(own).unwrap()
+        let has_address = |it: &&Handle| it.entry().node.settings().address == address(octet);
+        self.entries().find(has_address).unwrap()
     }
 }
 
@@ -211,25 +218,29 @@
 }
 
 #[test]
-fn a_request_that_ended_three_replicas_goes_to_no_more_while_others_are_served() {
+fn a_request_is_quarantined_after_three_crashes_while_others_are_served() {
     run(async {
-        let fleet = Fleet::alone(6).await;
+        let fleet = Fleet::with_one_entry(6).await;
         for turn in 0..12 {
-            fleet.ask_once(1).await;
-            fleet.whole().await;
-            let innocent = fleet.send(1, &format!("innocent {turn}")).await;
-            assert_eq!(innocent, "200");
+            fleet.send_marked(1).await;
+            fleet.wait_until_listed().await;
+            let status = fleet.send(1, &format!("innocent {turn}")).await;
+            assert_eq!(status, "200");
         }
-        assert!(fleet.marked() <= MOST, "{}", fleet.marked());
+        assert!(
+            fleet.marked_requests() <= MAX_MARKED_REQUESTS,
+            "{}",
+            fleet.marked_requests()
+        );
     });
 }
 
 #[test]
-fn what_one_entry_learned_of_a_request_holds_at_entries_of_every_region() {
+fn a_quarantine_applies_at_the_entries_of_all_regions() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far"), (4, "far")]).await;
-        let marked = fleet.ask_marked(&[1, 3, 2, 4], 24).await;
-        assert!(marked <= MOST, "{marked}");
+        let marked_requests = fleet.send_marked_by_turns(&[1, 3, 2, 4], 24).await;
+        assert!(marked_requests <= MAX_MARKED_REQUESTS, "{marked_requests}");
         for octet in 1..=4 {
             assert_eq!(fleet.send(octet, "innocent").await, "200");
         }
@@ -237,10 +248,10 @@
 }
 
 #[test]
-fn what_is_known_of_a_request_outlives_all_entries() {
+fn a_quarantine_survives_a_restart_of_all_entries() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "far")]).await;
-        fleet.ask_marked(&[1, 2], 4).await;
+        fleet.send_marked_by_turns(&[1, 2], 4).await;
         wait_until(|| async { fleet.harness.has_request_record() }).await;
         let Fleet {
             harness, replicas, ..
@@ -251,61 +262,66 @@
             others: Vec::new(),
             replicas,
         };
-        let marked = fleet.ask_marked(&[1], 8).await;
-        assert!(marked <= MOST, "{marked}");
+        let marked_requests = fleet.send_marked_by_turns(&[1], 8).await;
+        assert!(marked_requests <= MAX_MARKED_REQUESTS, "{marked_requests}");
         assert_eq!(fleet.send(1, "innocent").await, "200");
     });
 }
+
 #[test]
-fn what_is_known_of_a_request_is_told_and_kept_though_the_store_was_away() {
+fn a_quarantine_spreads_during_a_store_outage_and_is_stored_afterwards() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far")]).await;
         fleet.harness.tables.mood.set(Mood::Refusing);
         fleet.harness.tables.cut();
-        // The tables stand still: what ended is found out from its connections, and a replica that is back counts
-        // as the start that is listed, so that its second end is no news.
-        let counts = |handle: &Handle| {
+        // The tables don't change, so entries detect crashes from connections. A restarted replica still
+        // counts as its listed start, so its second crash adds no evidence.
+        let crash_counts = |handle: &Handle| {
             let suspects = handle.entry().suspects().into_iter();
             suspects.map(|it| it.1).max().unwrap_or(0)
         };
         for turn in 0.. {
             let octet = [1, 3, 2][turn % 3];
-            fleet.ask_once(octet).await;
-            if 3 <= counts(fleet.entry(octet)) {
+            fleet.send_marked(octet).await;
+            if 3 <= crash_counts(fleet.entry(octet)) {
                 break;
             }
         }
-        wait_until(|| async { fleet.entries().all(|it| 3 <= counts(it)) }).await;
-        let ended = fleet.replicas.iter().filter(|it| 0 < it.seen().ends);
-        assert!(ended.count() <= MOST, "two at most for each entry");
-        let marked = fleet.marked();
+        wait_until(|| async { fleet.entries().all(|it| 3 <= crash_counts(it)) }).await;
+        let crashed_replicas = fleet.replicas.iter().filter(|it| 0 < it.seen().ends);
+        assert!(
+            crashed_replicas.count() <= MAX_MARKED_REQUESTS,
+            "at most two crashed replicas for each entry"
+        );
+        let marked_requests = fleet.marked_requests();
         for octet in [1, 2, 3] {
-            assert_eq!(fleet.send(octet, MARKED).await, "503");
+            assert_eq!(fleet.send(octet, MARKER).await, "503");
         }
-        assert_eq!(fleet.marked(), marked);
+        assert_eq!(fleet.marked_requests(), marked_requests);
         fleet.harness.tables.mood.set(Mood::Well);
         wait_until(|| async { fleet.harness.has_request_record() }).await;
-        fleet.whole().await;
+        fleet.wait_until_listed().await;
         assert_eq!(fleet.send(2, "innocent").await, "200");
     });
 }
 
-/// All replicas end at once, twice, with innocent requests on each; their callers come again with the same.
+/// All replicas crash at once, twice, with harmless requests on each; the callers repeat the same
+/// requests.
 #[test]
-fn a_mass_failure_shuts_out_none() {
+fn a_mass_failure_quarantines_no_request() {
     run(async {
         let fleet = Fleet::start(4, &[(2, "far")]).await;
         let bodies: Vec<String> = (0..16).map(|it| format!("innocent {it}")).collect();
         for failure in 0..2 {
-            let asks = bodies.iter().zip([1, 2].into_iter().cycle());
-            let asks = asks.map(|(body, octet)| fleet.send(octet, body));
-            let before = fleet.arrived();
-            let ends = async {
-                wait_until(|| async { before + 8 <= fleet.arrived() }).await;
-                fleet.end_all().await;
+            let requests = bodies.iter().zip([1, 2].into_iter().cycle());
+            let requests = requests.map(|(body, octet)| fleet.send(octet, body));
+            let before = fleet.total_requests();
+            let crashes = async {
+                wait_until(|| async { before + 8 <= fleet.total_requests() }).await;
+                fleet.crash_all().await;
             };
-            join(join_all(asks), ends).await;
-            fleet.agreed().await;
+            join(join_all(requests), crashes).await;
+            fleet.wait_until_agreed().await;
             assert!(
                 !fleet.harness.entry.entry().suspects().is_empty(),
                 "{failure}"
@@ -314,20 +330,20 @@
         for (body, octet) in bodies.iter().zip([2, 1].into_iter().cycle()) {
             assert_eq!(fleet.send(octet, body).await, "200", "{body}");
         }
-        // What they were suspected of, their answers have cleared.
+        // Their responses have cleared the suspicion.
         let entry = fleet.harness.entry.entry();
-        let cleared = || entry.suspects().iter().all(|it| it.1 == 0);
-        wait_until(|| async { cleared() }).await;
+        let is_cleared = || entry.suspects().iter().all(|it| it.1 == 0);
+        wait_until(|| async { is_cleared() }).await;
     });
 }
 
-/// Connections break while the replica lives: whatever breaks them, no replica ended.
+/// Connections break while the replica keeps running: no replica has crashed.
 #[test]
-fn connections_that_break_speak_against_no_request() {
+fn broken_connections_make_no_request_suspect() {
     run(async {
-        let breaks = || vec![Step::Read, Step::Reset];
+        let resets = || vec![Step::Read, Step::Reset];
         let closes = || vec![Step::Read, Step::Close];
-        let replica = || vec![breaks(), closes(), breaks(), closes(), breaks(), closes()];
+        let replica = || vec![resets(), closes(), resets(), closes(), resets(), closes()];
         let scripts = vec![replica(), replica(), replica()];
         let harness = Harness::start(TestConfig::of(RouteKind::Idempotent), scripts).await;
         let entry = harness.entry.entry();
@@ -341,20 +357,20 @@
     });
 }
 
-/// A request was under way at replicas that ended for other reasons; then one answers it.
+/// A request is in flight at replicas that crash for other reasons; then a replica answers it.
 #[test]
-fn an_answer_clears_a_request_at_every_entry() {
+fn a_response_clears_a_suspect_request_at_all_entries() {
     run(async {
         let fleet = Fleet::start(4, &[(2, "z"), (3, "far")]).await;
         for _ in 0..2 {
-            let before = fleet.arrived();
-            let ends = async {
-                wait_until(|| async { before < fleet.arrived() }).await;
-                fleet.end_all().await;
+            let before = fleet.total_requests();
+            let crashes = async {
+                wait_until(|| async { before < fleet.total_requests() }).await;
+                fleet.crash_all().await;
             };
-            join(fleet.send(1, "innocent"), ends).await;
+            join(fleet.send(1, "innocent"), crashes).await;
         }
-        let counts = |handle: &Handle| -> Vec<usize> {
+        let crash_counts = |handle: &Handle| -> Vec<usize> {
             handle
                 .entry()
                 .suspects()
@@ -362,23 +378,23 @@
                 .map(|it| it.1)
                 .collect()
         };
-        wait_until(|| async { fleet.entries().all(|it| counts(it) == [2]) }).await;
+        wait_until(|| async { fleet.entries().all(|it| crash_counts(it) == [2]) }).await;
         assert_eq!(fleet.send(3, "innocent").await, "200");
-        wait_until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
+        wait_until(|| async { fleet.entries().all(|it| crash_counts(it) == [0]) }).await;
     });
 }
 
-/// The store is away, and an entry starts that knows only what its peers tell it.
+/// An entry starts during a store outage and gets its state only from peers.
 #[test]
-fn an_entry_that_starts_while_the_store_is_away_is_told_of_what_ends_replicas() {
+fn an_entry_that_starts_during_a_store_outage_gets_suspects_from_peers() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z")]).await;
         fleet.harness.tables.mood.set(Mood::Refusing);
         fleet.harness.tables.cut();
         for turn in 0..6 {
-            fleet.ask_once([1, 2][turn % 2]).await;
+            fleet.send_marked([1, 2][turn % 2]).await;
         }
-        let before = fleet.marked();
+        let before = fleet.marked_requests();
         let newcomer = fleet
             .harness
             .add_entry_in_zone(3, "far", &fleet.harness.tables)
@@ -390,39 +406,42 @@
                 .starts_with("HTTP/1.1 200")
         };
         wait_until(ready).await;
-        assert_eq!(fleet.send(3, MARKED).await, "503");
-        assert_eq!(fleet.marked(), before);
+        assert_eq!(fleet.send(3, MARKER).await, "503");
+        assert_eq!(fleet.marked_requests(), before);
     });
 }
 
-/// What speaks against a request is listed in the store, and an operator's word takes it back at every entry.
+/// A suspect request is listed in the store, and an operator can lift its quarantine at all entries.
 #[test]
-fn an_operator_sees_and_lifts_what_is_shut_out() {
+fn an_operator_lists_and_lifts_a_quarantine() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "far")]).await;
-        fleet.ask_marked(&[1, 2], 6).await;
+        fleet.send_marked_by_turns(&[1, 2], 6).await;
         let store = &*fleet.harness.tables;
-        let known = fleet.harness.entry.entry().suspects()[0];
-        assert!(3 <= known.1, "{known:?}");
-        let kept = || async {
+        let suspect = fleet.harness.entry.entry().suspects()[0];
+        assert!(3 <= suspect.1, "{suspect:?}");
+        let is_stored = || async {
             let rows = suspects::list(store).await.unwrap();
-            rows.iter().any(|it| (it.request, it.crashes()) == known)
+            rows.iter().any(|it| (it.request, it.crashes()) == suspect)
         };
-        wait_until(kept).await;
+        wait_until(is_stored).await;
         let row = suspects::list(store).await.unwrap().remove(0);
-        assert_eq!(fleet.send(2, MARKED).await, "503");
+        assert_eq!(fleet.send(2, MARKER).await, "503");
         assert_eq!(suspects::lift(store, row.request).await, Ok(true));
-        let counts = |handle: &Handle| -> Vec<usize> {
+        let crash_counts = |handle: &Handle| -> Vec<usize> {
             let suspects = handle.entry().suspects().into_iter();
             suspects
                 .filter(|it| it.0 == row.request)
                 .map(|it| it.1)
                 .collect()
         };
-        wait_until(|| async { fleet.entries().all(|it| counts(it) == [0]) }).await;
-        let before = fleet.marked();
-        fleet.send(2, MARKED).await;
-        assert!(before < fleet.marked(), "it is sent on again");
+        wait_until(|| async { fleet.entries().all(|it| crash_counts(it) == [0]) }).await;
+        let before = fleet.marked_requests();
+        fleet.send(2, MARKER).await;
+        assert!(
+            before < fleet.marked_requests(),
+            "the request must reach replicas again"
+        );
         let unknown = Fingerprint::of(None, ["h", "GET", "/"], b"");
         assert_eq!(suspects::lift(store, unknown).await, Ok(false));
     });
