--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -22,7 +22,8 @@
 /// The result of reading a table from an offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TableRead {
-    /// The store no longer has the requested records; a snapshot has to be read instead.
+    /// The store has truncated the requested records, or they are too large for one read; a
+    /// snapshot has to be read instead.
     Truncated,
     /// The first records; a read from the end of these returns more.
     Partial(Update),
