--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -38,7 +38,7 @@
     version::{fetch::Fetch, readers, waves::SwitchProgress},
 };
 use gradeloft_wire::{
-    datagram::{Access, Engine, Sender},
+    datagram::{Engine, Sender, StoreAccess},
     frame::Table,
     id::Digest,
 };
@@ -104,7 +104,7 @@
 struct KnownEntry {
     received_at: Time,
     /// Whether the platform's store serves the entry.
-    store: Access,
+    store: StoreAccess,
     /// Whether the entry is in this agent's region.
     near: bool,
 }
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -7,7 +7,7 @@
 
 use gradeloft_policy::{clock::Time, rendezvous, version::waves::SwitchProgress};
 use gradeloft_wire::{
-    datagram::{Access, Sender, Switched},
+    datagram::{Sender, StoreAccess, Switched},
     frame::Table,
 };
 use rand::Rng;
@@ -150,7 +150,8 @@
         };
         let now = agent.node.clock.now();
         let serves = |it: &KnownEntry| {
-            it.store == Access::Served && now < it.received_at.after_ms(SERVED_ENTRY_TIMEOUT_MS)
+            it.store == StoreAccess::Served
+                && now < it.received_at.after_ms(SERVED_ENTRY_TIMEOUT_MS)
         };
         let served = agent.entries.borrow().values().any(serves);
         if agent.node.loaded(table) {
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -22,7 +22,9 @@
     rendezvous,
 };
 use gradeloft_wire::{
-    datagram::{self, Access, Loads, Member, Presence, Region, Seen, Sender, Switched},
+    datagram::{
+        self, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess, Switched,
+    },
     frame::Table,
 };
 use rand::seq::IteratorRandom;
@@ -142,11 +144,11 @@
     }
 
     /// Returns the message that holds this entry's state.
-    pub(super) fn state(&self, loads: Loads, entries: Vec<Ipv4Addr>, asks: bool) -> Sender {
+    pub(super) fn state(&self, loads: Loads, entries: Vec<Ipv4Addr>, wants_state: bool) -> Sender {
         Sender::Entry {
             presence: self.presence(),
             store: self.node.access(),
-            asks,
+            wants_state,
             loads,
             entries,
             switched: Vec::new(),
@@ -218,10 +220,10 @@
         for (relay, random) in self.relays(self.sent_to_regions.get(), now) {
             for message in &messages {
                 let purpose = purpose(message);
-                let word = message.clone();
+                let message = message.clone();
                 let sender = Sender::Region {
                     relayed: false,
-                    word,
+                    message,
                 };
                 let to = relay.into_iter();
                 self.node.send_state(purpose, Reach::Far, sender, to);
@@ -236,14 +238,14 @@
     }
 
     /// Returns the messages that are due for other regions in a round.
-    fn region_messages(&self, round: u32, changed: &[SocketAddr], now: Time) -> Vec<Region> {
+    fn region_messages(&self, round: u32, changed: &[SocketAddr], now: Time) -> Vec<RegionMessage> {
         // Each entry receives from all delegates of every other region.
         let senders = DELEGATES * self.other_regions().len();
         let mut messages = Vec::new();
         let loads = self.region_loads();
         let rows: usize = loads.iter().map(|it| it.loads.len()).sum();
         if is_due(round, FAR_LOADS_BUDGET.pause(senders, rows * LOAD_BYTES)) {
-            messages.extend(loads.into_iter().map(Region::Loads));
+            messages.extend(loads.into_iter().map(RegionMessage::Loads));
         }
         let members = self.members(now);
         if is_due(
@@ -251,7 +253,7 @@
             FAR_MEMBERS_BUDGET.pause(senders, members.len() * MEMBER_BYTES),
         ) {
             let parts = members.chunks(MAX_MEMBERS);
-            messages.extend(parts.map(|it| Region::Members(it.to_vec())));
+            messages.extend(parts.map(|it| RegionMessage::Members(it.to_vec())));
         }
         let mut engines = self.engines(now);
         let pause = FAR_ENGINES_BUDGET.pause(senders, engines.len() * ENGINE_BYTES);
@@ -259,7 +261,7 @@
             engines.retain(|it| changed.contains(&SocketAddr::V4(it.replica)));
         }
         let parts = engines.chunks(MAX_ENGINES);
-        messages.extend(parts.map(|it| Region::Engines(it.to_vec())));
+        messages.extend(parts.map(|it| RegionMessage::Engines(it.to_vec())));
         messages
     }
 
@@ -323,7 +325,7 @@
     }
 
     /// Returns the recent reports of this region's agents.
-    fn engines(&self, now: Time) -> Vec<Seen> {
+    fn engines(&self, now: Time) -> Vec<EngineReport> {
         let replicas = self.replicas.borrow();
         let near = replicas.iter().filter(|(_, it)| it.near);
         let seen = near.filter_map(|(_, it)| {
@@ -332,7 +334,7 @@
             let SocketAddr::V4(replica) = it.listing.address else {
                 return None;
             };
-            (age_ms < ENGINE_MAX_AGE_MS).then_some(Seen {
+            (age_ms < ENGINE_MAX_AGE_MS).then_some(EngineReport {
                 replica,
                 engine: datagram::Engine {
                     born: report.born,
@@ -380,7 +382,7 @@
         let sender = Sender::Entry {
             presence: self.presence(),
             store: self.node.access(),
-            asks: false,
+            wants_state: false,
             loads: Loads::default(),
             entries: Vec::new(),
             switched: self.switched(),
@@ -462,12 +464,12 @@
 
 /// Splits the requests at replicas into as many messages as they need.
 fn split_loads(sums: HashMap<u32, Load>, demand: f64) -> Vec<Loads> {
-    let further = sums.len().saturating_sub(1) / MAX_LOADS;
-    let count = further as u32 + 1;
+    let last_part = sums.len().saturating_sub(1) / MAX_LOADS;
+    let count = last_part as u32 + 1;
     let mut parts: Vec<Loads> = (0..count)
         .map(|number| Loads {
             part: number as u16,
-            further: further as u16,
+            last_part: last_part as u16,
             demand: (demand * 10.0) as u32,
             loads: Vec::new(),
         })
@@ -483,11 +485,11 @@
     parts
 }
 
-fn purpose(message: &Region) -> Purpose {
+fn purpose(message: &RegionMessage) -> Purpose {
     match message {
-        Region::Engines(_) => Purpose::Engines,
-        Region::Loads(_) => Purpose::Loads,
-        Region::Members(_) => Purpose::Members,
+        RegionMessage::Engines(_) => Purpose::Engines,
+        RegionMessage::Loads(_) => Purpose::Loads,
+        RegionMessage::Members(_) => Purpose::Members,
     }
 }
 
@@ -501,8 +503,8 @@
             State::Starting => Presence::Starting,
         },
         store: match status.served {
-            true => Access::Served,
-            false => Access::Unserved,
+            true => StoreAccess::Served,
+            false => StoreAccess::Unserved,
         },
         end: status.end,
     }
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -17,7 +17,9 @@
     rendezvous,
 };
 use gradeloft_wire::{
-    datagram::{Access, Datagram, Engine, Loads, Member, Presence, Region, Seen, Sender},
+    datagram::{
+        Datagram, Engine, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess,
+    },
     frame::Table,
 };
 
@@ -62,8 +64,8 @@
                 }
             }
             Sender::Entry { .. } => self.receive_entry(from, &datagram, now),
-            Sender::Region { word, .. } => {
-                self.receive_region(&datagram.zone, word, now);
+            Sender::Region { message, .. } => {
+                self.receive_region(&datagram.zone, message, now);
                 if !relayed_before {
                     self.relay_datagram(&datagram);
                 }
@@ -98,7 +100,7 @@
         let Sender::Entry {
             presence,
             store,
-            asks,
+            wants_state,
             loads,
             entries,
             ..
@@ -112,7 +114,7 @@
             incarnation: datagram.incarnation,
             zone: &datagram.zone,
             state: state(*presence),
-            served: *store == Access::Served,
+            served: *store == StoreAccess::Served,
             end: datagram.ends[Table::Operator as usize],
         };
         self.roster.borrow_mut().receive(from, status, now);
@@ -122,27 +124,27 @@
                 .borrow_mut()
                 .receive(from, load_report(loads, now));
         }
-        if *asks {
+        if *wants_state {
             self.introduce(from, &datagram.zone);
         }
     }
 
     /// Applies the state of another region's entries.
-    fn receive_region(&self, zone: &str, message: &Region, now: Time) {
+    fn receive_region(&self, zone: &str, message: &RegionMessage, now: Time) {
         if self.node.near(zone) {
             return;
         }
         let region = self.node.settings().region(zone).to_owned();
         match message {
-            Region::Engines(engines) => engines
+            RegionMessage::Engines(engines) => engines
                 .iter()
                 .for_each(|it| self.receive_relayed_report(it, now)),
-            Region::Loads(loads) => {
+            RegionMessage::Loads(loads) => {
                 self.far_loads
                     .borrow_mut()
                     .receive(region, load_report(loads, now));
             }
-            Region::Members(members) => members
+            RegionMessage::Members(members) => members
                 .iter()
                 .for_each(|it| self.receive_member(zone, it, now)),
         }
@@ -153,7 +155,7 @@
             incarnation: member.incarnation,
             zone,
             state: state(member.presence),
-            served: member.store == Access::Served,
+            served: member.store == StoreAccess::Served,
             end: member.end,
         };
         self.roster
@@ -194,9 +196,9 @@
         }
     }
 
-    fn receive_relayed_report(&self, seen: &Seen, now: Time) {
-        let at = now.before_ms(u64::from(seen.age_ms));
-        self.apply_report(SocketAddr::V4(seen.replica), report(seen.engine, at));
+    fn receive_relayed_report(&self, relayed: &EngineReport, now: Time) {
+        let at = now.before_ms(u64::from(relayed.age_ms));
+        self.apply_report(SocketAddr::V4(relayed.replica), report(relayed.engine, at));
     }
 
     fn last_report(&self, address: SocketAddr) -> Option<Report> {
@@ -252,7 +254,7 @@
     remote_loads::Part {
         at,
         part: loads.part,
-        further: loads.further,
+        last_part: loads.last_part,
         demand: f64::from(loads.demand) / 10.0,
         loads: loads.loads.iter().map(load).collect(),
     }
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use gradeloft_platform::{Fault, fleet::Put};
 use gradeloft_policy::{clock::Time, process::roster, rendezvous};
-use gradeloft_wire::{datagram::Access, frame::Table};
+use gradeloft_wire::{datagram::StoreAccess, frame::Table};
 use rand::Rng;
 use slog::warn;
 
@@ -69,7 +69,7 @@
         let roster = self.roster.borrow();
         let others = roster.served(near, now);
         let others = others.map(|it| roster::hash(&it));
-        self.node.access() == Access::Served
+        self.node.access() == StoreAccess::Served
             && rendezvous::rank(Table::Entries as u64, own, others) == 0
     }
 
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -10,7 +10,7 @@
         replicas::StoreTrust,
     },
 };
-use gradeloft_wire::{datagram::Access, frame::Table};
+use gradeloft_wire::{datagram::StoreAccess, frame::Table};
 use rand::Rng;
 use slog::{info, warn};
 
@@ -91,7 +91,7 @@
 
     /// Returns whether the store serves this process, as far as it knows. For a moment after an interruption it
     /// counts as unserved, as its reads are doubtful: processes without an interruption keep reading.
-    pub fn access(&self) -> Access {
+    pub fn access(&self) -> StoreAccess {
         let now = self.clock.now();
         let doubtful = |it: &ReadState| match it {
             ReadState::Interrupted => true,
@@ -99,9 +99,9 @@
             ReadState::Standby | ReadState::Steady => false,
         };
         if self.read_states.borrow().iter().any(doubtful) {
-            Access::Unserved
+            StoreAccess::Unserved
         } else {
-            Access::Served
+            StoreAccess::Served
         }
     }
 
--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -13,7 +13,7 @@
 use gradeloft_standin::tables::{Mood, Tables};
 use gradeloft_wire::{
     codec,
-    datagram::{Access, Datagram, Loads, MAX_BYTES, Presence, Sender, Switched},
+    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, Switched},
     frame::Table,
 };
 use tokio::net::{TcpListener, UdpSocket};
@@ -130,7 +130,7 @@
 }
 
 /// Starts an entry that sends datagrams to an agent, and collects the agent's reports.
-async fn fake_entry(last: u8, agent: u8, store: Access, reports: Rc<RefCell<Vec<Sender>>>) {
+async fn fake_entry(last: u8, agent: u8, store: StoreAccess, reports: Rc<RefCell<Vec<Sender>>>) {
     let socket = Rc::new(UdpSocket::bind((address(last), 7700)).await.unwrap());
     let sending = Rc::clone(&socket);
     actix_rt::spawn(async move {
@@ -142,7 +142,7 @@
             sender: Sender::Entry {
                 presence: Presence::Ready,
                 store,
-                asks: false,
+                wants_state: false,
                 loads: Loads::default(),
                 entries: Vec::new(),
                 switched: Vec::new(),
@@ -250,7 +250,7 @@
         let world = World::start(1, |_, _| {}).await;
         let reports = Rc::new(RefCell::new(Vec::new()));
         // The entry has no access to the store, so the agent reads the store itself.
-        fake_entry(9, 1, Access::Unserved, Rc::clone(&reports)).await;
+        fake_entry(9, 1, StoreAccess::Unserved, Rc::clone(&reports)).await;
         world.wait_for_version(1).await;
         let engine = &world.engines[0];
         engine.hold_loads.set(true);
@@ -295,8 +295,8 @@
                 unconfirmed_ms: [u16::MAX; 3],
                 sender: Sender::Entry {
                     presence: Presence::Ready,
-                    store: Access::Unserved,
-                    asks: false,
+                    store: StoreAccess::Unserved,
+                    wants_state: false,
                     loads: Loads::default(),
                     entries: Vec::new(),
                     switched: vec![Switched {
@@ -385,14 +385,14 @@
 fn agent_reads_the_store_itself_if_no_entry_answers() {
     run(async {
         // An entry of another region reports newer records, and answers no calls.
-        fake_entry(9, 1, Access::Served, Rc::default()).await;
+        fake_entry(9, 1, StoreAccess::Served, Rc::default()).await;
         let world = World::start(1, |_, _| {}).await;
         world.wait_for_version(1).await;
     });
 }
 
 /// Returns a datagram from an entry without load, with the given access to the store.
-fn entry_datagram(store: Access) -> Vec<u8> {
+fn entry_datagram(store: StoreAccess) -> Vec<u8> {
     codec::body(&Datagram {
         incarnation: 1,
         zone: "z".to_owned(),
@@ -401,7 +401,7 @@
         sender: Sender::Entry {
             presence: Presence::Ready,
             store,
-            asks: false,
+            wants_state: false,
             loads: Loads::default(),
             entries: Vec::new(),
             switched: Vec::new(),
@@ -416,7 +416,7 @@
 fn first_datagram_of_an_entry_causes_a_report_to_that_entry_only() {
     run(async {
         let received = Rc::default();
-        fake_entry(30, 1, Access::Unserved, Rc::clone(&received)).await;
+        fake_entry(30, 1, StoreAccess::Unserved, Rc::clone(&received)).await;
         let world = World::start(1, |_, _| {}).await;
         world.wait_for_version(1).await;
         let reports = || received.borrow().len();
@@ -427,7 +427,7 @@
         let newcomers = 20;
         for last in 40..40 + newcomers {
             let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
-            let datagram = entry_datagram(Access::Unserved);
+            let datagram = entry_datagram(StoreAccess::Unserved);
             socket.send_to(&datagram, (address(1), 7700)).await.unwrap();
             let mut buffer = [0; MAX_BYTES];
             let (length, _) = socket.recv_from(&mut buffer).await.unwrap();
@@ -455,7 +455,7 @@
             let (length, from) = seed.recv_from(&mut buffer).await.unwrap();
             let report: Datagram = codec::parse(&buffer[..length]).unwrap();
             assert!(matches!(report.sender, Sender::Agent { .. }));
-            seed.send_to(&entry_datagram(Access::Served), from)
+            seed.send_to(&entry_datagram(StoreAccess::Served), from)
                 .await
                 .unwrap();
         }
@@ -472,7 +472,7 @@
         let world = World::start(3, |_, _| {}).await;
         world.wait_for_version(1).await;
         for (agent, last) in (1..=3).zip(30..) {
-            fake_entry(last, agent, Access::Unserved, Rc::default()).await;
+            fake_entry(last, agent, StoreAccess::Unserved, Rc::default()).await;
         }
         for agent in &world.agents {
             while agent.agent().entries().is_empty() {
@@ -494,7 +494,7 @@
         let agent = world.agents[0].agent();
         world.tables.mood.set(Mood::Refusing);
         world.tables.cut();
-        while agent.node.access() == Access::Served {
+        while agent.node.access() == StoreAccess::Served {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let outage_start = agent.node.clock.now();
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -17,7 +17,9 @@
 use gradeloft_standin::{scripted::Step, tables::Mood};
 use gradeloft_wire::{
     codec,
-    datagram::{Access, Datagram, Load, Loads, MAX_BYTES, Member, Presence, Region, Sender},
+    datagram::{
+        Datagram, Load, Loads, MAX_BYTES, Member, Presence, RegionMessage, Sender, StoreAccess,
+    },
     frame::Table,
 };
 use tokio::net::UdpSocket;
@@ -25,7 +27,7 @@
 use crate::support::{Harness, TestConfig, address, ok, run, wait_until};
 
 /// Returns a datagram in which another entry announces its state.
-fn datagram(zone: &str, store: Access) -> Datagram {
+fn datagram(zone: &str, store: StoreAccess) -> Datagram {
     Datagram {
         incarnation: 1,
         zone: zone.to_owned(),
@@ -34,7 +36,7 @@
         sender: Sender::Entry {
             presence: Presence::Ready,
             store,
-            asks: false,
+            wants_state: false,
             loads: Loads::default(),
             entries: Vec::new(),
             switched: Vec::new(),
@@ -43,7 +45,7 @@
 }
 
 /// Starts another entry that periodically announces whether the store serves it.
-async fn announcing_entry(octet: u8, to: u8, store: Rc<Cell<Access>>) {
+async fn announcing_entry(octet: u8, to: u8, store: Rc<Cell<StoreAccess>>) {
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         loop {
@@ -57,7 +59,7 @@
 /// Starts another entry that counts the datagrams it receives.
 async fn counting_entry(octet: u8, zone: &str) -> Rc<Cell<u32>> {
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-    let bytes = codec::body(&datagram(zone, Access::Served));
+    let bytes = codec::body(&datagram(zone, StoreAccess::Served));
     let count = Rc::new(Cell::new(0));
     let counted = Rc::clone(&count);
     actix_rt::spawn(async move {
@@ -75,12 +77,12 @@
 }
 
 /// Returns the region state in a datagram that a delegate sends to another region.
-fn unrelayed_region(datagram: &Datagram) -> Option<&Region> {
+fn unrelayed_region(datagram: &Datagram) -> Option<&RegionMessage> {
     match &datagram.sender {
         Sender::Region {
             relayed: false,
-            word,
-        } => Some(word),
+            message,
+        } => Some(message),
         _ => None,
     }
 }
@@ -99,7 +101,7 @@
 
     /// Announces the entry to the instance `to`.
     async fn announce(&self, to: u8) {
-        let bytes = codec::body(&datagram(self.zone, Access::Served));
+        let bytes = codec::body(&datagram(self.zone, StoreAccess::Served));
         self.socket
             .send_to(&bytes, (address(to), 7700))
             .await
@@ -135,7 +137,7 @@
         near.announce(1).await;
         let far = UdpPeer::bind(4, "elsewhere").await;
         let members = far.receive(1, |it| match unrelayed_region(it)? {
-            Region::Members(members) if members.len() == 2 => Some(members.clone()),
+            RegionMessage::Members(members) if members.len() == 2 => Some(members.clone()),
             _ => None,
         });
         let announcing = async {
@@ -152,7 +154,7 @@
         addresses.sort_unstable();
         assert_eq!(addresses, [address(1), address(3)]);
         far.receive(1, |it| {
-            matches!(unrelayed_region(it)?, Region::Loads(_)).then_some(())
+            matches!(unrelayed_region(it)?, RegionMessage::Loads(_)).then_some(())
         })
         .await;
     });
@@ -209,15 +211,15 @@
             address: address(50),
             incarnation: 1,
             presence: Presence::Ready,
-            store: Access::Served,
+            store: StoreAccess::Served,
             end: 0,
         };
         let region_datagram = |relayed| Datagram {
             sender: Sender::Region {
                 relayed,
-                word: Region::Members(vec![member]),
+                message: RegionMessage::Members(vec![member]),
             },
-            ..datagram("elsewhere", Access::Served)
+            ..datagram("elsewhere", StoreAccess::Served)
         };
         let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
         let bytes = codec::body(&region_datagram(false));
@@ -226,10 +228,16 @@
             .await
             .unwrap();
         let forwarded = near.receive(1, |it| match &it.sender {
-            Sender::Region { relayed, word } => Some((*relayed, it.zone.clone(), word.clone())),
+            Sender::Region { relayed, message } => {
+                Some((*relayed, it.zone.clone(), message.clone()))
+            }
             _ => None,
         });
-        let expected = (true, "elsewhere".to_owned(), Region::Members(vec![member]));
+        let expected = (
+            true,
+            "elsewhere".to_owned(),
+            RegionMessage::Members(vec![member]),
+        );
         assert_eq!(forwarded.await, expected);
         assert!(
             entry
@@ -259,9 +267,9 @@
         let first = UdpPeer::bind(4, "elsewhere").await;
         first.announce(1).await;
         let second = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let mut asking_datagram = datagram("elsewhere", Access::Served);
-        if let Sender::Entry { asks, .. } = &mut asking_datagram.sender {
-            *asks = true;
+        let mut asking_datagram = datagram("elsewhere", StoreAccess::Served);
+        if let Sender::Entry { wants_state, .. } = &mut asking_datagram.sender {
+            *wants_state = true;
         }
         let mut buffer = [0; MAX_BYTES];
         let listed = loop {
@@ -289,7 +297,7 @@
         let peer = UdpPeer::bind(3, "z").await;
         for octet in 10..90 {
             let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-            let bytes = codec::body(&datagram("z", Access::Served));
+            let bytes = codec::body(&datagram("z", StoreAccess::Served));
             socket.send_to(&bytes, (address(1), 7700)).await.unwrap();
         }
         let clock = Clock::start();
@@ -338,7 +346,7 @@
                 replica: std::net::SocketAddrV4::new(address(9), 8540),
                 engine: None,
             },
-            ..datagram("elsewhere", Access::Served)
+            ..datagram("elsewhere", StoreAccess::Served)
         };
         let sent = codec::body(&report);
         agent.send_to(&sent, (address(1), 7700)).await.unwrap();
@@ -368,7 +376,7 @@
         let octet = |place: usize| 10 + order[place] as u8;
         let added = harness.add_entry(octet(2), &harness.tables).await;
         let entry = added.entry();
-        let store = Rc::new(Cell::new(Access::Served));
+        let store = Rc::new(Cell::new(StoreAccess::Served));
         for place in 0..2 {
             announcing_entry(octet(place), octet(2), Rc::clone(&store)).await;
         }
@@ -378,7 +386,7 @@
             entry.node.on_standby(table)
         })
         .await;
-        store.set(Access::Unserved);
+        store.set(StoreAccess::Unserved);
         wait_until(|| async { !entry.node.on_standby(table) }).await;
         harness.tables.write(table, "i-0", None);
         let removal_received = || {
@@ -400,8 +408,8 @@
         let added = harness.add_entry(2, &harness.tables).await;
         let node = &added.entry().node;
         // The entry detects process pauses from here on.
-        wait_until(|| async { node.access() == Access::Unserved }).await;
-        let mut announcement = datagram("z", Access::Served);
+        wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
+        let mut announcement = datagram("z", StoreAccess::Served);
         // The sender's copy of the operator's table is complete, and its copy of `Replicas` is newer.
         announcement.unconfirmed_ms = [0; 3];
         announcement.ends = [0, 0, 9];
@@ -454,18 +462,18 @@
             address: Ipv4Addr::new(10, 8, (idx >> 8) as u8, idx as u8),
             incarnation: u64::MAX,
             presence: Presence::Ready,
-            store: Access::Served,
+            store: StoreAccess::Served,
             end: u64::MAX,
         };
         let members: Vec<u32> = (0..410).collect();
         for chunk in members.chunks(50) {
-            let word = Region::Members(chunk.iter().map(|it| member(*it)).collect());
+            let message = RegionMessage::Members(chunk.iter().map(|it| member(*it)).collect());
             let announcement = Datagram {
                 sender: Sender::Region {
                     relayed: true,
-                    word,
+                    message,
                 },
-                ..datagram("elsewhere", Access::Served)
+                ..datagram("elsewhere", StoreAccess::Served)
             };
             let bytes = codec::body(&announcement);
             assert!(bytes.len() <= MAX_BYTES);
@@ -478,7 +486,7 @@
         while received.values().map(Vec::len).sum::<usize>() < BUSY_REPLICAS as usize {
             let (part, replicas) = far
                 .receive(1, |it| match unrelayed_region(it)? {
-                    Region::Loads(loads) if !loads.loads.is_empty() => {
+                    RegionMessage::Loads(loads) if !loads.loads.is_empty() => {
                         let replicas = loads.loads.iter().map(|it| it.replica);
                         Some((loads.part, replicas.collect()))
                     }
@@ -519,7 +527,7 @@
         let announcement = Datagram {
             sender: Sender::Region {
                 relayed: true,
-                word: Region::Loads(Loads {
+                message: RegionMessage::Loads(Loads {
                     loads: vec![Load {
                         replica: hash,
                         running: 3,
@@ -528,7 +536,7 @@
                     ..Loads::default()
                 }),
             },
-            ..datagram("elsewhere", Access::Served)
+            ..datagram("elsewhere", StoreAccess::Served)
         };
         let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
         let bytes = codec::body(&announcement);
--- a/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
+++ b/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
@@ -15,7 +15,7 @@
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::{
     codec,
-    datagram::{Access, Datagram, Loads, Presence, Sender},
+    datagram::{Datagram, Loads, Presence, Sender, StoreAccess},
     frame::Table,
 };
 use tokio::net::UdpSocket;
@@ -48,8 +48,8 @@
                 sender: Sender::Entry {
                     presence: Presence::Ready,
                     // Leaves reading the store to the entry, which catches up that way.
-                    store: Access::Unserved,
-                    asks: false,
+                    store: StoreAccess::Unserved,
+                    wants_state: false,
                     loads: Loads::default(),
                     entries: Vec::new(),
                     switched: Vec::new(),
--- a/crates/gradeloft_gateway/tests/entry/large_records.rs
+++ b/crates/gradeloft_gateway/tests/entry/large_records.rs
@@ -28,7 +28,7 @@
 };
 use gradeloft_wire::{
     codec,
-    datagram::{Access, Datagram, Loads, Presence, Sender},
+    datagram::{Datagram, Loads, Presence, Sender, StoreAccess},
     frame::{Absence, Call, Reply, Role, Table},
 };
 use tokio::{
@@ -148,8 +148,8 @@
         unconfirmed_ms: [u16::MAX; 3],
         sender: Sender::Entry {
             presence: Presence::Ready,
-            store: Access::Served,
-            asks: false,
+            store: StoreAccess::Served,
+            wants_state: false,
             loads: Loads::default(),
             entries: Vec::new(),
             switched: Vec::new(),
--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -9,7 +9,7 @@
     scripted::Step,
     tables::{Mood, Tables},
 };
-use gradeloft_wire::{datagram::Access, frame::Table};
+use gradeloft_wire::{datagram::StoreAccess, frame::Table};
 use tokio::net::TcpListener;
 
 fn ok_script(body: &str) -> Vec<Vec<Step>> {
@@ -106,7 +106,7 @@
         let entry = harness.entry.entry();
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { entry.node.access() == Access::Unserved }).await;
+        wait_until(|| async { entry.node.access() == StoreAccess::Unserved }).await;
         harness.tables.write(Table::Operator, "config", Some("7"));
         harness.tables.write(Table::Operator, "config", Some("8"));
         harness.tables.compact(Table::Operator);
@@ -153,7 +153,7 @@
         assert!(!node.after_interruption(table));
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { node.access() == Access::Unserved }).await;
+        wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let confirmed_before = node.confirmed_until(table);
         let outage_start = node.clock.now();
         harness.tables.write(table, "config", Some("7"));
@@ -225,7 +225,7 @@
         let node = &harness.entry.entry().node;
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { node.access() == Access::Unserved }).await;
+        wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
@@ -255,7 +255,7 @@
         let first = &harness.entry.entry().node;
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { first.access() == Access::Unserved }).await;
+        wait_until(|| async { first.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -27,7 +27,7 @@
     /// Number of the part, counted from 0.
     pub part: u16,
     /// Number of the last part.
-    pub further: u16,
+    pub last_part: u16,
     /// Requests a second that the sender receives.
     pub demand: f64,
     /// Requests in progress by replica.
@@ -52,7 +52,7 @@
     /// Stores a part of the report of `sender`.
     pub fn receive(&mut self, sender: K, part: Part) {
         let parts = self.reports.entry(sender).or_default();
-        parts.retain(|number, it| *number <= part.further && it.further == part.further);
+        parts.retain(|number, it| *number <= part.last_part && it.last_part == part.last_part);
         parts.insert(part.part, part);
     }
 
--- a/crates/gradeloft_policy/tests/regions.rs
+++ b/crates/gradeloft_policy/tests/regions.rs
@@ -158,7 +158,7 @@
     assert_eq!(all.iter().filter(reads).count(), expected);
 }
 
-fn report(at: Time, part: u16, further: u16, loads: &[(u32, u32)]) -> Part {
+fn report(at: Time, part: u16, last_part: u16, loads: &[(u32, u32)]) -> Part {
     let load = |(replica, running): &(u32, u32)| Load {
         replica: *replica,
         running: *running,
@@ -167,7 +167,7 @@
     Part {
         at,
         part,
-        further,
+        last_part,
         demand: 3.0,
         loads: loads.iter().map(load).collect(),
     }
--- a/crates/gradeloft_wire/src/datagram.rs
+++ b/crates/gradeloft_wire/src/datagram.rs
@@ -44,9 +44,9 @@
         /// Whether it takes callers.
         presence: Presence,
         /// Whether the platform's store serves it, as far as it knows.
-        store: Access,
+        store: StoreAccess,
         /// Whether it wants to be told of the receiver, of which it knows nothing but the address.
-        asks: bool,
+        wants_state: bool,
         /// Requests that it has at replicas now.
         loads: Loads,
         /// Other entries that it knows of.
@@ -59,7 +59,7 @@
         /// Whether it came through an entry of the receiver's region.
         relayed: bool,
         /// What it says.
-        word: Region,
+        message: RegionMessage,
     },
     /// An entry that knows something of requests under which replicas ended.
     Suspects {
@@ -72,9 +72,9 @@
 
 /// What one region's entries tell those of others.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
-pub enum Region {
+pub enum RegionMessage {
     /// What agents said of the region's replicas.
-    Engines(Vec<Seen>),
+    Engines(Vec<EngineReport>),
     /// Requests that the region's entries have at replicas, of whatever region.
     Loads(Loads),
     /// The region's entries.
@@ -88,7 +88,7 @@
     /// Number of the part, from 0.
     pub part: u16,
     /// Parts, less one.
-    pub further: u16,
+    pub last_part: u16,
     /// Requests that come for services which run a model, a second, in tenths.
     pub demand: u32,
     /// Requests by replica.
@@ -97,7 +97,7 @@
 
 /// What an agent said of its replica.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Seen {
+pub struct EngineReport {
     /// Where the replica listens.
     pub replica: SocketAddrV4,
     /// What it says of itself.
@@ -116,14 +116,14 @@
     /// Whether it takes callers.
     pub presence: Presence,
     /// Whether the platform's store serves it.
-    pub store: Access,
+    pub store: StoreAccess,
     /// How far its copy of the operator's table goes.
     pub end: u64,
 }
 
 /// Whether the platform's store serves a process.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
-pub enum Access {
+pub enum StoreAccess {
     /// Its last read went well, or it leaves reading to others.
     Served,
     /// Its last read failed.
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -5,7 +5,7 @@
 use gradeloft_wire::{
     border::{bundle::Bundle, settings::Settings},
     codec::{self, Decoder, Malformed},
-    datagram::{Access, Datagram, Loads, MAX_BYTES, Presence, Sender},
+    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess},
     error::{Kind, Ran, Retry},
     frame::{Call, Job, Pin, Repeat, Reply, Work},
     id::{Digest, Fingerprint, RequestId},
@@ -199,8 +199,8 @@
             unconfirmed_ms,
             sender: Sender::Entry {
                 presence: Presence::Ready,
-                store: Access::Served,
-                asks: false,
+                store: StoreAccess::Served,
+                wants_state: false,
                 loads: Loads::default(),
                 entries: Vec::new(),
                 switched: Vec::new(),
