--- a/crates/gradeloft_gateway/tests/entry/draining.rs
+++ b/crates/gradeloft_gateway/tests/entry/draining.rs
@@ -1,8 +1,8 @@
 //! Callers of an entry that drains.
 //!
 //! Guards against connections that end without a response during the seconds after SIGTERM, while
-//! callers still use the entry's address. Cause: the entry closed a connection at once if it had read
-//! no byte of a request when the drain started or accepted the connection later, and closed a
+//! callers still use the entry's address. Cause: the entry closed a connection at once if it had
+//! read no byte of a request when the drain started or accepted the connection later, and closed a
 //! connection whose response had promised keep-alive right after that response.
 //!
 //! Evidence: with real processes stopped in turn, 37 to 75 of 740 to 780 requests got no response,
@@ -112,8 +112,8 @@
     });
 }
 
-/// A request whose response might be incomplete when the process ends is refused at once, so that the
-/// caller tries another entry.
+/// A request whose response might be incomplete when the process ends is refused at once, so that
+/// the caller tries another entry.
 #[test]
 fn a_request_that_might_outlast_a_draining_entry_is_refused_as_not_run() {
     run(async {
@@ -241,8 +241,9 @@
     });
 }
 
-/// The caller sends more bytes than its request and reads the response slowly. Closing a socket with
-/// unread bytes resets the connection, and the kernel drops the bytes that the caller hasn't received.
+/// The caller sends more bytes than its request and reads the response slowly. Closing a socket
+/// with unread bytes resets the connection, and the kernel drops the bytes that the caller hasn't
+/// received.
 #[test]
 fn a_close_does_not_truncate_the_response() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/forward.rs
+++ b/crates/gradeloft_gateway/tests/entry/forward.rs
@@ -190,7 +190,8 @@
             ..TestConfig::of(RouteKind::Once)
         };
         let harness = Harness::start(config, vec![script]).await;
-        // More than the socket buffers hold, so part of the body is unsent when the response arrives.
+        // More than the socket buffers hold, so part of the body is unsent when the response
+        // arrives.
         let first = harness.send(&request("POST", &"x".repeat(32 << 20))).await;
         assert!(first.starts_with("HTTP/1.1 413 Long"), "{first}");
         let second = harness.send(&request("POST", "form")).await;
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -402,7 +402,8 @@
         // The entry detects process pauses from here on.
         wait_until(|| async { node.access() == Access::Unserved }).await;
         let mut announcement = datagram("z", Access::Served);
-        // The sender's copy of the operator's table is complete, and its copy of `Replicas` is newer.
+        // The sender's copy of the operator's table is complete, and its copy of `Replicas` is
+        // newer.
         announcement.unconfirmed_ms = [0; 3];
         announcement.ends = [0, 0, 9];
         let bytes = codec::body(&announcement);
@@ -493,8 +494,8 @@
     });
 }
 
-/// Otherwise all entries short of capacity would send requests to a region whose datagrams are lost,
-/// as nothing reports its free capacity.
+/// Otherwise all entries short of capacity would send requests to a region whose datagrams are
+/// lost, as nothing reports its free capacity.
 #[test]
 fn replicas_of_a_silent_region_count_as_full_until_it_reports() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
+++ b/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
@@ -1,13 +1,13 @@
 //! Entries whose copy of the operator's table lags behind their peers.
 //!
 //! Guards against serving requests by a replaced configuration. A large configuration takes four to
-//! six seconds to reach the entries of some regions. Datagrams of peers announce it to these entries
-//! at once, but without a check of the lag they keep routing by the previous one, answer 404 and 401
-//! for new routes and keys, report that they are ready and stay listed in lookups.
+//! six seconds to reach the entries of some regions. Datagrams of peers announce it to these
+//! entries at once, but without a check of the lag they keep routing by the previous one, answer
+//! 404 and 401 for new routes and keys, report that they are ready and stay listed in lookups.
 //!
-//! Evidence: an entry in a region far from the store responded by the older configuration 5.1 s after
-//! the newer one was confirmed, while other entries responded by the newer one, and no response
-//! depended on how long the entry had been aware of its lag.
+//! Evidence: an entry in a region far from the store responded by the older configuration 5.1 s
+//! after the newer one was confirmed, while other entries responded by the newer one, and no
+//! response depended on how long the entry had been aware of its lag.
 
 use std::{cell::Cell, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -87,8 +87,8 @@
     wait_until(|| async { harness.entry.entry().config_version() == 2 }).await;
 }
 
-/// Sends a request that allows keep-alive and returns the response. Ends only if the entry closes the
-/// connection.
+/// Sends a request that allows keep-alive and returns the response. Ends only if the entry closes
+/// the connection.
 async fn send_keep_alive(harness: &Harness, request: &str) -> String {
     harness
         .send(&request.replace("Connection: close\r\n", ""))
--- a/crates/gradeloft_gateway/tests/entry/large_records.rs
+++ b/crates/gradeloft_gateway/tests/entry/large_records.rs
@@ -1,10 +1,10 @@
 //! Records that take long to arrive from a peer.
 //!
-//! Guards against serving requests for up to half a minute by a replaced configuration. A configuration
-//! of most of a megabyte is confirmed; entries that can't read it from the store fetch it from a peer
-//! over a link that many share. Cause: an entry that had not received the whole record within 1.5 s
-//! discarded the received bytes and started over, so the peer's link stayed saturated and no entry got
-//! the record.
+//! Guards against serving requests for up to half a minute by a replaced configuration. A
+//! configuration of most of a megabyte is confirmed; entries that can't read it from the store
+//! fetch it from a peer over a link that many share. Cause: an entry that had not received the
+//! whole record within 1.5 s discarded the received bytes and started over, so the peer's link
+//! stayed saturated and no entry got the record.
 //!
 //! Evidence: one entry sent 4.7 MB/s over a link of 5 MB/s for 35 s without a pause, each of 24
 //! processes of its availability zone received about 0.2 MB/s all that time, and their metric
@@ -79,8 +79,8 @@
 }
 
 impl Link {
-    /// Relays the address `at` to an entry, and periodically announces the end offset of the entry's
-    /// copy of the operator's table to the instances `to`.
+    /// Relays the address `at` to an entry, and periodically announces the end offset of the
+    /// entry's copy of the operator's table to the instances `to`.
     async fn start(entry: &Handle, at: u8, to: &[u8], links: Arc<Links>) -> Link {
         let at = SocketAddr::from((address(at), 7700));
         let node = Rc::clone(&entry.entry().node);
@@ -346,7 +346,8 @@
                 .write(Table::Operator, "config", Some(&large));
             wait_until(|| async { 0.1 < link.records_sent() }).await;
         }
-        // Otherwise no record would ever arrive while transfers take longer than the time between changes.
+        // Otherwise no record would ever arrive while transfers take longer than the time between
+        // changes.
         wait_for_config(&follower, 7).await;
         wait_for_config(&follower, 8).await;
         assert_eq!(follower.entry().node.end(Table::Operator), 3);
@@ -498,9 +499,9 @@
     });
 }
 
-/// Guards against a configuration that is delayed for many seconds at entries with fast links: their
-/// peer is behind a narrow link and sends just enough each second not to count as late, while a peer
-/// with the whole record and a free link isn't asked.
+/// Guards against a configuration that is delayed for many seconds at entries with fast links:
+/// their peer is behind a narrow link and sends just enough each second not to count as late, while
+/// a peer with the whole record and a free link isn't asked.
 #[test]
 fn a_slow_peer_is_replaced_by_a_fast_one() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/placement.rs
+++ b/crates/gradeloft_gateway/tests/entry/placement.rs
@@ -118,7 +118,8 @@
                     .ends_with("far")
             );
         }
-        // Also applies to an entry that reads the table later and to a replica that is listed later.
+        // Also applies to an entry that reads the table later and to a replica that is listed
+        // later.
         let harness = harness.restart_entry().await;
         harness.list_all();
         wait_until(|| async {
--- a/crates/gradeloft_gateway/tests/entry/quarantine.rs
+++ b/crates/gradeloft_gateway/tests/entry/quarantine.rs
@@ -1,14 +1,14 @@
 //! Quarantine of requests that crash replicas.
 //!
-//! Guards against one request that crashes forty replicas of a model within half a minute, each with
-//! all its running requests, so that a third of the callers are refused for seconds. A replica crashes
-//! a tenth of a second after it starts the request; the entry retries at another replica, which crashes
-//! too; the caller gets a 502 and retries at another entry, which has no record of the request. Cause:
-//! an entry discarded its observations of a request with the attempt, and attributed the failure only
-//! to the replica.
+//! Guards against one request that crashes forty replicas of a model within half a minute, each
+//! with all its running requests, so that a third of the callers are refused for seconds. A replica
+//! crashes a tenth of a second after it starts the request; the entry retries at another replica,
+//! which crashes too; the caller gets a 502 and retries at another entry, which has no record of
+//! the request. Cause: an entry discarded its observations of a request with the attempt, and
+//! attributed the failure only to the replica.
 //!
-//! Evidence: the same path, team and body preceded each crash, and the entries logged these requests
-//! with `failures=lost,lost` at different replicas each time.
+//! Evidence: the same path, team and body preceded each crash, and the entries logged these
+//! requests with `failures=lost,lost` at different replicas each time.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -44,8 +44,8 @@
         Fleet::start(replicas, &[]).await
     }
 
-    /// Starts entry 1 in the region `z` and `others` in their availability zones, each of which is a
-    /// region.
+    /// Starts entry 1 in the region `z` and `others` in their availability zones, each of which is
+    /// a region.
     async fn start(replicas: u8, others: &[(u8, &str)]) -> Fleet {
         let harness =
             Harness::start_unready(TestConfig::of(RouteKind::Idempotent), Vec::new()).await;
@@ -160,8 +160,8 @@
         wait_until(|| async { self.entries().all(is_current) }).await;
     }
 
-    /// Sends the marked request to the entries in turn, and returns how many requests reached replicas.
-    /// A crashed replica stays down until the entry has detected the crash.
+    /// Sends the marked request to the entries in turn, and returns how many requests reached
+    /// replicas. A crashed replica stays down until the entry has detected the crash.
     async fn send_marked_by_turns(&self, entries: &[u8], times: usize) -> usize {
         for turn in 0..times {
             self.send_marked(entries[turn % entries.len()]).await;
@@ -170,8 +170,8 @@
         self.marked_requests()
     }
 
-    /// Sends the marked request to an entry, and waits until the entry has detected all crashes and the
-    /// replicas run again.
+    /// Sends the marked request to an entry, and waits until the entry has detected all crashes and
+    /// the replicas run again.
     async fn send_marked(&self, octet: u8) {
         self.replicas.iter().for_each(|it| it.stays_away(true));
         self.send(octet, MARKER).await;
@@ -274,8 +274,8 @@
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far")]).await;
         fleet.harness.tables.mood.set(Mood::Refusing);
         fleet.harness.tables.cut();
-        // The tables don't change, so entries detect crashes from connections. A restarted replica still
-        // counts as its listed start, so its second crash adds no evidence.
+        // The tables don't change, so entries detect crashes from connections. A restarted replica
+        // still counts as its listed start, so its second crash adds no evidence.
         let crash_counts = |handle: &Handle| {
             let suspects = handle.entry().suspects().into_iter();
             suspects.map(|it| it.1).max().unwrap_or(0)
@@ -411,7 +411,8 @@
     });
 }
 
-/// A suspect request is listed in the store, and an operator can lift its quarantine at all entries.
+/// A suspect request is listed in the store, and an operator can lift its quarantine at all
+/// entries.
 #[test]
 fn an_operator_lists_and_lifts_a_quarantine() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/queueing.rs
+++ b/crates/gradeloft_gateway/tests/entry/queueing.rs
@@ -16,8 +16,8 @@
     }
 }
 
-/// Three callers compete for one slot. Guards against refusing the second and third at once, although
-/// the slot is free again well before their latency objective.
+/// Three callers compete for one slot. Guards against refusing the second and third at once,
+/// although the slot is free again well before their latency objective.
 #[test]
 fn a_request_waits_for_a_slot_that_becomes_free_within_its_objective() {
     run(async {
@@ -37,8 +37,8 @@
     });
 }
 
-/// The slot never becomes free: the caller gets a refusal once the latency objective has passed, long
-/// before the deadline.
+/// The slot never becomes free: the caller gets a refusal once the latency objective has passed,
+/// long before the deadline.
 #[test]
 fn a_request_without_a_slot_within_its_objective_is_refused_as_not_run() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/stalled_replicas.rs
+++ b/crates/gradeloft_gateway/tests/entry/stalled_replicas.rs
@@ -1,13 +1,14 @@
 //! Replicas that pause in the middle of a response.
 //!
-//! Guards against responses that end early although their replica keeps running. A replica pauses for
-//! 1.2 s in a stream, 1.5 s before a response or 2 s in a plain response; the entry drops the
-//! connection, and only then finds that no other replica may continue because of the route kind, the
-//! number of attempts, the retry budget or full replicas. Cause: silence was treated as the end.
+//! Guards against responses that end early although their replica keeps running. A replica pauses
+//! for 1.2 s in a stream, 1.5 s before a response or 2 s in a plain response; the entry drops the
+//! connection, and only then finds that no other replica may continue because of the route kind,
+//! the number of attempts, the retry budget or full replicas. Cause: silence was treated as the
+//! end.
 //!
 //! Evidence: with real processes and stalled replicas, 33 of 34 truncated responses of a run had
-//! `ended_by=silent` and `quiet_ms=1201` to `1202`, and each of the cases below was truncated although
-//! its replica kept running.
+//! `ended_by=silent` and `quiet_ms=1201` to `1202`, and each of the cases below was truncated
+//! although its replica kept running.
 
 use std::{rc::Rc, time::Duration};
 
@@ -224,7 +225,8 @@
     });
 }
 
-/// The replica never continues: the response ends at the request's timeout and doesn't look complete.
+/// The replica never continues: the response ends at the request's timeout and doesn't look
+/// complete.
 #[test]
 fn a_stream_whose_replica_stays_silent_ends_at_the_timeout() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -115,12 +115,12 @@
     });
 }
 
-/// Guards against responses by a configuration that was replaced five seconds before. All entries that
-/// read the operator's table wait in a long poll from the same offset; their connections go silent
-/// without a reset, while new connections work; then a configuration is confirmed. Cause: a poll
-/// lasts four seconds, and on a silent connection it looks like a poll without news until it is
-/// overdue. Evidence: when all connections went silent right before a change, all entries applied it
-/// together, 1.5 to 2.3 s late, although the store worked; usually that takes 0.05 s.
+/// Guards against responses by a configuration that was replaced five seconds before. All entries
+/// that read the operator's table wait in a long poll from the same offset; their connections go
+/// silent without a reset, while new connections work; then a configuration is confirmed. Cause: a
+/// poll lasts four seconds, and on a silent connection it looks like a poll without news until it
+/// is overdue. Evidence: when all connections went silent right before a change, all entries
+/// applied it together, 1.5 to 2.3 s late, although the store worked; usually that takes 0.05 s.
 #[test]
 fn a_configuration_applies_within_two_seconds_although_pending_polls_are_silent() {
     run(async {
@@ -213,11 +213,11 @@
     records.into_iter().find(|it| it.key == "weights/m")
 }
 
-/// Guards against requests that start on older weights more than eight seconds after a newer version
-/// was confirmed. An entry's reads of the store fail; a version is published; the store recovers and
-/// the entry reads it. Cause: the version's age counted from that read, as if the record had just been
-/// written. Evidence: the age counted from after the outage, although the entry's copy was last
-/// confirmed before it.
+/// Guards against requests that start on older weights more than eight seconds after a newer
+/// version was confirmed. An entry's reads of the store fail; a version is published; the store
+/// recovers and the entry reads it. Cause: the version's age counted from that read, as if the
+/// record had just been written. Evidence: the age counted from after the outage, although the
+/// entry's copy was last confirmed before it.
 #[test]
 fn a_version_read_after_an_outage_ages_from_before_the_outage() {
     run(async {
@@ -297,8 +297,8 @@
 
 /// Guards against a new entry that sends requests to replicas with weights that were replaced long
 /// before. The entry read the configuration and a later version record in one response, and the
-/// version, which may have been mandatory before the process started, counted as just published with
-/// its full grace. With the configuration written after the version, it counted as mandatory.
+/// version, which may have been mandatory before the process started, counted as just published
+/// with its full grace. With the configuration written after the version, it counted as mandatory.
 #[test]
 fn a_version_published_before_the_start_is_mandatory() {
     run(async {
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -310,7 +310,8 @@
         self
     }
 
-    /// Starts an entry and its replicas with empty tables, without waiting until the entry is ready.
+    /// Starts an entry and its replicas with empty tables, without waiting until the entry is
+    /// ready.
     pub(crate) async fn start_unready(config: TestConfig, scripts: Vec<Vec<Vec<Step>>>) -> Harness {
         Harness::with_clock(Clock::start(), config, scripts).await
     }
@@ -450,8 +451,8 @@
         keys.iter().any(|it| it.parse::<Ipv4Addr>().is_err())
     }
 
-    /// Makes a replica one of a model with the given weights version. Takes effect when the replica is
-    /// listed again.
+    /// Makes a replica one of a model with the given weights version. Takes effect when the replica
+    /// is listed again.
     pub(crate) fn set_weights_version(&self, idx: usize, version: u64) {
         let mut listings = self.decoder.listings.borrow_mut();
         let listing = listings.get_mut(&replica_id(idx)).unwrap();
--- a/crates/gradeloft_gateway/tests/entry/suspended.rs
+++ b/crates/gradeloft_gateway/tests/entry/suspended.rs
@@ -1,4 +1,5 @@
-//! Entries on machines that are suspended: their timers stop, while time advances for everyone else.
+//! Entries on machines that are suspended: their timers stop, while time advances for everyone
+//! else.
 
 use gradeloft_gateway::entry::Entry;
 use gradeloft_policy::process::document::RouteKind;
