--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -21,7 +21,7 @@
     sys::signal::{Signal, kill},
     unistd::Pid,
 };
-use support::{called, generated, version};
+use support::{describe_call, describe_generate, version};
 
 /// Idle timeout of the daemons, in milliseconds. It is long, so that a delay on a busy machine does
 /// not count as silence.
@@ -236,7 +236,7 @@
             .generate(self.entry(0), MODEL, prompt, 2)
             .await;
         let expected = "200 the version's own text, end of 2 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, version, prompt, 2), expected);
+        assert_eq!(describe_generate(&answer, version, prompt, 2), expected);
     }
 }
 
@@ -251,7 +251,7 @@
         let answer = keyed
             .call(daemons.entry(idx), "POST", &path, "two seats")
             .await;
-        assert_eq!(called(&answer), "200 done: POST /charges two seats");
+        assert_eq!(describe_call(&answer), "200 done: POST /charges two seats");
     }
     assert_eq!(daemons.service.state.count("POST /charges two seats"), 1);
 
@@ -314,7 +314,10 @@
     for (idx, running) in running.into_iter().enumerate() {
         let answer = running.await.expect("the caller's task ends");
         let expected = "200 the version's own text, end of 80 tokens by bulletin/v1, no error";
-        assert_eq!(generated(&answer, &v1, &format!("p{idx}"), 80), expected);
+        assert_eq!(
+            describe_generate(&answer, &v1, &format!("p{idx}"), 80),
+            expected
+        );
     }
     let cancelled: u64 = daemons
         .engines
--- a/crates/gradeloft_daemon/tests/repeated_failures.rs
+++ b/crates/gradeloft_daemon/tests/repeated_failures.rs
@@ -7,7 +7,7 @@
     weights::Version,
 };
 use rstest::rstest;
-use support::{fleet, generated, shape, version};
+use support::{describe_generate, fleet, shape, version};
 
 /// A failure during a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -28,7 +28,7 @@
         "200 the version's own text, end of 2 tokens by bulletin/{}, no error",
         version.version
     );
-    assert_eq!(generated(&answer, version, "p", 2), expected);
+    assert_eq!(describe_generate(&answer, version, "p", 2), expected);
 }
 
 /// Injects a failure while a version is in flight; `occurrence` is 0 or 1.
@@ -113,7 +113,7 @@
     } else {
         version("v1")
     };
-    let line = generated(&answer, &version, "p", 2);
+    let line = describe_generate(&answer, &version, "p", 2);
     assert!(
         line.starts_with("200 the version's own text, end of 2 tokens"),
         "{line}"
