--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -221,8 +221,8 @@
         Figure::new("heartbeat", "ns", "version served", &PINS, |count| {
             let reply = Reply::Notice(notice(count));
             timed(|| {
-                let body = codec::body(&reply);
-                let _ = black_box(codec::parse::<Reply>(&body));
+                let body = codec::encode_body(&reply);
+                let _ = black_box(codec::decode_body::<Reply>(&body));
             })
         }),
     ]
@@ -235,7 +235,7 @@
             "bytes",
             "version served",
             &PINS,
-            |count| codec::frame(&Reply::Notice(notice(count))).len() as f64,
+            |count| codec::encode_frame(&Reply::Notice(notice(count))).len() as f64,
         ),
         Figure::new("bundle_frame_teams", "bytes", "team", &TEAMS, |count| {
             Key::new([1; 32])
@@ -250,7 +250,7 @@
                 .len() as f64
         }),
         Figure::new("have_frame", "bytes", "chunk", &CHUNKS, |count| {
-            codec::frame(&Reply::Have((0..count as u32).collect())).len() as f64
+            codec::encode_frame(&Reply::Have((0..count as u32).collect())).len() as f64
         }),
     ]
 }
--- a/crates/gradeloft_daemon/src/transport/client.rs
+++ b/crates/gradeloft_daemon/src/transport/client.rs
@@ -246,7 +246,7 @@
         .send_request(request, false)
         .map_err(|_| CallError::Unsent)?;
     sending
-        .send_data(codec::frame(call), true)
+        .send_data(codec::encode_frame(call), true)
         .map_err(|_| CallError::Unsent)?;
     Ok((response, sending))
 }
--- a/crates/gradeloft_daemon/src/transport/server.rs
+++ b/crates/gradeloft_daemon/src/transport/server.rs
@@ -207,7 +207,7 @@
     /// Sends a frame as the peer's flow control allows. Returns `false` if the peer has closed the
     /// stream.
     pub async fn send(&self, reply: &Reply) -> bool {
-        let mut bytes = codec::frame(reply);
+        let mut bytes = codec::encode_frame(reply);
         while !bytes.is_empty() {
             self.stream
                 .borrow_mut()
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -277,7 +277,7 @@
             self.node
                 .send_state(purpose, Reach::Far, sender, far.iter().copied());
         }
-        let bytes = codec::body(&suspects).len();
+        let bytes = codec::encode_body(&suspects).len();
         let pause = GOSSIP_BUDGET.pause(near.len() + far.len(), bytes);
         self.quarantine.next_gossip_at.set(now.after(pause));
     }
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -63,7 +63,7 @@
                 continue;
             };
             let value = record.value.as_deref();
-            let Some(stored) = value.and_then(|it| codec::parse::<Kept>(it).ok()) else {
+            let Some(stored) = value.and_then(|it| codec::decode_body::<Kept>(it).ok()) else {
                 self.quarantine.stored.borrow_mut().remove(&request);
                 continue;
             };
@@ -123,7 +123,7 @@
         if !worth_storing || !missing {
             return None;
         }
-        let value = codec::body(&Kept {
+        let value = codec::encode_body(&Kept {
             crashed_ms: unix_ms().saturating_sub(u64::from(suspect.age_ms)),
             crashes: suspect.crashes,
         });
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -267,7 +267,7 @@
         datagram: &Datagram,
         to: impl Iterator<Item = Ipv4Addr>,
     ) {
-        let bytes = codec::body(datagram);
+        let bytes = codec::encode_body(datagram);
         if MAX_BYTES < bytes.len() {
             self.metrics.unsent.inc();
             if let Some(log) = self.logs.line(Topic::State) {
@@ -329,7 +329,7 @@
                 tokio::task::yield_now().await;
                 continue;
             };
-            if let Ok(datagram) = codec::parse::<Datagram>(&buffer[..length]) {
+            if let Ok(datagram) = codec::decode_body::<Datagram>(&buffer[..length]) {
                 if matches!(datagram.sender, Sender::Entry { .. }) {
                     self.note_holder(*from.ip(), &datagram.zone, datagram.ends);
                 }
--- a/crates/gradeloft_gateway/src/suspects.rs
+++ b/crates/gradeloft_gateway/src/suspects.rs
@@ -25,7 +25,7 @@
 impl StoredSuspect {
     fn of(record: &Record) -> Option<StoredSuspect> {
         let request = quarantine::request(&record.key)?;
-        let kept = codec::parse(record.value.as_deref()?).ok()?;
+        let kept = codec::decode_body(record.value.as_deref()?).ok()?;
         Some(StoredSuspect { request, kept })
     }
 
@@ -58,7 +58,7 @@
     };
     let put = Put {
         key: quarantine::key(request),
-        value: Some(Bytes::from(codec::body(&kept))),
+        value: Some(Bytes::from(codec::encode_body(&kept))),
     };
     store.write(vec![put]).await?;
     Ok(true)
--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -148,7 +148,7 @@
                 switched: Vec::new(),
             },
         };
-        let bytes = codec::body(&datagram);
+        let bytes = codec::encode_body(&datagram);
         loop {
             sending.send_to(&bytes, (address(agent), 7700)).await.ok();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -157,7 +157,7 @@
     actix_rt::spawn(async move {
         let mut buffer = [0; MAX_BYTES];
         while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
-            let datagram: Datagram = codec::parse(&buffer[..length]).unwrap();
+            let datagram: Datagram = codec::decode_body(&buffer[..length]).unwrap();
             reports.borrow_mut().push(datagram.sender);
         }
     });
@@ -306,7 +306,7 @@
                     }],
                 },
             };
-            let bytes = codec::body(&datagram);
+            let bytes = codec::encode_body(&datagram);
             for agent in 1..=engines.len() as u8 {
                 socket.send_to(&bytes, (address(agent), 7700)).await.ok();
             }
@@ -393,7 +393,7 @@
 
 /// Returns a datagram from an entry without load, with the given access to the store.
 fn entry_datagram(store: StoreAccess) -> Vec<u8> {
-    codec::body(&Datagram {
+    codec::encode_body(&Datagram {
         incarnation: 1,
         zone: "z".to_owned(),
         ends: [0; 3],
@@ -431,7 +431,7 @@
             socket.send_to(&datagram, (address(1), 7700)).await.unwrap();
             let mut buffer = [0; MAX_BYTES];
             let (length, _) = socket.recv_from(&mut buffer).await.unwrap();
-            let report: Datagram = codec::parse(&buffer[..length]).unwrap();
+            let report: Datagram = codec::decode_body(&buffer[..length]).unwrap();
             assert!(matches!(report.sender, Sender::Agent { .. }));
         }
         let further = reports() - before;
@@ -453,7 +453,7 @@
         // The agent continues to report while the seed answers.
         for _ in 0..3 {
             let (length, from) = seed.recv_from(&mut buffer).await.unwrap();
-            let report: Datagram = codec::parse(&buffer[..length]).unwrap();
+            let report: Datagram = codec::decode_body(&buffer[..length]).unwrap();
             assert!(matches!(report.sender, Sender::Agent { .. }));
             seed.send_to(&entry_datagram(StoreAccess::Served), from)
                 .await
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -49,7 +49,7 @@
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
     actix_rt::spawn(async move {
         loop {
-            let bytes = codec::body(&datagram("z", store.get()));
+            let bytes = codec::encode_body(&datagram("z", store.get()));
             socket.send_to(&bytes, (address(to), 7700)).await.unwrap();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
@@ -59,7 +59,7 @@
 /// Starts another entry that counts the datagrams it receives.
 async fn counting_entry(octet: u8, zone: &str) -> Rc<Cell<u32>> {
     let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-    let bytes = codec::body(&datagram(zone, StoreAccess::Served));
+    let bytes = codec::encode_body(&datagram(zone, StoreAccess::Served));
     let count = Rc::new(Cell::new(0));
     let counted = Rc::clone(&count);
     actix_rt::spawn(async move {
@@ -101,7 +101,7 @@
 
     /// Announces the entry to the instance `to`.
     async fn announce(&self, to: u8) {
-        let bytes = codec::body(&datagram(self.zone, StoreAccess::Served));
+        let bytes = codec::encode_body(&datagram(self.zone, StoreAccess::Served));
         self.socket
             .send_to(&bytes, (address(to), 7700))
             .await
@@ -116,7 +116,7 @@
             let pause = Duration::from_millis(100);
             let received = tokio::time::timeout(pause, self.socket.recv_from(&mut buffer));
             if let Ok(Ok((length, _))) = received.await {
-                let datagram: Datagram = codec::parse(&buffer[..length]).unwrap();
+                let datagram: Datagram = codec::decode_body(&buffer[..length]).unwrap();
                 if let Some(selected) = select(&datagram) {
                     return selected;
                 }
@@ -222,7 +222,7 @@
             ..datagram("elsewhere", StoreAccess::Served)
         };
         let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let bytes = codec::body(&region_datagram(false));
+        let bytes = codec::encode_body(&region_datagram(false));
         sender_socket
             .send_to(&bytes, (address(1), 7700))
             .await
@@ -246,7 +246,7 @@
                 .any(|it| it.ip() == address(50))
         );
         // A relayed datagram is applied but not forwarded again.
-        let bytes = codec::body(&region_datagram(true));
+        let bytes = codec::encode_body(&region_datagram(true));
         sender_socket
             .send_to(&bytes, (address(1), 7700))
             .await
@@ -274,10 +274,10 @@
         let mut buffer = [0; MAX_BYTES];
         let listed = loop {
             first.announce(1).await;
-            let bytes = codec::body(&asking_datagram);
+            let bytes = codec::encode_body(&asking_datagram);
             second.send_to(&bytes, (address(1), 7700)).await.unwrap();
             let (length, _) = second.recv_from(&mut buffer).await.unwrap();
-            let response: Datagram = codec::parse(&buffer[..length]).unwrap();
+            let response: Datagram = codec::decode_body(&buffer[..length]).unwrap();
             if let Sender::Entry { entries, .. } = response.sender
                 && entries.contains(&address(4))
             {
@@ -297,7 +297,7 @@
         let peer = UdpPeer::bind(3, "z").await;
         for octet in 10..90 {
             let socket = UdpSocket::bind((address(octet), 7700)).await.unwrap();
-            let bytes = codec::body(&datagram("z", StoreAccess::Served));
+            let bytes = codec::encode_body(&datagram("z", StoreAccess::Served));
             socket.send_to(&bytes, (address(1), 7700)).await.unwrap();
         }
         let clock = Clock::start();
@@ -348,11 +348,11 @@
             },
             ..datagram("elsewhere", StoreAccess::Served)
         };
-        let sent = codec::body(&report);
+        let sent = codec::encode_body(&report);
         agent.send_to(&sent, (address(1), 7700)).await.unwrap();
         let mut buffer = [0; MAX_BYTES];
         let (length, _) = agent.recv_from(&mut buffer).await.unwrap();
-        let response: Datagram = codec::parse(&buffer[..length]).unwrap();
+        let response: Datagram = codec::decode_body(&buffer[..length]).unwrap();
         assert!(matches!(response.sender, Sender::Entry { .. }));
     });
 }
@@ -414,7 +414,7 @@
         // newer.
         announcement.unconfirmed_ms = [0; 3];
         announcement.ends = [0, 0, 9];
-        let bytes = codec::body(&announcement);
+        let bytes = codec::encode_body(&announcement);
         let socket = UdpSocket::bind((address(3), 7700)).await.unwrap();
         let announce = || socket.send_to(&bytes, (address(2), 7700));
         announce().await.unwrap();
@@ -476,7 +476,7 @@
                 },
                 ..datagram("elsewhere", StoreAccess::Served)
             };
-            let bytes = codec::body(&announcement);
+            let bytes = codec::encode_body(&announcement);
             assert!(bytes.len() <= MAX_BYTES);
             far.socket
                 .send_to(&bytes, (address(1), 7700))
@@ -540,7 +540,7 @@
             ..datagram("elsewhere", StoreAccess::Served)
         };
         let sender_socket = UdpSocket::bind((address(5), 7700)).await.unwrap();
-        let bytes = codec::body(&announcement);
+        let bytes = codec::encode_body(&announcement);
         sender_socket
             .send_to(&bytes, (address(1), 7700))
             .await
--- a/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
+++ b/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
@@ -55,7 +55,7 @@
                     switched: Vec::new(),
                 },
             };
-            let bytes = codec::body(&datagram);
+            let bytes = codec::encode_body(&datagram);
             // Fails while the entry isn't running.
             let _ = socket.send_to(&bytes, (address(1), 7700)).await;
             actix_rt::time::sleep(Duration::from_millis(50)).await;
--- a/crates/gradeloft_gateway/tests/entry/large_records.rs
+++ b/crates/gradeloft_gateway/tests/entry/large_records.rs
@@ -106,7 +106,7 @@
     let to = to.to_vec();
     actix_rt::spawn(async move {
         loop {
-            let bytes = codec::body(&datagram(node.end(Table::Operator)));
+            let bytes = codec::encode_body(&datagram(node.end(Table::Operator)));
             for to in &to {
                 socket.send_to(&bytes, (address(*to), 7700)).await.unwrap();
             }
--- a/crates/gradeloft_wire/src/codec.rs
+++ b/crates/gradeloft_wire/src/codec.rs
@@ -5,7 +5,7 @@
 use tokio_util::codec::{Decoder as _, LengthDelimitedCodec};
 
 /// Memory that decoding one frame may claim, in bytes; above every allowed frame.
-const CLAIM_LIMIT: usize = 128 << 20;
+const DECODE_LIMIT: usize = 128 << 20;
 const LENGTH_BYTES: usize = 4;
 
 /// Why bytes are no frame.
@@ -20,14 +20,14 @@
 }
 
 /// Body of a frame, without its length.
-pub fn body<T: Encode>(message: &T) -> Vec<u8> {
+pub fn encode_body<T: Encode>(message: &T) -> Vec<u8> {
     // Encoding into a growing vector fails for no type of this crate.
     bincode::encode_to_vec(message, config()).unwrap_or_default()
 }
 
 /// A whole frame: four bytes of length, then the body.
-pub fn frame<T: Encode>(message: &T) -> Bytes {
-    let body = body(message);
+pub fn encode_frame<T: Encode>(message: &T) -> Bytes {
+    let body = encode_body(message);
     let mut bytes = BytesMut::with_capacity(LENGTH_BYTES + body.len());
     bytes.put_u32(body.len() as u32);
     bytes.put_slice(&body);
@@ -35,7 +35,7 @@
 }
 
 /// Reads a body; bytes that follow the message are an error.
-pub fn parse<T: Decode<()>>(body: &[u8]) -> Result<T, Malformed> {
+pub fn decode_body<T: Decode<()>>(body: &[u8]) -> Result<T, Malformed> {
     let (message, used) =
         bincode::decode_from_slice(body, config()).map_err(|_| Malformed::Body)?;
     if used != body.len() {
@@ -45,7 +45,7 @@
 }
 
 fn config() -> impl config::Config {
-    config::standard().with_limit::<CLAIM_LIMIT>()
+    config::standard().with_limit::<DECODE_LIMIT>()
 }
 
 /// Splits a stream of bytes into messages.
@@ -53,7 +53,7 @@
 /// ```
 /// use gradeloft_wire::{codec, frame::Call};
 /// let mut decoder = codec::Decoder::new(1024);
-/// decoder.feed(&codec::frame(&Call::Watch));
+/// decoder.feed(&codec::encode_frame(&Call::Watch));
 /// assert_eq!(decoder.pop(), Ok(Some(Call::Watch)));
 /// assert_eq!(decoder.pop::<Call>(), Ok(None));
 /// ```
@@ -84,7 +84,7 @@
     /// Takes out the next message, if all of it has arrived.
     pub fn pop<T: Decode<()>>(&mut self) -> Result<Option<T>, Malformed> {
         match self.codec.decode(&mut self.buffer) {
-            Ok(Some(body)) => parse(&body).map(Some),
+            Ok(Some(body)) => decode_body(&body).map(Some),
             Ok(None) => Ok(None),
             Err(_) => Err(Malformed::Length),
         }
--- a/crates/gradeloft_wire/src/record.rs
+++ b/crates/gradeloft_wire/src/record.rs
@@ -107,7 +107,7 @@
     /// Bytes for the log.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT];
-        bytes.extend(codec::body(self));
+        bytes.extend(codec::encode_body(self));
         bytes
     }
 
@@ -117,7 +117,7 @@
             return Err(Unreadable::Malformed);
         }
         match bytes.split_first() {
-            Some((&FORMAT, body)) => codec::parse(body).map_err(|_| Unreadable::Malformed),
+            Some((&FORMAT, body)) => codec::decode_body(body).map_err(|_| Unreadable::Malformed),
             Some((format, _)) if FORMAT < *format => Err(Unreadable::Newer),
             _ => Err(Unreadable::Malformed),
         }
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -50,7 +50,7 @@
     let calls = [Call::Watch, work(), Call::Work(Work { job, ..generate })];
     let bytes: Vec<u8> = calls
         .iter()
-        .flat_map(|it| codec::frame(it).to_vec())
+        .flat_map(|it| codec::encode_frame(it).to_vec())
         .collect();
     for cut in 0..bytes.len() {
         let mut decoder = Decoder::new(1 << 16);
@@ -68,21 +68,21 @@
 #[test]
 fn frames_that_are_too_long_or_have_trailing_bytes_are_refused() {
     let mut decoder = Decoder::new(8);
-    decoder.feed(&codec::frame(&work()));
+    decoder.feed(&codec::encode_frame(&work()));
     assert_eq!(decoder.pop::<Call>(), Err(Malformed::Length));
-    let mut body = codec::body(&Call::Watch);
+    let mut body = codec::encode_body(&Call::Watch);
     body.push(0);
-    assert_eq!(codec::parse::<Call>(&body), Err(Malformed::Trailing));
+    assert_eq!(codec::decode_body::<Call>(&body), Err(Malformed::Trailing));
 }
 
 #[test]
 fn a_length_that_claims_more_memory_than_there_is_is_refused() {
     // A vector of 2^60 bytes, in five bytes of frame.
-    let mut body = codec::body(&Reply::Chunk(Vec::new()));
+    let mut body = codec::encode_body(&Reply::Chunk(Vec::new()));
     body.truncate(1);
     body.push(253);
     body.extend((1u64 << 60).to_le_bytes());
-    assert_eq!(codec::parse::<Reply>(&body), Err(Malformed::Body));
+    assert_eq!(codec::decode_body::<Reply>(&body), Err(Malformed::Body));
 }
 
 #[test]
@@ -140,8 +140,8 @@
     /// Arbitrary bytes from a peer or from the log give an error or a message, and no panic.
     #[test]
     fn arbitrary_bytes_are_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = codec::parse::<Call>(&bytes);
-        let _ = codec::parse::<Reply>(&bytes);
+        let _ = codec::decode_body::<Call>(&bytes);
+        let _ = codec::decode_body::<Reply>(&bytes);
         let _ = Record::decode(&bytes);
         let mut formatted = vec![FORMAT];
         formatted.extend(&bytes);
@@ -206,7 +206,7 @@
                 switched: Vec::new(),
             },
         };
-        codec::body(&datagram).len()
+        codec::encode_body(&datagram).len()
     };
     // A byte for each copy that is known to be whole a moment ago.
     let least = told([0; 3]);
@@ -236,6 +236,6 @@
             suspects: vec![suspect; IN_DATAGRAM],
         },
     };
-    let bytes = codec::body(&datagram).len();
+    let bytes = codec::encode_body(&datagram).len();
     assert!(bytes <= MAX_BYTES, "{bytes}");
 }
