--- a/crates/gradeloft_daemon/src/clock.rs
+++ b/crates/gradeloft_daemon/src/clock.rs
@@ -50,8 +50,8 @@
     /// Returns the time since the clock was started.
     pub fn now(&self) -> Time {
         let suspended_ms = self.suspended_ms.map_or(0, |it| it.load(Ordering::Relaxed));
-        let passed = time_since_boot().saturating_sub(self.started);
-        Time::ZERO.after(passed).after_ms(suspended_ms)
+        let elapsed = time_since_boot().saturating_sub(self.started);
+        Time::ZERO.after(elapsed).after_ms(suspended_ms)
     }
 
     /// Returns the duration until `time`; zero if it has passed.
@@ -106,12 +106,12 @@
     pub async fn sleep_until(&self, time: Time) {
         loop {
             let resumed = self.resumed.notified();
-            let left = self.clock.until(time);
-            if left.is_zero() {
+            let remaining = self.clock.until(time);
+            if remaining.is_zero() {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep(left) => {}
+                () = tokio::time::sleep(remaining) => {}
                 () = resumed => {}
             }
         }
@@ -144,10 +144,10 @@
     /// and returns the duration of the suspension.
     pub fn check_suspension(&self) -> Duration {
         let now = (self.clock.now(), monotonic_now());
-        let before = self.last_check.replace(now);
-        let passed = now.0.since(before.0);
-        let ran = now.1.saturating_duration_since(before.1);
-        let suspended = passed.saturating_sub(ran);
+        let previous = self.last_check.replace(now);
+        let elapsed = now.0.since(previous.0);
+        let monotonic_elapsed = now.1.saturating_duration_since(previous.1);
+        let suspended = elapsed.saturating_sub(monotonic_elapsed);
         if suspended < MIN_SUSPENSION {
             return Duration::ZERO;
         }
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -84,10 +84,11 @@
     let chain = entry.node.chain.borrow();
     let bundle = &chain.head().ok_or(Kind::Starting)?.bundle;
     let context = api::authenticate(&entry.node, bundle, request, id, team)?;
-    let bad = |detail: String| Failure::with_detail(Kind::BadRequest, detail).for_caller(&context);
+    let bad_request =
+        |detail: String| Failure::with_detail(Kind::BadRequest, detail).for_caller(&context);
     if !context.team.models.iter().any(|it| it == model) {
-        let known = bundle.models.iter().any(|it| it.name == model);
-        let kind = if known {
+        let exists = bundle.models.iter().any(|it| it.name == model);
+        let kind = if exists {
             Kind::Forbidden
         } else {
             Kind::NotFound
@@ -95,9 +96,12 @@
         return Err(Failure::with_detail(kind, format!("model {model}")).for_caller(&context));
     }
     let body = api::body(request).map_err(|it| it.for_caller(&context))?;
-    let generate: Generate = serde_json::from_slice(body).map_err(|it| bad(it.to_string()))?;
+    let generate: Generate =
+        serde_json::from_slice(body).map_err(|it| bad_request(it.to_string()))?;
     if !(1..=MAX_TOKENS).contains(&generate.max_tokens) {
-        return Err(bad(format!("max_tokens: 1 to {MAX_TOKENS} are allowed")));
+        return Err(bad_request(format!(
+            "max_tokens: 1 to {MAX_TOKENS} are allowed"
+        )));
     }
     let adapters = bundle
         .models
@@ -233,11 +237,11 @@
     fn observe_token_gap(&mut self) {
         let now = self.entry.node.clock.now();
         if 0 < self.tokens {
-            let passed = now.since(self.last_token_at);
+            let gap = now.since(self.last_token_at);
             metrics::observe(
                 &self.entry.node.metrics.between_tokens,
                 &self.caller_labels(),
-                passed,
+                gap,
             );
         }
         self.tokens += 1;
@@ -257,8 +261,8 @@
         let node = &self.entry.node;
         let now = node.clock.now();
         let Caller { team, class } = self.caller_labels();
-        let whole = now.since(self.context.started);
-        metrics::observe(&node.metrics.whole_answer, &self.caller_labels(), whole);
+        let elapsed = now.since(self.context.started);
+        metrics::observe(&node.metrics.whole_answer, &self.caller_labels(), elapsed);
         self.entry
             .limits
             .borrow_mut()
@@ -266,7 +270,7 @@
         info!(node.log, "request done"; "request" => &self.context.id, "team" => &team,
             "class" => &class, "model" => &self.pin.model, "version" => &self.pin.version,
             "replica" => &self.stream.replica, "tokens" => self.tokens,
-            "outcome" => self.outcome, "ms" => whole.as_millis() as u64);
+            "outcome" => self.outcome, "ms" => elapsed.as_millis() as u64);
         let outcome_labels = RequestOutcome {
             team,
             class,
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -48,10 +48,10 @@
 impl Limits {
     /// Applies the teams and rates of a bundle, in a fleet of `entries` entries.
     pub fn configure(&mut self, rates: &[(String, Rate)], entries: usize, now: Time) {
-        let kept = |team: &str| rates.iter().any(|(it, _)| it == team);
-        self.limiter.retain(kept);
-        self.teams.retain(|it, _| kept(it));
-        self.lenders.retain(|it, _| kept(it));
+        let in_bundle = |team: &str| rates.iter().any(|(it, _)| it == team);
+        self.limiter.retain(in_bundle);
+        self.teams.retain(|it, _| in_bundle(it));
+        self.lenders.retain(|it, _| in_bundle(it));
         for (name, rate) in rates {
             let team = self.teams.entry(name.clone()).or_default();
             team.allowed = [rate.requests, rate.tokens];
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -292,15 +292,15 @@
 /// Applies rate limits and version pins whenever the bundle or the membership changes.
 async fn follow_bundles(entry: Rc<Entry>) {
     let mut bundle = entry.node.bundle_number.subscribe();
-    let mut members = entry.node.membership_changes.subscribe();
+    let mut membership = entry.node.membership_changes.subscribe();
     loop {
         entry.configure();
         tokio::select! {
             it = bundle.changed() => if it.is_err() { return },
-            it = members.changed() => if it.is_err() { return },
+            it = membership.changed() => if it.is_err() { return },
         }
         bundle.borrow_and_update();
-        members.borrow_and_update();
+        membership.borrow_and_update();
     }
 }
 
--- a/crates/gradeloft_daemon/src/entry/service.rs
+++ b/crates/gradeloft_daemon/src/entry/service.rs
@@ -205,11 +205,11 @@
             team: team.clone(),
             class: class.clone(),
         };
-        let whole = node.clock.now().since(self.context.started);
-        metrics::observe(&node.metrics.whole_answer, &caller, whole);
+        let elapsed = node.clock.now().since(self.context.started);
+        metrics::observe(&node.metrics.whole_answer, &caller, elapsed);
         info!(node.log, "request done"; "request" => &self.context.id, "team" => &team,
             "class" => &class, "service" => &self.service, "replica" => &self.stream.replica,
-            "outcome" => self.outcome, "ms" => whole.as_millis() as u64);
+            "outcome" => self.outcome, "ms" => elapsed.as_millis() as u64);
         let outcome_labels = RequestOutcome {
             team,
             class,
--- a/crates/gradeloft_daemon/src/settings.rs
+++ b/crates/gradeloft_daemon/src/settings.rs
@@ -132,15 +132,15 @@
         faults.push(Fault::new("/agent", "missing; an agent needs it"));
         return;
     };
-    let named = agent.endpoint.service.is_some();
+    let has_service_name = agent.endpoint.service.is_some();
     match agent.endpoint.kind {
-        EndpointKind::Service if !named => {
+        EndpointKind::Service if !has_service_name => {
             faults.push(Fault::new(
                 "/agent/endpoint/service",
                 "missing; a service needs a name",
             ));
         }
-        EndpointKind::Engine if named => {
+        EndpointKind::Engine if has_service_name => {
             faults.push(Fault::new(
                 "/agent/endpoint/service",
                 "an engine has no service name",
--- a/crates/gradeloft_daemon/tests/serving.rs
+++ b/crates/gradeloft_daemon/tests/serving.rs
@@ -330,7 +330,7 @@
     fleet.deploy(&v1).await;
     let (force, forced) = watch::channel(false);
     let entry = fleet.entries[0].as_ref().unwrap();
-    let asked = async {
+    let requests = async {
         until("the entry leaves", || entry.node().leaving()).await;
         let deadline = |ms| fleet.caller().with("x-deadline-ms", ms);
         let (short_deadline, long_deadline) = (deadline("1000"), deadline("60000"));
@@ -344,7 +344,7 @@
         assert_eq!(fleet.engines[0].endpoint.state.finished.get(), before);
         force.send(true).unwrap();
     };
-    join(entry.drain(forced), asked).await;
+    join(entry.drain(forced), requests).await;
 }
 
 #[actix_rt::test]
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -99,9 +99,9 @@
         .await;
     let mut transcript = Transcript::default();
     let name = |address: &str| {
-        let named = |it: &usize| fleet.entry(*it).to_string() == address;
+        let has_address = |it: &usize| fleet.entry(*it).to_string() == address;
         (0..4)
-            .find(named)
+            .find(has_address)
             .map_or("unknown".to_owned(), |it| format!("entry-{it}"))
     };
     let ask = async |entry: usize, zone: &str| {
