--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -16,24 +16,24 @@
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a role adds to the status.
+/// Status of a role, as the admin port reports it.
 pub trait Report {
-    /// Whether it takes work; the reason if not.
+    /// Returns `Ok` if the process accepts work, else the reason why not.
     fn ready(&self) -> Result<(), &'static str>;
-    /// Versions that it holds.
+    /// Returns the versions that the process holds.
     fn versions(&self) -> Vec<VersionStatus>;
-    /// Its epoch; 0 for none.
+    /// Returns the epoch of the process; 0 if it has none.
     fn epoch(&self) -> u64;
 }
 
-/// Starts the admin port.
+/// Starts the listener of the admin port.
 pub async fn start(node: Rc<Node>, report: Rc<dyn Report>) -> std::io::Result<Server> {
     let address = node.settings.listen.admin.clone();
     let limits = Limits {
         header_bytes: node.limits.header_bytes as usize,
         body_bytes: 0,
         connections: node.limits.connections as usize,
-        idle: node.idle(),
+        idle: node.idle_timeout(),
     };
     let handler: Handler = Rc::new(move |request| {
         let res = answer(&node, &*report, &request);
@@ -51,7 +51,7 @@
         "/readyz" => match report.ready() {
             Ok(()) => text(
                 200,
-                &format!("ready, bundle from {}\n", node.learned.get().name()),
+                &format!("ready, bundle from {}\n", node.bundle_source.get().name()),
             ),
             Err(why) => text(503, &format!("{why}\n")),
         },
@@ -85,7 +85,7 @@
         ready: report.ready().is_ok(),
         leaving: node.leaving(),
         bundle,
-        source: node.learned.get().name().to_owned(),
+        source: node.bundle_source.get().name().to_owned(),
         versions: report.versions(),
         peers: peers as u64,
         epoch: report.epoch(),
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! What both roles share: the bundle in force, the peers, the admin port.
+//! State and tasks of both roles: the bundle in force, the peers and the admin port.
 //!
 //! - [`admin`]: health, metrics and status.
-//! - [`calls`]: the calls that every node answers alike.
-//! - [`config`]: how a node learns which bundle is in force.
-//! - [`peers`]: the list, the connections to peers, the notices over them.
+//! - [`calls`]: calls of peers that both roles answer in the same way.
+//! - [`config`]: synchronization of the bundle in force.
+//! - [`peers`]: the list of instances, connections to peers, and notices.
 
 pub mod admin;
 pub mod calls;
@@ -35,11 +35,12 @@
     transport::{self, client::Pool},
 };
 
-/// Time for a platform service to begin its answer.
+/// Timeout until a platform service begins its response.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the weight store or the origin to begin an answer; their links are shared by many.
+/// Timeout until the weight store or the origin begins its response; their links are shared by
+/// many nodes.
 const WEIGHTS_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time to connect to a peer.
+/// Timeout to connect to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The platform's services.
@@ -47,15 +48,15 @@
     /// Append-only log.
     pub log: Rc<dyn log::Log>,
     /// List of instances.
-    pub list: Rc<dyn list::List>,
+    pub list: Rc<dyn list::InstanceList>,
     /// Weight store.
-    pub store: Rc<dyn weights::Weights>,
+    pub store: Rc<dyn weights::WeightSource>,
     /// Origin of weights.
-    pub origin: Rc<dyn weights::Weights>,
+    pub origin: Rc<dyn weights::WeightSource>,
 }
 
 impl Platform {
-    /// The services over HTTP, at the addresses of the settings.
+    /// Creates HTTP clients of the services at the addresses in the settings.
     pub fn http(settings: &Settings) -> Platform {
         let urls = &settings.platform;
         let source = settings
@@ -72,34 +73,34 @@
     }
 }
 
-/// How the node learned the bundle in force.
+/// Source from which a node got the bundle in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Learned {
-    /// From the platform's log.
+pub enum BundleSource {
+    /// The platform's log.
     Log,
-    /// Not at all yet.
+    /// No bundle yet.
     #[default]
-    Nothing,
-    /// From a peer.
+    None,
+    /// A peer.
     Peer,
 }
 
-impl Learned {
-    /// Name in logs and status.
+impl BundleSource {
+    /// Returns the name in logs and in the status.
     pub fn name(self) -> &'static str {
         match self {
-            Learned::Log => "log",
-            Learned::Nothing => "none",
-            Learned::Peer => "peer",
+            BundleSource::Log => "log",
+            BundleSource::None => "none",
+            BundleSource::Peer => "peer",
         }
     }
 }
 
-/// State that both roles have, for the life of the process.
+/// State that entries and agents have in common.
 pub struct Node {
     /// Settings.
     pub settings: Settings,
-    /// Bounds of the settings.
+    /// Limits of the settings.
     pub limits: Limits,
     /// Clock.
     pub clock: Clock,
@@ -113,27 +114,28 @@
     pub pool: Pool,
     /// Tasks of the process.
     pub scope: Rc<Scope>,
-    /// The bundle in force.
+    /// Accepted bundles; the head is in force.
     pub chain: RefCell<Chain>,
-    /// How it was learned.
-    pub learned: Cell<Learned>,
-    /// When the log took the last record that holds the bundle in force, in milliseconds since 1970.
-    pub recorded_ms: Cell<Option<u64>>,
-    /// Number of the bundle in force; tells whoever waits for a change.
-    pub bundle: watch::Sender<u64>,
+    /// Source of the bundle in force.
+    pub bundle_source: Cell<BundleSource>,
+    /// Time at which the log accepted the latest record of the bundle in force, in milliseconds
+    /// since 1970.
+    pub last_record_ms: Cell<Option<u64>>,
+    /// Number of the bundle in force, for tasks that wait for a change.
+    pub bundle_number: watch::Sender<u64>,
     /// Peers.
     pub membership: RefCell<Membership>,
-    /// Counts changes of membership; tells whoever waits for one.
-    pub members: watch::Sender<u64>,
-    /// When the process ends at the latest, once it leaves.
-    pub ends: Cell<Option<Time>>,
-    /// The node's own state, as it is pushed to those who watch it.
+    /// Number of changes of the membership, for tasks that wait for one.
+    pub membership_changes: watch::Sender<u64>,
+    /// Time at which the process ends at the latest; set once it drains.
+    pub shutdown_deadline: Cell<Option<Time>>,
+    /// State of this node, as sent to the peers that watch it.
     pub notice: watch::Sender<Notice>,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without peers or a bundle.
     pub fn new(settings: Settings, platform: Platform, log: Logger, seed: u64) -> Node {
         let limits = settings.limits.clone().unwrap_or_default();
         let source = settings
@@ -161,48 +163,48 @@
             platform,
             scope: Rc::default(),
             chain: RefCell::new(Chain::new(crate::settings::publishers(&settings))),
-            learned: Cell::default(),
-            recorded_ms: Cell::default(),
-            bundle: watch::Sender::new(0),
+            bundle_source: Cell::default(),
+            last_record_ms: Cell::default(),
+            bundle_number: watch::Sender::new(0),
             membership: RefCell::new(Membership::new(&settings.node.id)),
-            members: watch::Sender::new(0),
-            ends: Cell::default(),
+            membership_changes: watch::Sender::new(0),
+            shutdown_deadline: Cell::default(),
             notice: watch::Sender::new(notice),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             settings,
         }
     }
 
-    /// Whether the process takes no new work.
+    /// Returns whether the process is draining and accepts no new work.
     pub fn leaving(&self) -> bool {
         self.notice.borrow().leaving
     }
 
-    /// Tells all watchers that the process leaves.
+    /// Marks the process as leaving, and notifies the peers that watch it.
     pub fn leave(&self) {
         self.notice.send_modify(|it| it.leaving = true);
     }
 
-    /// A fresh id for an attempt.
+    /// Returns a new random id for an attempt.
     pub fn request_id(&self) -> RequestId {
         self.with_rng(|it| RequestId(it.random()))
     }
 
-    /// Lends the random generator.
-    pub fn with_rng<T>(&self, use_it: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
-        use_it(&mut self.rng.borrow_mut())
+    /// Calls a closure with the random number generator.
+    pub fn with_rng<T>(&self, use_rng: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
+        use_rng(&mut self.rng.borrow_mut())
     }
 
     /// Counts a failed call to the platform.
-    pub fn platform_fault(&self, service: &'static str) {
+    pub fn count_platform_failure(&self, service: &'static str) {
         self.metrics
             .platform_faults
             .get_or_create(&Reason { reason: service })
             .inc();
     }
 
-    /// Longest silence of a peer or an endpoint.
-    pub fn idle(&self) -> Duration {
+    /// Returns the longest time without data from a peer or an endpoint.
+    pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.idle_ms)
     }
 }
