--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -31,7 +31,7 @@
     codec,
     datagram::Sender,
     id::Fingerprint,
-    quarantine::{Crash, IN_DATAGRAM, Suspect},
+    quarantine::{Crash, MAX_PER_DATAGRAM, Suspect},
 };
 use rand::Rng;
 use slog::info;
@@ -247,7 +247,7 @@
         let known = self.quarantine.known.borrow();
         let weight = |it| known.crashes(it);
         let mut announcements = self.quarantine.announcements.borrow_mut();
-        let due = announcements.take_due(now, IN_DATAGRAM * MAX_DATAGRAMS_PER_TURN, weight);
+        let due = announcements.take_due(now, MAX_PER_DATAGRAM * MAX_DATAGRAMS_PER_TURN, weight);
         drop(announcements);
         let suspects: Vec<Suspect> = due
             .into_iter()
@@ -266,7 +266,7 @@
             .into_iter()
             .filter_map(|(relay, _)| relay)
             .collect();
-        for suspects in suspects.chunks(IN_DATAGRAM) {
+        for suspects in suspects.chunks(MAX_PER_DATAGRAM) {
             let sender = Sender::Suspects {
                 relayed: false,
                 suspects: suspects.to_vec(),
@@ -292,7 +292,7 @@
             .filter(|it| STORE_AT_CRASHES <= known.crashes(*it));
         let mut worst: Vec<Fingerprint> = all.collect();
         worst.sort_unstable_by_key(|it| (Reverse(known.crashes(*it)), *it));
-        let worst_first = worst.into_iter().take(IN_DATAGRAM);
+        let worst_first = worst.into_iter().take(MAX_PER_DATAGRAM);
         let suspects: Vec<Suspect> = worst_first
             .filter_map(|it| known.snapshot(it, now))
             .collect();
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -9,7 +9,7 @@
     codec,
     frame::Table,
     id::Fingerprint,
-    quarantine::{self, Kept, Suspect},
+    quarantine::{self, Suspect, SuspectRecord},
 };
 use rand::Rng;
 use slog::warn;
@@ -63,7 +63,8 @@
                 continue;
             };
             let value = record.value.as_deref();
-            let Some(stored) = value.and_then(|it| codec::decode_body::<Kept>(it).ok()) else {
+            let Some(stored) = value.and_then(|it| codec::decode_body::<SuspectRecord>(it).ok())
+            else {
                 self.quarantine.stored.borrow_mut().remove(&request);
                 continue;
             };
@@ -123,7 +124,7 @@
         if !worth_storing || !missing {
             return None;
         }
-        let value = codec::encode_body(&Kept {
+        let value = codec::encode_body(&SuspectRecord {
             crashed_ms: unix_ms().saturating_sub(u64::from(suspect.age_ms)),
             crashes: suspect.crashes,
         });
--- a/crates/gradeloft_gateway/src/node/unreadable.rs
+++ b/crates/gradeloft_gateway/src/node/unreadable.rs
@@ -7,7 +7,7 @@
 use gradeloft_wire::{
     codec,
     frame::Table,
-    quarantine::{self, Kept},
+    quarantine::{self, SuspectRecord},
 };
 use slog::warn;
 
@@ -43,7 +43,7 @@
         let value = record.value.as_ref()?;
         match table {
             Table::Entries if quarantine::request(&record.key).is_some() => {
-                let kept = codec::decode_body::<Kept>(value);
+                let kept = codec::decode_body::<SuspectRecord>(value);
                 kept.err().map(|it| format!("{it:?}"))
             }
             Table::Entries if record.key.parse::<std::net::Ipv4Addr>().is_err() => {
--- a/crates/gradeloft_gateway/src/suspects.rs
+++ b/crates/gradeloft_gateway/src/suspects.rs
@@ -10,7 +10,7 @@
     codec,
     frame::Table,
     id::Fingerprint,
-    quarantine::{self, Crash, Kept},
+    quarantine::{self, Crash, SuspectRecord},
 };
 
 /// A suspect request with its record in the store.
@@ -19,19 +19,19 @@
     /// Fingerprint of the request, as in log lines.
     pub request: Fingerprint,
     /// Stored record.
-    pub kept: Kept,
+    pub record: SuspectRecord,
 }
 
 impl StoredSuspect {
     fn of(record: &Record) -> Option<StoredSuspect> {
         let request = quarantine::request(&record.key)?;
-        let kept = codec::decode_body(record.value.as_deref()?).ok()?;
-        Some(StoredSuspect { request, kept })
+        let record = codec::decode_body(record.value.as_deref()?).ok()?;
+        Some(StoredSuspect { request, record })
     }
 
     /// Returns the number of crashes that count against the request.
     pub fn crashes(&self) -> usize {
-        self.kept.crashes.iter().filter(|it| !it.void).count()
+        self.record.crashes.iter().filter(|it| !it.void).count()
     }
 }
 
@@ -52,13 +52,13 @@
         return Ok(false);
     };
     let void = |it: Crash| Crash { void: true, ..it };
-    let kept = Kept {
-        crashes: suspect.kept.crashes.into_iter().map(void).collect(),
-        ..suspect.kept
+    let record = SuspectRecord {
+        crashes: suspect.record.crashes.into_iter().map(void).collect(),
+        ..suspect.record
     };
     let put = Put {
         key: quarantine::key(request),
-        value: Some(Bytes::from(codec::encode_body(&kept))),
+        value: Some(Bytes::from(codec::encode_body(&record))),
     };
     store.write(vec![put]).await?;
     Ok(true)
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -15,7 +15,7 @@
 
 use gradeloft_wire::{
     id::Fingerprint,
-    quarantine::{Crash, MOST_CRASHES, Suspect as SuspectMessage},
+    quarantine::{Crash, MAX_CRASHES, Suspect as SuspectMessage},
 };
 
 use crate::clock::Time;
@@ -99,7 +99,7 @@
             Ok(idx) => self.crashes[idx].void |= crash.void,
             Err(idx) => self.crashes.insert(idx, crash),
         }
-        self.crashes.truncate(MOST_CRASHES);
+        self.crashes.truncate(MAX_CRASHES);
     }
 
     /// Returns whether a known crash is missing from `crashes`.
--- a/crates/gradeloft_wire/src/quarantine.rs
+++ b/crates/gradeloft_wire/src/quarantine.rs
@@ -5,9 +5,9 @@
 use crate::id::Fingerprint;
 
 /// Crashes of one request that are told and kept: far more than shut one out.
-pub const MOST_CRASHES: usize = 16;
+pub const MAX_CRASHES: usize = 16;
 /// Requests in one datagram: with the most crashes each, 120 bytes, they fill it.
-pub const IN_DATAGRAM: usize = 10;
+pub const MAX_PER_DATAGRAM: usize = 10;
 
 /// The end of a replica while it had a request.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
@@ -31,7 +31,7 @@
 
 /// What is known of a request, as the store keeps it under the request's [`key`].
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Kept {
+pub struct SuspectRecord {
     /// Unix millisecond of the last crash, by the clock of the entry that wrote it.
     pub crashed_ms: u64,
     /// Crashes by start, each start once.
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -9,7 +9,7 @@
     error::{Kind, Ran, Retry},
     frame::{Call, Job, Pin, Repeat, Reply, Work},
     id::{Digest, Fingerprint, RequestId},
-    quarantine::{Crash, IN_DATAGRAM, MOST_CRASHES, Suspect},
+    quarantine::{Crash, MAX_CRASHES, MAX_PER_DATAGRAM, Suspect},
     record::{FORMAT, Record, SignedBundle, Unreadable},
     schema::{self, Schema},
 };
@@ -217,7 +217,7 @@
 /// A datagram that is too large is not sent, so as many requests as one may hold have room with all their crashes.
 #[test]
 fn the_largest_word_on_requests_has_room_in_a_datagram() {
-    let crashes = (0..MOST_CRASHES as u32).map(|it| Crash {
+    let crashes = (0..MAX_CRASHES as u32).map(|it| Crash {
         start: u32::MAX - it,
         void: true,
     });
@@ -233,7 +233,7 @@
         unconfirmed_ms: [u16::MAX; 3],
         sender: Sender::Suspects {
             relayed: true,
-            suspects: vec![suspect; IN_DATAGRAM],
+            suspects: vec![suspect; MAX_PER_DATAGRAM],
         },
     };
     let bytes = codec::encode_body(&datagram).len();
