--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -13,7 +13,7 @@
 use gradeloft_wire::{
     border::platform::InstanceRole,
     error::Kind,
-    frame::{Borrow, Call, Reply, Units},
+    frame::{Call, Reply, TeamLeaseRequest, Units},
 };
 use tokio::time::timeout;
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns a lease request for each team with demand.
-    fn lease_requests(&mut self, now: Time) -> Vec<Borrow> {
+    fn lease_requests(&mut self, now: Time) -> Vec<TeamLeaseRequest> {
         let mut lease_requests = Vec::new();
         for (name, team) in &mut self.teams {
             let [requests, tokens] = &mut team.demand;
@@ -114,7 +114,7 @@
             let held = team.borrowers.map(|it| it.held(now));
             if MIN_DEMAND < demand[0] {
                 let (demand, held) = (to_units(need), to_units(held));
-                lease_requests.push(Borrow {
+                lease_requests.push(TeamLeaseRequest {
                     team: name.clone(),
                     demand,
                     held,
@@ -128,7 +128,7 @@
     fn grant(
         &mut self,
         entry: u64,
-        lease_requests: &[Borrow],
+        lease_requests: &[TeamLeaseRequest],
         counts: EntryCounts,
         now: Time,
     ) -> Vec<Units> {
@@ -141,7 +141,7 @@
     fn grant_one(
         &mut self,
         entry: u64,
-        lease_request: &Borrow,
+        lease_request: &TeamLeaseRequest,
         counts: EntryCounts,
         now: Time,
     ) -> Units {
@@ -218,14 +218,15 @@
 
 impl Entry {
     /// Answers the lease requests of another entry.
-    pub(super) fn grant(&self, node: &str, lease_requests: &[Borrow]) -> Reply {
+    pub(super) fn grant(&self, node: &str, lease_requests: &[TeamLeaseRequest]) -> Reply {
         let now = self.node.clock.now();
         let entry = rendezvous::hash(node.as_bytes());
-        Reply::Lent(
-            self.limits
-                .borrow_mut()
-                .grant(entry, lease_requests, self.entry_counts(), now),
-        )
+        Reply::Leased(self.limits.borrow_mut().grant(
+            entry,
+            lease_requests,
+            self.entry_counts(),
+            now,
+        ))
     }
 
     pub(super) fn listed_entries(&self) -> usize {
@@ -246,7 +247,10 @@
     }
 
     /// Groups lease requests by the address of their home; `None` is this entry.
-    fn group_by_home(&self, lease_requests: Vec<Borrow>) -> HashMap<Option<String>, Vec<Borrow>> {
+    fn group_by_home(
+        &self,
+        lease_requests: Vec<TeamLeaseRequest>,
+    ) -> HashMap<Option<String>, Vec<TeamLeaseRequest>> {
         let own = rendezvous::hash(self.node.settings.node.id.as_bytes());
         let membership = self.node.membership.borrow();
         let connected: Vec<(u64, &str)> = membership
@@ -254,7 +258,7 @@
             .filter(|(_, it)| it.listed && it.connected)
             .map(|(_, it)| (it.node, it.instance.peer.as_str()))
             .collect();
-        let mut homes: HashMap<Option<String>, Vec<Borrow>> = HashMap::new();
+        let mut homes: HashMap<Option<String>, Vec<TeamLeaseRequest>> = HashMap::new();
         for lease_request in lease_requests {
             let nodes = connected.iter().map(|it| it.0).chain([own]);
             let home = rate_leases::home(&lease_request.team, nodes);
@@ -267,7 +271,7 @@
         homes
     }
 
-    async fn request_leases(&self, home: Option<String>, lease_requests: Vec<Borrow>) {
+    async fn request_leases(&self, home: Option<String>, lease_requests: Vec<TeamLeaseRequest>) {
         let asked_at = self.node.clock.now();
         let own = self.node.settings.node.id.clone();
         self.limits.borrow_mut().record_request(asked_at);
@@ -277,9 +281,9 @@
             None if !self.entry_counts().has_majority() => return,
             None => self.grant(&own, &lease_requests),
             Some(address) => {
-                let call = Call::Borrow {
+                let call = Call::Lease {
                     node: own,
-                    asks: lease_requests.clone(),
+                    requests: lease_requests.clone(),
                 };
                 let calling = self.node.pool.call(address, Lane::Live, &call);
                 match timeout(Duration::from_millis(LEASE_MS), calling).await {
@@ -288,7 +292,7 @@
                 }
             }
         };
-        let Reply::Lent(granted) = reply else {
+        let Reply::Leased(granted) = reply else {
             return;
         };
         let entries = self.entry_counts().entries;
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -270,8 +270,8 @@
         let scope = Rc::clone(&entry.node.scope);
         scope.spawn(async move {
             match call {
-                Call::Borrow { node, asks } => {
-                    let granted = entry.grant(&node, &asks);
+                Call::Lease { node, requests } => {
+                    let granted = entry.grant(&node, &requests);
                     outgoing.finish(&granted).await;
                 }
                 other => calls::answer(Rc::clone(&entry.node), other, outgoing).await,
--- a/crates/gradeloft_daemon/src/node/calls.rs
+++ b/crates/gradeloft_daemon/src/node/calls.rs
@@ -34,7 +34,7 @@
             config::adopt(&node, &signed);
             outgoing.finish(&Reply::Bundles(Vec::new())).await;
         }
-        Call::Borrow { .. }
+        Call::Lease { .. }
         | Call::Chunk { .. }
         | Call::Follow { .. }
         | Call::Parts { .. }
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -34,12 +34,17 @@
 
     /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs unabridged records and
     /// this process has only abridged ones.
-    pub(super) fn update_for_peer(&self, table: Table, from: u64, brief: bool) -> Option<Update> {
+    pub(super) fn update_for_peer(
+        &self,
+        table: Table,
+        from: u64,
+        abridged: bool,
+    ) -> Option<Update> {
         let mut update = self.copies.borrow()[index(table)].since(from);
         if table != Table::Operator {
             return Some(update);
         }
-        if brief {
+        if abridged {
             for record in &mut update.records {
                 self.abridge(record);
             }
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -94,8 +94,12 @@
                 };
                 self.serve_parts(request, outgoing).await;
             }
-            Call::Records { table, from, brief } => {
-                self.serve_records(table, from, brief, outgoing).await;
+            Call::Records {
+                table,
+                from,
+                abridged,
+            } => {
+                self.serve_records(table, from, abridged, outgoing).await;
             }
             _ => {}
         }
@@ -106,15 +110,15 @@
         self: &Rc<Node>,
         table: Table,
         from: u64,
-        brief: bool,
+        abridged: bool,
         outgoing: Outgoing,
     ) {
-        let Some(update) = self.update_for_peer(table, from, brief) else {
+        let Some(update) = self.update_for_peer(table, from, abridged) else {
             return;
         };
         // When many peers ask at once, as after a start, serving few at a time completes the first copies sooner, and
         // those peers then serve the others.
-        let caller = if brief { Role::Agent } else { Role::Entry };
+        let caller = if abridged { Role::Agent } else { Role::Entry };
         let _slot = match update.bytes() {
             ..=INLINE_BYTES => None,
             _ => match self.take_upload_slot(caller) {
@@ -149,13 +153,13 @@
         let large = INLINE_BYTES < value.len() || *room < value.len();
         // Only values that this process holds as they are can be sent in parts, not abridged ones.
         if large && self.value_at(table, record.offset).as_ref() == Some(value) {
-            return Value::Apart {
+            return Value::Deferred {
                 length: value.len() as u64,
                 digest: Digest::of(value),
             };
         }
         *room = room.saturating_sub(value.len());
-        Value::Here(value.to_vec())
+        Value::Inline(value.to_vec())
     }
 
     /// Returns the value of a record, if the copy holds it.
@@ -263,8 +267,12 @@
         let address = self.peer_address(peer);
         let from = self.end(table);
         let asked = self.clock.now();
-        let brief = self.wants_abridged();
-        let call = Call::Records { table, from, brief };
+        let abridged = self.wants_abridged();
+        let call = Call::Records {
+            table,
+            from,
+            abridged,
+        };
         let asking = self
             .peers
             .call_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
@@ -398,7 +406,7 @@
         key, value, offset, ..
     } = row;
     let value = match value {
-        Value::Apart { length, digest } => {
+        Value::Deferred { length, digest } => {
             return pending_update::Row::Missing(MissingValue {
                 key,
                 offset,
@@ -407,7 +415,7 @@
             });
         }
         Value::Deleted => None,
-        Value::Here(value) => Some(Bytes::from(value)),
+        Value::Inline(value) => Some(Bytes::from(value)),
     };
     pending_update::Row::Present(Record { key, value, offset })
 }
--- a/crates/gradeloft_wire/src/frame.rs
+++ b/crates/gradeloft_wire/src/frame.rs
@@ -35,12 +35,12 @@
         /// Highest number that the caller has; 0 for none.
         number: u64,
     },
-    /// Lend me shares of teams' rates, for which you are the home: one [`Reply::Lent`].
-    Borrow {
+    /// Lend me shares of teams' rates, for which you are the home: one [`Reply::Leased`].
+    Lease {
         /// Instance that asks.
         node: String,
         /// What it asks for.
-        asks: Vec<Borrow>,
+        requests: Vec<TeamLeaseRequest>,
     },
     /// Here is a bundle that is in force: one [`Reply::Bundles`], empty.
     Push(SignedBundle),
@@ -51,7 +51,7 @@
         /// Offset of the first record that the caller has not seen.
         from: u64,
         /// Whether to leave out of the operator's records what only entries need.
-        brief: bool,
+        abridged: bool,
     },
     /// Send the digests of a version's pieces: one [`Reply::Pieces`] or [`Reply::Absent`].
     Pieces {
@@ -60,7 +60,7 @@
         /// Version.
         version: u64,
     },
-    /// Send a value that was announced by [`Value::Apart`]: its [`Reply::Part`]s in order up to the end,
+    /// Send a value that was announced by [`Value::Deferred`]: its [`Reply::Part`]s in order up to the end,
     /// or one [`Reply::Absent`].
     Parts {
         /// Table.
@@ -134,7 +134,7 @@
     /// Signed bundles, lowest number first.
     Bundles(Vec<SignedBundle>),
     /// What is lent, in the order of the asks.
-    Lent(Vec<Units>),
+    Leased(Vec<Units>),
     /// State of the sender.
     Notice(Notice),
     /// Digests of a version's pieces, in order.
@@ -188,7 +188,7 @@
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Value {
     /// Too large for this frame: to be asked for by [`Call::Parts`].
-    Apart {
+    Deferred {
         /// Bytes.
         length: u64,
         /// Of all of it, so that parts that came from several peers are known to fit together.
@@ -197,7 +197,7 @@
     /// The key is deleted.
     Deleted,
     /// All of it.
-    Here(Vec<u8>),
+    Inline(Vec<u8>),
 }
 
 /// Thousandths of requests and of tokens a second.
@@ -211,7 +211,7 @@
 
 /// An ask for a share of one team's rate.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Borrow {
+pub struct TeamLeaseRequest {
     /// Team.
     pub team: String,
     /// What callers want of the asker.
