--- a/crates/gradeloft_cli/src/command.rs
+++ b/crates/gradeloft_cli/src/command.rs
@@ -15,7 +15,7 @@
     fleet::{self, Member},
     history::History,
     keys,
-    publish::{self, Failure, Progress},
+    publish::{self, Progress, PublishError},
     traffic,
 };
 use gradeloft_daemon::settings;
@@ -266,10 +266,10 @@
     show_changes(&history, &signed, as_json);
     let number = match publish::publish(&*log, &platform.trust, &signed).await {
         Ok(number) => number,
-        Err(failure @ Failure::Refused(_)) => {
+        Err(failure @ PublishError::Refused(_)) => {
             return Output::failed(Ending::Refused, failure.to_string());
         }
-        Err(failure @ Failure::Log(_)) => {
+        Err(failure @ PublishError::Log(_)) => {
             return Output::failed(Ending::Unreachable, failure.to_string());
         }
     };
@@ -316,7 +316,8 @@
         );
     }
     let live = io::stderr().is_terminal() && !as_json;
-    let result = publish::in_force(list, number, wait, |it| show_progress(it, live)).await;
+    let result =
+        publish::wait_until_in_force(list, number, wait, |it| show_progress(it, live)).await;
     if live {
         eprintln!();
     }
--- a/crates/gradeloft_cli/src/publish.rs
+++ b/crates/gradeloft_cli/src/publish.rs
@@ -22,18 +22,20 @@
 
 /// Why a bundle was not published.
 #[derive(Debug)]
-pub enum Failure {
+pub enum PublishError {
     /// The log could not be reached; whether the bundle was appended is unknown.
     Log(Fault),
     /// The fold refused it.
     Refused(Refusal),
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for PublishError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Log(fault) => write!(f, "the log can't be used: {fault}"),
-            Failure::Refused(refusal) => f.write_str(&describe(&Verdict::Refused(refusal.clone()))),
+            PublishError::Log(fault) => write!(f, "the log can't be used: {fault}"),
+            PublishError::Refused(refusal) => {
+                f.write_str(&describe(&Verdict::Refused(refusal.clone())))
+            }
         }
     }
 }
@@ -44,7 +46,7 @@
     log: &dyn Log,
     trusted: &[Publisher],
     signed: &SignedBundle,
-) -> Result<u64, Failure> {
+) -> Result<u64, PublishError> {
     let digest = signed.digest();
     let record = Record::Bundle(signed.clone()).encode();
     let mut last = Fault::Unreachable;
@@ -54,14 +56,16 @@
         match (appended, history) {
             (_, Ok(history)) => match history.verdict(digest) {
                 Some(Verdict::Accepted | Verdict::Known) => return Ok(history.chain.number()),
-                Some(Verdict::Refused(refusal)) => return Err(Failure::Refused(refusal.clone())),
+                Some(Verdict::Refused(refusal)) => {
+                    return Err(PublishError::Refused(refusal.clone()));
+                }
                 None => {}
             },
             (Err(fault), _) | (_, Err(fault)) => last = fault,
         }
         actix_rt::time::sleep(APPEND_PAUSE).await;
     }
-    Err(Failure::Log(last))
+    Err(PublishError::Log(last))
 }
 
 /// How far a bundle has come.
@@ -76,7 +80,7 @@
 }
 
 /// Waits until a bundle is in force on every live node, at most `bound`; shows each progress.
-pub async fn in_force(
+pub async fn wait_until_in_force(
     list: &Rc<dyn InstanceList>,
     number: u64,
     bound: Duration,
--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -206,7 +206,7 @@
         let list: std::rc::Rc<dyn gradeloft_platform::list::InstanceList> = std::rc::Rc::new(
             gradeloft_platform::list::Http::new(&self.fleet.list.url(), Duration::from_secs(2)),
         );
-        let progress = publish::in_force(&list, 1, Duration::from_secs(20), |_| {})
+        let progress = publish::wait_until_in_force(&list, 1, Duration::from_secs(20), |_| {})
             .await
             .unwrap();
         assert_eq!(progress.lagging, Vec::<String>::new());
--- a/crates/gradeloft_standin/src/fleet.rs
+++ b/crates/gradeloft_standin/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use gradeloft_cli::publish::{self, Failure};
+use gradeloft_cli::publish::{self, PublishError};
 use gradeloft_daemon::{
     agent::{self, Endpoint},
     entry, logging,
@@ -344,7 +344,7 @@
     }
 
     /// Signs and publishes a bundle; gives its signed form.
-    pub async fn publish(&self, bundle: &Bundle) -> Result<SignedBundle, Failure> {
+    pub async fn publish(&self, bundle: &Bundle) -> Result<SignedBundle, PublishError> {
         let signed = self.key.sign(bundle, SIGNER);
         let log = Http::new(&self.log.url(), Duration::from_secs(2));
         let trusted = Publisher::new(SIGNER, &self.key.public());
