--- a/crates/gradeloft_daemon/src/entry/api.rs
+++ b/crates/gradeloft_daemon/src/entry/api.rs
@@ -1,6 +1,6 @@
 //! Parsing of callers' requests, and error responses.
 
-use gradeloft_http::message::{Answer, BodyFault, Request, json, with_header};
+use gradeloft_http::message::{Answer, BodyError, Request, json, with_header};
 use gradeloft_policy::clock::Time;
 use gradeloft_wire::{
     border::{
@@ -138,8 +138,10 @@
 pub fn body(request: &Request) -> Result<&[u8], Failure> {
     match &request.body {
         Ok(body) => Ok(body),
-        Err(BodyFault::Cut) => Err(Failure::with_detail(Kind::BadRequest, "the body broke off")),
-        Err(BodyFault::TooLarge) => Err(Kind::TooLarge.into()),
+        Err(BodyError::Truncated) => {
+            Err(Failure::with_detail(Kind::BadRequest, "the body broke off"))
+        }
+        Err(BodyError::TooLarge) => Err(Kind::TooLarge.into()),
     }
 }
 
--- a/crates/gradeloft_http/src/message.rs
+++ b/crates/gradeloft_http/src/message.rs
@@ -14,9 +14,9 @@
 
 /// The body is over the limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It broke off.
-    Cut,
+    Truncated,
     /// It is over the limit.
     TooLarge,
 }
@@ -45,9 +45,9 @@
     /// Headers.
     pub headers: HeaderMap,
     /// Body, if it is within the limit.
-    pub body: Result<Bytes, BodyFault>,
+    pub body: Result<Bytes, BodyError>,
     /// Who connected.
-    pub from: Option<IpAddr>,
+    pub peer: Option<IpAddr>,
     /// The connection that it came on.
     pub hangup: Hangup,
     /// Whether the headers are within the limit.
--- a/crates/gradeloft_http/src/server.rs
+++ b/crates/gradeloft_http/src/server.rs
@@ -13,7 +13,7 @@
     task::JoinHandle,
 };
 
-use crate::message::{Answer, BodyFault, Hangup, Request, text};
+use crate::message::{Answer, BodyError, Hangup, Request, text};
 
 /// Answers requests.
 pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Answer>>;
@@ -175,18 +175,18 @@
         query: uri.query().unwrap_or_default().to_owned(),
         headers,
         body,
-        from: request.peer_addr().map(|it| it.ip()),
+        peer: request.peer_addr().map(|it| it.ip()),
         hangup,
         head_fits: head_bytes + uri.path().len() <= limits.header_bytes,
     }
 }
 
-async fn body(mut payload: Payload, max_bytes: usize) -> Result<Bytes, BodyFault> {
+async fn body(mut payload: Payload, max_bytes: usize) -> Result<Bytes, BodyError> {
     let mut body = BytesMut::new();
     while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|_| BodyFault::Cut)?;
+        let piece = piece.map_err(|_| BodyError::Truncated)?;
         if max_bytes < body.len() + piece.len() {
-            return Err(BodyFault::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         body.extend_from_slice(&piece);
     }
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -175,7 +175,7 @@
     }
     state.carry(content.len() as u64).await;
     let links = state.links.borrow().clone();
-    if let (Some((links, own)), Some(to)) = (links, request.from) {
+    if let (Some((links, own)), Some(to)) = (links, request.peer) {
         links.carry(own, to, content.len()).await;
     }
     state
--- a/crates/gradeloft_wire/src/record.rs
+++ b/crates/gradeloft_wire/src/record.rs
@@ -96,7 +96,7 @@
 
 /// Why a record can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Unreadable {
+pub enum RecordError {
     /// Empty, cut off, too long or otherwise broken.
     Malformed,
     /// Written by a newer build.
@@ -112,14 +112,14 @@
     }
 
     /// Reads the bytes of one record.
-    pub fn decode(bytes: &[u8]) -> Result<Record, Unreadable> {
+    pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         if MAX_BYTES < bytes.len() {
-            return Err(Unreadable::Malformed);
+            return Err(RecordError::Malformed);
         }
         match bytes.split_first() {
-            Some((&FORMAT, body)) => codec::decode_body(body).map_err(|_| Unreadable::Malformed),
-            Some((format, _)) if FORMAT < *format => Err(Unreadable::Newer),
-            _ => Err(Unreadable::Malformed),
+            Some((&FORMAT, body)) => codec::decode_body(body).map_err(|_| RecordError::Malformed),
+            Some((format, _)) if FORMAT < *format => Err(RecordError::Newer),
+            _ => Err(RecordError::Malformed),
         }
     }
 }
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -10,7 +10,7 @@
     frame::{Call, Job, Pin, Repeat, Reply, Work},
     id::{Digest, Fingerprint, RequestId},
     quarantine::{Crash, MAX_CRASHES, MAX_PER_DATAGRAM, Suspect},
-    record::{FORMAT, Record, SignedBundle, Unreadable},
+    record::{FORMAT, Record, RecordError, SignedBundle},
     schema::{self, Schema},
 };
 use proptest::prelude::*;
@@ -94,10 +94,10 @@
     let mut bytes = record.encode();
     assert_eq!(Record::decode(&bytes), Ok(record));
     bytes[0] = FORMAT + 1;
-    assert_eq!(Record::decode(&bytes), Err(Unreadable::Newer));
+    assert_eq!(Record::decode(&bytes), Err(RecordError::Newer));
     bytes[0] = 0;
-    assert_eq!(Record::decode(&bytes), Err(Unreadable::Malformed));
-    assert_eq!(Record::decode(&[]), Err(Unreadable::Malformed));
+    assert_eq!(Record::decode(&bytes), Err(RecordError::Malformed));
+    assert_eq!(Record::decode(&[]), Err(RecordError::Malformed));
 }
 
 #[test]
