--- a/crates/gradeloft_daemon/src/entry/addresses.rs
+++ b/crates/gradeloft_daemon/src/entry/addresses.rs
@@ -1,6 +1,6 @@
 //! Answers to address queries.
 
-use gradeloft_http::message::{Answer, Request, json};
+use gradeloft_http::message::{HttpResponse, Request, json};
 use gradeloft_policy::process::address;
 use gradeloft_wire::{
     border::{
@@ -13,11 +13,11 @@
 use super::{Entry, api::Failure};
 
 /// Answers an address query for a team and, if given, the caller's availability zone.
-pub fn answer(entry: &Entry, request: &Request) -> Result<Answer, Failure> {
+pub fn answer(entry: &Entry, request: &Request) -> Result<HttpResponse, Failure> {
     let missing = || Failure::with_detail(Kind::BadRequest, "team: missing in the query");
-    let team = request.param("team").ok_or_else(missing)?;
+    let team = request.query_param("team").ok_or_else(missing)?;
     let own_zone = &entry.node.settings.node.zone;
-    let zone = request.param("zone").unwrap_or(own_zone);
+    let zone = request.query_param("zone").unwrap_or(own_zone);
     {
         let chain = entry.node.chain.borrow();
         let head = chain.head().ok_or(Kind::Starting)?;
--- a/crates/gradeloft_daemon/src/entry/api.rs
+++ b/crates/gradeloft_daemon/src/entry/api.rs
@@ -1,6 +1,6 @@
 //! Parsing of callers' requests, and error responses.
 
-use gradeloft_http::message::{Answer, BodyError, Request, json, with_header};
+use gradeloft_http::message::{BodyError, HttpResponse, Request, json, with_header};
 use gradeloft_policy::clock::Time;
 use gradeloft_wire::{
     border::{
@@ -167,7 +167,7 @@
 }
 
 /// Returns the error response for a failure, and logs and counts the failure.
-pub fn error_response(entry: &Entry, failure: &Failure, id: &str) -> Answer {
+pub fn error_response(entry: &Entry, failure: &Failure, id: &str) -> HttpResponse {
     record_failure(entry, failure, id);
     let row = failure.kind.row();
     let answer = json(row.status, &error_body(failure, id));
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::stream;
-use gradeloft_http::message::{Answer, Request, stream as streamed, with_header};
+use gradeloft_http::message::{HttpResponse, Request, stream as streamed, with_header};
 use gradeloft_policy::{
     clock::Time, rendezvous, request::retry::Repeat, version::rollout::ServedVersion,
 };
@@ -39,7 +39,7 @@
     id: &str,
     team: &str,
     model: &str,
-) -> Result<Answer, Failure> {
+) -> Result<HttpResponse, Failure> {
     let (context, generate) = parse(entry, request, id, team, model)?;
     let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let adapter = generate.adapter.clone();
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -24,7 +24,7 @@
 
 use futures_util::FutureExt;
 use gradeloft_http::{
-    message::{Answer, Request},
+    message::{HttpResponse, Request},
     server::{self, Handler},
 };
 use gradeloft_policy::{
@@ -224,14 +224,14 @@
     server::Server::start(&address, limits, handler).await
 }
 
-async fn handle(entry: Rc<Entry>, request: Request) -> Answer {
+async fn handle(entry: Rc<Entry>, request: Request) -> HttpResponse {
     let id = api::request_id(&entry.node, &request);
     let _guard = InFlightGuard::new(&entry);
     let result = route(&entry, request, &id).await;
     result.unwrap_or_else(|failure| api::error_response(&entry, &failure, &id))
 }
 
-async fn route(entry: &Rc<Entry>, request: Request, id: &str) -> Result<Answer, Failure> {
+async fn route(entry: &Rc<Entry>, request: Request, id: &str) -> Result<HttpResponse, Failure> {
     let path = request.path.clone();
     let segments: Vec<&str> = path.split('/').filter(|it| !it.is_empty()).collect();
     match (request.method.as_str(), segments.as_slice()) {
--- a/crates/gradeloft_daemon/src/entry/service.rs
+++ b/crates/gradeloft_daemon/src/entry/service.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::stream;
-use gradeloft_http::message::{Answer, Request, stream as streamed, with_header};
+use gradeloft_http::message::{HttpResponse, Request, stream as streamed, with_header};
 use gradeloft_policy::{rendezvous, request::retry};
 use gradeloft_wire::{
     border::bundle::Service,
@@ -34,7 +34,7 @@
     team: &str,
     service: &str,
     rest: &[&str],
-) -> Result<Answer, Failure> {
+) -> Result<HttpResponse, Failure> {
     let (context, job) = parse(entry, request, id, team, service, rest)?;
     let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let now = entry.node.clock.now();
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, json, text},
+    message::{HttpResponse, Request, bytes_of, json, text},
     server::{Handler, Limits, Server},
 };
 use gradeloft_wire::border::{
@@ -42,7 +42,7 @@
     Server::start(&address, limits, handler).await
 }
 
-fn answer(node: &Node, report: &dyn Report, request: &Request) -> Answer {
+fn answer(node: &Node, report: &dyn Report, request: &Request) -> HttpResponse {
     if request.method != "GET" {
         return text(405, "only GET\n");
     }
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -7,7 +7,7 @@
 };
 
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, text},
+    message::{HttpResponse, Request, bytes_of, text},
     server::{Handler, Limits, Server},
 };
 use gradeloft_policy::process::freshness::Freshness;
@@ -56,7 +56,7 @@
 
 async fn listen(
     address: SocketAddr,
-    answer: impl Fn(&Request) -> Answer + 'static,
+    answer: impl Fn(&Request) -> HttpResponse + 'static,
 ) -> io::Result<Server> {
     let handler: Handler = Rc::new(move |request| {
         let answer = answer(&request);
@@ -65,7 +65,7 @@
     Server::start(&address.to_string(), LIMITS, handler).await
 }
 
-fn lookup(entry: &Entry, request: &Request) -> Answer {
+fn lookup(entry: &Entry, request: &Request) -> HttpResponse {
     let directory = &entry.node.platform.directory;
     if request.path != directory.lookup_path() {
         return text(404, "not found\n");
@@ -79,7 +79,7 @@
     bytes_of(200, "application/json", body)
 }
 
-fn ready(entry: &Entry, request: &Request) -> Answer {
+fn ready(entry: &Entry, request: &Request) -> HttpResponse {
     if request.path != entry.node.platform.directory.readiness_path() {
         return text(404, "not found\n");
     }
--- a/crates/gradeloft_http/src/message.rs
+++ b/crates/gradeloft_http/src/message.rs
@@ -27,7 +27,7 @@
 
 impl Hangup {
     /// Ends it; what the handler would have answered is never sent, so this never returns.
-    pub async fn now(&self) -> Answer {
+    pub async fn now(&self) -> HttpResponse {
         self.0.notify_one();
         std::future::pending().await
     }
@@ -61,7 +61,7 @@
     }
 
     /// A value of the query, as it stands there.
-    pub fn param(&self, name: &str) -> Option<&str> {
+    pub fn query_param(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|it| it.split_once('='));
         pairs
             .filter(|(key, _)| *key == name)
@@ -76,16 +76,16 @@
 }
 
 /// An answer.
-pub type Answer = Response<BoxBody>;
+pub type HttpResponse = Response<BoxBody>;
 
 /// An answer with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Answer {
+pub fn json(status: u16, body: &impl Serialize) -> HttpResponse {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     bytes_of(status, "application/json", bytes)
 }
 
 /// An answer of plain text.
-pub fn text(status: u16, body: &str) -> Answer {
+pub fn text(status: u16, body: &str) -> HttpResponse {
     bytes_of(
         status,
         "text/plain; charset=utf-8",
@@ -94,13 +94,13 @@
 }
 
 /// An answer of bytes.
-pub fn bytes_of(status: u16, content_type: &str, body: impl Into<Bytes>) -> Answer {
+pub fn bytes_of(status: u16, content_type: &str, body: impl Into<Bytes>) -> HttpResponse {
     let answer = Response::with_body(code(status), BoxBody::new(body.into()));
     with_header(answer, header::CONTENT_TYPE.as_str(), content_type)
 }
 
 /// An answer whose body comes bit by bit; dropped when the client goes away.
-pub fn stream<S>(status: u16, content_type: &str, body: S) -> Answer
+pub fn stream<S>(status: u16, content_type: &str, body: S) -> HttpResponse
 where
     S: Stream<Item = Result<Bytes, std::io::Error>> + 'static,
 {
@@ -109,7 +109,7 @@
 }
 
 /// Adds a header; one whose value is not allowed in headers is left out.
-pub fn with_header(mut answer: Answer, name: &str, value: &str) -> Answer {
+pub fn with_header(mut answer: HttpResponse, name: &str, value: &str) -> HttpResponse {
     let name = header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
         answer.headers_mut().insert(name, value);
--- a/crates/gradeloft_http/src/server.rs
+++ b/crates/gradeloft_http/src/server.rs
@@ -13,10 +13,10 @@
     task::JoinHandle,
 };
 
-use crate::message::{Answer, BodyError, Hangup, Request, text};
+use crate::message::{BodyError, Hangup, HttpResponse, Request, text};
 
 /// Answers requests.
-pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Answer>>;
+pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, HttpResponse>>;
 
 /// Bounds of one listener.
 #[derive(Clone, Copy, Debug)]
@@ -140,7 +140,7 @@
         .h1(fn_service(move |request| {
             let shared = Rc::clone(&handling);
             let hangup = hangup.clone();
-            async move { Ok::<Answer, Infallible>(handle(request, shared, hangup).await) }
+            async move { Ok::<HttpResponse, Infallible>(handle(request, shared, hangup).await) }
         }))
         .tcp();
     if let Ok(service) = service.new_service(()).await {
@@ -148,7 +148,7 @@
     }
 }
 
-async fn handle(request: actix_http::Request, shared: Rc<Shared>, hangup: Hangup) -> Answer {
+async fn handle(request: actix_http::Request, shared: Rc<Shared>, hangup: Hangup) -> HttpResponse {
     let request = read(request, shared.limits, hangup).await;
     let mut answer = if request.head_fits {
         (shared.handler)(request).await
--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use gradeloft_http::{
-    message::{Answer, Request, json, stream as streamed, text},
+    message::{HttpResponse, Request, json, stream as streamed, text},
     server::Server,
 };
 use gradeloft_wire::{
@@ -260,7 +260,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     let segments = request.segments();
     let body = request.body.clone().unwrap_or_default();
     match (request.method.as_str(), segments.as_slice()) {
@@ -282,7 +282,7 @@
     }
 }
 
-fn stage(state: &State, digest: &str, content: Bytes) -> Answer {
+fn stage(state: &State, digest: &str, content: Bytes) -> HttpResponse {
     let Ok(digest) = digest.parse() else {
         return refused(400, "no digest");
     };
@@ -290,7 +290,7 @@
     text(200, "")
 }
 
-async fn order(state: &State, body: &[u8], request: &Request) -> Answer {
+async fn order(state: &State, body: &[u8], request: &Request) -> HttpResponse {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
         return refused(400, "no order");
     };
@@ -316,7 +316,7 @@
     res
 }
 
-fn obey(state: &State, order: &Order) -> Answer {
+fn obey(state: &State, order: &Order) -> HttpResponse {
     match order.action {
         Action::Load if state.refuse_loads.get() => {
             return refused(409, "the weights are no good");
@@ -360,7 +360,7 @@
     }
 }
 
-fn generate(state: &Rc<State>, request: EngineRequest) -> Answer {
+fn generate(state: &Rc<State>, request: EngineRequest) -> HttpResponse {
     let wanted = |it: &&Weights| it.model == request.model && it.version == request.version;
     let weights = state.serving.borrow().iter().find(wanted).cloned();
     let Some(digest) = weights.and_then(|it| state.weights_digest(&it)) else {
--- a/crates/gradeloft_standin/src/lib.rs
+++ b/crates/gradeloft_standin/src/lib.rs
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 
 use gradeloft_http::{
-    message::{Answer, Request, json},
+    message::{HttpResponse, Request, json},
     server::{Handler, Limits, Server},
 };
 use gradeloft_wire::border::platform::Refused;
@@ -42,7 +42,7 @@
 async fn listen<S, F>(state: Rc<S>, answer: fn(Rc<S>, Request) -> F) -> std::io::Result<Server>
 where
     S: 'static,
-    F: Future<Output = Answer> + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let handler: Handler = Rc::new(move |it| Box::pin(answer(Rc::clone(&state), it)));
     Server::start(LOOPBACK, Limits::default(), handler).await
@@ -52,7 +52,7 @@
     format!("http://{}", server.address())
 }
 
-fn refused(status: u16, reason: &str) -> Answer {
+fn refused(status: u16, reason: &str) -> HttpResponse {
     json(
         status,
         &Refused {
--- a/crates/gradeloft_standin/src/list.rs
+++ b/crates/gradeloft_standin/src/list.rs
@@ -6,7 +6,7 @@
 };
 
 use gradeloft_http::{
-    message::{Answer, Request, json},
+    message::{HttpResponse, Request, json},
     server::Server,
 };
 use gradeloft_wire::border::platform::{Instance, InstanceState, Instances};
@@ -73,7 +73,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
         return refused(503, "the list is down");
     }
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -9,7 +9,7 @@
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use gradeloft_http::{
-    message::{Answer, Request, json},
+    message::{HttpResponse, Request, json},
     server::Server,
 };
 use gradeloft_wire::border::platform::{Append, Appended, Page, Record};
@@ -123,7 +123,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     pause(state.delay_ms.get()).await;
     if state.down.get() {
         return refused(503, "the log is down");
@@ -136,7 +136,7 @@
     }
 }
 
-async fn append(state: &State, stream: &str, request: &Request) -> Answer {
+async fn append(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let body = request.body.as_ref().ok();
     let Some(body) = body.and_then(|it| serde_json::from_slice::<Append>(it).ok()) else {
         return refused(400, "no append");
@@ -154,10 +154,10 @@
     json(200, &Appended { first_offset })
 }
 
-async fn read(state: &State, stream: &str, request: &Request) -> Answer {
+async fn read(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let number = |name| {
         request
-            .param(name)
+            .query_param(name)
             .and_then(|it| it.parse().ok())
             .unwrap_or(0)
     };
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -7,7 +7,7 @@
 };
 
 use gradeloft_http::{
-    message::{Answer, Request, text, with_header},
+    message::{HttpResponse, Request, text, with_header},
     server::Server,
 };
 
@@ -61,7 +61,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if request.path == "/healthz" {
         return text(200, "ok\n");
     }
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, with_header},
+    message::{HttpResponse, Request, bytes_of, with_header},
     server::Server,
 };
 use gradeloft_wire::{
@@ -156,7 +156,7 @@
     0 < left
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
         return refused(503, "it is down");
     }
