--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -10,7 +10,7 @@
 
 use gradeloft_gateway::settings::Settings;
 use gradeloft_policy::rendezvous;
-use gradeloft_standin::tables::{Mood, Tables};
+use gradeloft_standin::tables::{StoreMode, Tables};
 use gradeloft_wire::{
     codec,
     datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, Switched},
@@ -459,7 +459,7 @@
                 .await
                 .unwrap();
         }
-        assert_eq!(tables.snapshots(Table::Operator), 0);
+        assert_eq!(tables.snapshot_reads(Table::Operator), 0);
     });
 }
 
@@ -479,10 +479,10 @@
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        let before = world.tables.snapshots(Table::Replicas);
+        let before = world.tables.snapshot_reads(Table::Replicas);
         world.name_version(2);
         world.wait_for_version(2).await;
-        assert_eq!(world.tables.snapshots(Table::Replicas), before);
+        assert_eq!(world.tables.snapshot_reads(Table::Replicas), before);
     });
 }
 
@@ -492,14 +492,14 @@
         let world = World::start(1, |_, _| {}).await;
         world.wait_for_version(1).await;
         let agent = world.agents[0].agent();
-        world.tables.mood.set(Mood::Refusing);
-        world.tables.cut();
+        world.tables.mode.set(StoreMode::Refusing);
+        world.tables.abort_reads();
         while agent.node.access() == StoreAccess::Served {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let outage_start = agent.node.clock.now();
         world.name_version(2);
-        world.tables.mood.set(Mood::Well);
+        world.tables.mode.set(StoreMode::Healthy);
         world.wait_for_version(2).await;
         let named = agent.named_at(&agent.target().unwrap());
         assert!(
--- a/crates/gradeloft_gateway/tests/entry/draining.rs
+++ b/crates/gradeloft_gateway/tests/entry/draining.rs
@@ -118,7 +118,7 @@
 fn a_request_that_might_outlast_a_draining_entry_is_refused_as_not_run() {
     run(async {
         let harness = start(RouteKind::Stream, vec![ok_script()]).await;
-        let replica = Rc::clone(&harness.replicas[0].seen);
+        let replica = Rc::clone(&harness.replicas[0].recording);
         start_drain(harness).await;
         let mut caller = connect().await;
         caller
@@ -142,7 +142,7 @@
 fn a_draining_entry_refuses_requests_while_another_entry_is_ready() {
     run(async {
         let harness = start(RouteKind::Once, vec![ok_script()]).await;
-        let replica = Rc::clone(&harness.replicas[0].seen);
+        let replica = Rc::clone(&harness.replicas[0].recording);
         let _other = harness.add_entry(2, &harness.tables).await;
         let ready = || async { get(2, 8002, "/ready").await.starts_with("HTTP/1.1 200") };
         wait_until(ready).await;
@@ -318,7 +318,7 @@
 #[test]
 fn a_caller_that_half_closes_its_connection_counts_as_gone() {
     run(async {
-        let script = vec![Step::Read, Step::UntilGone];
+        let script = vec![Step::Read, Step::WaitForDisconnect];
         let harness = start(RouteKind::Once, vec![vec![script]]).await;
         let mut caller = connect().await;
         caller
@@ -329,6 +329,6 @@
         caller.shutdown().await.unwrap();
         let (response, _) = read_all(&mut caller).await;
         assert!(response.is_empty(), "{response}");
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/forward.rs
+++ b/crates/gradeloft_gateway/tests/entry/forward.rs
@@ -6,7 +6,7 @@
     Harness, TestConfig, address, get, last_chunk, ok, request, response, run, stream, wait_until,
 };
 use gradeloft_policy::process::document::RouteKind;
-use gradeloft_standin::{scripted::Step, tables::Mood};
+use gradeloft_standin::{scripted::Step, tables::StoreMode};
 use gradeloft_wire::frame::Table;
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
@@ -161,7 +161,7 @@
         let second = harness.send(&request("POST", "form")).await;
         assert!(first.ends_with("\r\n\r\none"), "{first}");
         assert!(second.ends_with("\r\n\r\ntwo"), "{second}");
-        assert_eq!(harness.replicas[0].seen.borrow().connections, 2);
+        assert_eq!(harness.replicas[0].recording.borrow().connections, 2);
     });
 }
 
@@ -173,7 +173,7 @@
         harness.send(&request("POST", "form")).await;
         let second = harness.send(&request("POST", "form")).await;
         assert!(second.ends_with("two"), "{second}");
-        assert_eq!(harness.replicas[0].seen.borrow().connections, 1);
+        assert_eq!(harness.replicas[0].recording.borrow().connections, 1);
     });
 }
 
@@ -182,7 +182,7 @@
     run(async {
         let early_response = response("413 Long", "t-seal: s1\r\n", "no");
         let script = vec![
-            vec![Step::ReadHead, early_response, Step::UntilGone],
+            vec![Step::ReadHead, early_response, Step::WaitForDisconnect],
             vec![Step::Read, ok("two")],
         ];
         let config = TestConfig {
@@ -196,7 +196,7 @@
         assert!(first.starts_with("HTTP/1.1 413 Long"), "{first}");
         let second = harness.send(&request("POST", "form")).await;
         assert!(second.ends_with("two"), "{second}");
-        assert_eq!(harness.replicas[0].seen.borrow().connections, 2);
+        assert_eq!(harness.replicas[0].recording.borrow().connections, 2);
     });
 }
 
@@ -264,7 +264,7 @@
         let script = one_connection(vec![
             Step::Read,
             stream("s", "id: 1\ndata: a\n\n"),
-            Step::UntilGone,
+            Step::WaitForDisconnect,
         ]);
         let harness =
             Harness::start(TestConfig::of(RouteKind::ResumableStream), vec![script]).await;
@@ -281,14 +281,14 @@
         }
         // A disconnect of the caller cancels the request at the replica.
         drop(caller);
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
     });
 }
 
 #[test]
 fn a_disconnect_before_the_response_cancels_the_request_without_a_retry() {
     run(async {
-        let script = one_connection(vec![Step::Read, Step::UntilGone]);
+        let script = one_connection(vec![Step::Read, Step::WaitForDisconnect]);
         let harness = Harness::start(
             TestConfig::of(RouteKind::Idempotent),
             vec![script, ok_script("never")],
@@ -301,7 +301,7 @@
             .unwrap();
         wait_until(|| async { harness.request_count() == 1 }).await;
         drop(caller);
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
         assert_eq!(harness.request_count(), 1);
     });
 }
@@ -315,12 +315,12 @@
         };
         let harness = Harness::start(
             config,
-            vec![one_connection(vec![Step::Read, Step::UntilGone])],
+            vec![one_connection(vec![Step::Read, Step::WaitForDisconnect])],
         )
         .await;
         let response = harness.send(&request("POST", "form")).await;
         assert!(response.starts_with("HTTP/1.1 504 "), "{response}");
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
     });
 }
 
@@ -392,7 +392,7 @@
         let harness =
             Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("receipt")]).await;
         let refusing = std::rc::Rc::new(gradeloft_standin::tables::Tables::default());
-        refusing.mood.set(Mood::Refusing);
+        refusing.mode.set(StoreMode::Refusing);
         let _second = harness.add_entry(2, &refusing).await;
         wait_until(|| async { get(2, 8002, "/ready").await.starts_with("HTTP/1.1 200") }).await;
         let addresses = get(2, 8009, "/where").await;
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -14,7 +14,7 @@
     process::{delegates, document::RouteKind, replicas::Listing, roster},
     rendezvous,
 };
-use gradeloft_standin::{scripted::Step, tables::Mood};
+use gradeloft_standin::{scripted::Step, tables::StoreMode};
 use gradeloft_wire::{
     codec,
     datagram::{
@@ -403,8 +403,8 @@
     run(async {
         let harness = Harness::start_unready(TestConfig::of(RouteKind::Once), Vec::new()).await;
         // No other entry has a confirmed copy.
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         let added = harness.add_entry(2, &harness.tables).await;
         let node = &added.entry().node;
         // The entry detects process pauses from here on.
--- a/crates/gradeloft_gateway/tests/entry/large_records.rs
+++ b/crates/gradeloft_gateway/tests/entry/large_records.rs
@@ -24,7 +24,7 @@
 use gradeloft_standin::{
     link::{Links, Relay},
     scripted::Step,
-    tables::{Mood, Tables},
+    tables::{StoreMode, Tables},
 };
 use gradeloft_wire::{
     codec,
@@ -61,7 +61,7 @@
 
 fn refusing_store() -> Rc<Tables> {
     let tables = Rc::new(Tables::default());
-    tables.mood.set(Mood::Refusing);
+    tables.mode.set(StoreMode::Refusing);
     tables
 }
 
@@ -456,7 +456,7 @@
             .write(Table::Operator, "weights/m", Some("2"));
         wait_until(|| async { 0.05 < link.records_sent() }).await;
         // The follower's store has the large record but not the record after it.
-        store.mood.set(Mood::Well);
+        store.mode.set(StoreMode::Healthy);
         let node = &follower.entry().node;
         wait_until(|| async { node.end(Table::Operator) == 3 }).await;
         assert_eq!(follower.entry().config_version(), 7);
--- a/crates/gradeloft_gateway/tests/entry/quarantine.rs
+++ b/crates/gradeloft_gateway/tests/entry/quarantine.rs
@@ -17,9 +17,9 @@
 use gradeloft_platform::fleet::Lookup;
 use gradeloft_policy::process::{document::RouteKind, replicas::Listing};
 use gradeloft_standin::{
-    fragile::{Fragile, Nature},
+    crashing_replica::{Behavior, CrashingReplica},
     scripted::Step,
-    tables::Mood,
+    tables::StoreMode,
 };
 use gradeloft_wire::{frame::Table, id::Fingerprint};
 
@@ -35,7 +35,7 @@
 struct Fleet {
     harness: Harness,
     others: Vec<Handle>,
-    replicas: Vec<Rc<Fragile>>,
+    replicas: Vec<Rc<CrashingReplica>>,
 }
 
 impl Fleet {
@@ -58,21 +58,21 @@
             );
         }
         harness.tables.write(Table::Operator, "config", Some("1"));
-        let mut fragile = Vec::new();
+        let mut crashing_replicas = Vec::new();
         for idx in 0..replicas {
-            let nature = Nature {
+            let behavior = Behavior {
                 marker: MARKER.to_owned(),
                 request_header: HEADERS.attempt_id.to_owned(),
                 seal_header: HEADERS.seal.to_owned(),
-                work: Duration::from_millis(20),
+                service_time: Duration::from_millis(20),
             };
             let at = SocketAddr::from((address(100 + idx), 8540));
-            fragile.push(Rc::new(Fragile::start(at, nature).await.unwrap()));
+            crashing_replicas.push(Rc::new(CrashingReplica::start(at, behavior).await.unwrap()));
         }
         let fleet = Fleet {
             harness,
             others: other_entries,
-            replicas: fragile,
+            replicas: crashing_replicas,
         };
         for idx in 0..fleet.replicas.len() {
             fleet.list(idx);
@@ -110,9 +110,9 @@
         let replica = Rc::clone(&self.replicas[idx]);
         let list_replica = self.harness.replica_lister();
         actix_rt::spawn(async move {
-            let mut ends = 0;
+            let mut crashes = 0;
             loop {
-                ends = replica.restarted(ends).await.ends;
+                crashes = replica.wait_for_restart(crashes).await.crashes;
                 list_replica(listing(idx, &replica));
             }
         });
@@ -127,21 +127,21 @@
 
     /// Returns the number of marked requests that have reached replicas.
     fn marked_requests(&self) -> usize {
-        self.replicas.iter().map(|it| it.seen().marked).sum()
+        self.replicas.iter().map(|it| it.stats().marked).sum()
     }
 
     /// Returns the number of requests that have reached replicas.
     fn total_requests(&self) -> usize {
-        self.replicas.iter().map(|it| it.seen().arrived).sum()
+        self.replicas.iter().map(|it| it.stats().received).sum()
     }
 
     /// Crashes all replicas at once and waits until they have restarted.
     async fn crash_all(&self) {
-        let ends = self.replicas.iter().map(|it| it.seen().ends);
-        let ends: Vec<usize> = ends.collect();
-        self.replicas.iter().for_each(|it| it.end());
-        for (replica, ends) in self.replicas.iter().zip(ends) {
-            replica.restarted(ends).await;
+        let crashes = self.replicas.iter().map(|it| it.stats().crashes);
+        let crashes: Vec<usize> = crashes.collect();
+        self.replicas.iter().for_each(|it| it.crash());
+        for (replica, crashes) in self.replicas.iter().zip(crashes) {
+            replica.wait_for_restart(crashes).await;
         }
         self.wait_until_listed().await;
     }
@@ -155,7 +155,7 @@
         };
         let is_current = |handle: &Handle| {
             let mut all = self.replicas.iter().enumerate();
-            all.all(|(idx, replica)| start_time(handle, idx) == Some(replica.seen().born))
+            all.all(|(idx, replica)| start_time(handle, idx) == Some(replica.stats().started_ms))
         };
         wait_until(|| async { self.entries().all(is_current) }).await;
     }
@@ -173,12 +173,12 @@
     /// Sends the marked request to an entry, and waits until the entry has detected all crashes and
     /// the replicas run again.
     async fn send_marked(&self, octet: u8) {
-        self.replicas.iter().for_each(|it| it.stays_away(true));
+        self.replicas.iter().for_each(|it| it.hold_restarts(true));
         self.send(octet, MARKER).await;
         let handle = self.entry(octet);
         wait_until(|| async { handle.entry().unsettled() == 0 }).await;
-        self.replicas.iter().for_each(|it| it.stays_away(false));
-        wait_until(|| async { self.replicas.iter().all(|it| it.runs()) }).await;
+        self.replicas.iter().for_each(|it| it.hold_restarts(false));
+        wait_until(|| async { self.replicas.iter().all(|it| it.is_running()) }).await;
     }
 
     /// Waits until no crash is undecided and all entries have the same suspects.
@@ -202,10 +202,10 @@
     }
 }
 
-fn listing(idx: usize, replica: &Fragile) -> Listing {
+fn listing(idx: usize, replica: &CrashingReplica) -> Listing {
     Listing {
         id: replica_id(idx).into(),
-        born: Some(replica.seen().born),
+        born: Some(replica.stats().started_ms),
         service: "s".into(),
         address: replica.address,
         zone: "z".to_owned(),
@@ -272,8 +272,8 @@
 fn a_quarantine_spreads_during_a_store_outage_and_is_stored_afterwards() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z"), (3, "far")]).await;
-        fleet.harness.tables.mood.set(Mood::Refusing);
-        fleet.harness.tables.cut();
+        fleet.harness.tables.mode.set(StoreMode::Refusing);
+        fleet.harness.tables.abort_reads();
         // The tables don't change, so entries detect crashes from connections. A restarted replica
         // still counts as its listed start, so its second crash adds no evidence.
         let crash_counts = |handle: &Handle| {
@@ -288,7 +288,7 @@
             }
         }
         wait_until(|| async { fleet.entries().all(|it| 3 <= crash_counts(it)) }).await;
-        let crashed_replicas = fleet.replicas.iter().filter(|it| 0 < it.seen().ends);
+        let crashed_replicas = fleet.replicas.iter().filter(|it| 0 < it.stats().crashes);
         assert!(
             crashed_replicas.count() <= MAX_MARKED_REQUESTS,
             "at most two crashed replicas for each entry"
@@ -298,7 +298,7 @@
             assert_eq!(fleet.send(octet, MARKER).await, "503");
         }
         assert_eq!(fleet.marked_requests(), marked_requests);
-        fleet.harness.tables.mood.set(Mood::Well);
+        fleet.harness.tables.mode.set(StoreMode::Healthy);
         wait_until(|| async { fleet.harness.has_request_record() }).await;
         fleet.wait_until_listed().await;
         assert_eq!(fleet.send(2, "innocent").await, "200");
@@ -389,8 +389,8 @@
 fn an_entry_that_starts_during_a_store_outage_gets_suspects_from_peers() {
     run(async {
         let fleet = Fleet::start(6, &[(2, "z")]).await;
-        fleet.harness.tables.mood.set(Mood::Refusing);
-        fleet.harness.tables.cut();
+        fleet.harness.tables.mode.set(StoreMode::Refusing);
+        fleet.harness.tables.abort_reads();
         for turn in 0..6 {
             fleet.send_marked([1, 2][turn % 2]).await;
         }
--- a/crates/gradeloft_gateway/tests/entry/queueing.rs
+++ b/crates/gradeloft_gateway/tests/entry/queueing.rs
@@ -42,8 +42,11 @@
 #[test]
 fn a_request_without_a_slot_within_its_objective_is_refused_as_not_run() {
     run(async {
-        let harness =
-            Harness::start(config(200), vec![vec![vec![Step::Read, Step::UntilGone]]]).await;
+        let harness = Harness::start(
+            config(200),
+            vec![vec![vec![Step::Read, Step::WaitForDisconnect]]],
+        )
+        .await;
         let request_text = request("POST", "form");
         let first_request = harness.send(&request_text);
         let second_request = async {
--- a/crates/gradeloft_gateway/tests/entry/replica_restarts.rs
+++ b/crates/gradeloft_gateway/tests/entry/replica_restarts.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_request_to_a_replica_that_restarts_is_retried_at_once() {
     run(async {
-        let silent = vec![Step::Read, Step::UntilGone];
+        let silent = vec![Step::Read, Step::WaitForDisconnect];
         let replica = vec![silent, vec![Step::Read, ok("receipt")]];
         let harness =
             Harness::start_unready(TestConfig::of(RouteKind::Idempotent), vec![replica]).await;
@@ -40,7 +40,11 @@
 #[test]
 fn a_stream_resumes_after_its_replica_restarts() {
     run(async {
-        let silent = vec![Step::Read, stream("s1", "id: 1\n\n"), Step::UntilGone];
+        let silent = vec![
+            Step::Read,
+            stream("s1", "id: 1\n\n"),
+            Step::WaitForDisconnect,
+        ];
         let resumed = vec![Step::Read, stream("s2", "id: 2\n\n"), last_chunk()];
         let replica = vec![silent, resumed];
         let harness =
--- a/crates/gradeloft_gateway/tests/entry/stalled_replicas.rs
+++ b/crates/gradeloft_gateway/tests/entry/stalled_replicas.rs
@@ -181,7 +181,7 @@
         let silent_script = one_connection(vec![
             Step::Read,
             stream("s1", "id: 1\ndata: a\n\n"),
-            Step::UntilGone,
+            Step::WaitForDisconnect,
         ]);
         let resumed_script = one_connection(vec![
             Step::Read,
@@ -195,7 +195,7 @@
             response.contains("data: b\n\n") && response.ends_with("0\r\n\r\n"),
             "{response}"
         );
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
         assert!(harness.replicas[1].requests()[0].contains("Last-Event-Id: 1\r\n"));
     });
 }
@@ -212,7 +212,7 @@
             chunk("id: 2\ndata: b\n\n"),
             last_chunk(),
         ]);
-        let slow_script = one_connection(vec![Step::Read, Step::UntilGone]);
+        let slow_script = one_connection(vec![Step::Read, Step::WaitForDisconnect]);
         let config = TestConfig::of(RouteKind::ResumableStream);
         let harness = Harness::start(config, vec![pausing_script, slow_script]).await;
         let response = harness.send(&request("POST", "form")).await;
@@ -220,7 +220,7 @@
             response.contains("data: b\n\n") && response.ends_with("0\r\n\r\n"),
             "{response}"
         );
-        wait_until(|| async { harness.replicas[1].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[1].recording.borrow().disconnects == 1 }).await;
         assert_eq!(harness.request_count(), 2);
     });
 }
@@ -233,7 +233,7 @@
         let silent_script = one_connection(vec![
             Step::Read,
             stream("s1", "id: 1\ndata: a\n\n"),
-            Step::UntilGone,
+            Step::WaitForDisconnect,
         ]);
         let config = TestConfig {
             timeout_ms: 3_000,
@@ -245,6 +245,6 @@
         let response = harness.send(&request("POST", "form")).await;
         assert!(!response.ends_with("0\r\n\r\n"), "{response}");
         assert!(Duration::from_secs(3) <= clock.now().since(started));
-        wait_until(|| async { harness.replicas[0].seen.borrow().gone == 1 }).await;
+        wait_until(|| async { harness.replicas[0].recording.borrow().disconnects == 1 }).await;
     });
 }
--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -7,7 +7,7 @@
 use gradeloft_policy::process::{document::RouteKind, mirror::Record};
 use gradeloft_standin::{
     scripted::Step,
-    tables::{Mood, Tables},
+    tables::{StoreMode, Tables},
 };
 use gradeloft_wire::{datagram::StoreAccess, frame::Table};
 use tokio::net::TcpListener;
@@ -25,7 +25,7 @@
         )
         .await;
         let refusing = Rc::new(Tables::default());
-        refusing.mood.set(Mood::Refusing);
+        refusing.mode.set(StoreMode::Refusing);
         let second = harness.add_entry(2, &refusing).await;
         wait_until(|| async { get(2, 8002, "/ready").await.starts_with("HTTP/1.1 200") }).await;
         harness.tables.write(Table::Replicas, "i-0", None);
@@ -65,7 +65,7 @@
 #[test]
 fn a_second_attempt_requires_the_version_that_became_mandatory_during_the_first() {
     run(async {
-        let silent = vec![vec![Step::Read, Step::UntilGone]];
+        let silent = vec![vec![Step::Read, Step::WaitForDisconnect]];
         let scripts = vec![silent, ok_script("from weights that are too old")];
         let harness = Harness::start_unready(TestConfig::of(RouteKind::Idempotent), scripts).await;
         (0..2).for_each(|it| harness.set_weights_version(it, 1));
@@ -104,13 +104,13 @@
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("a")]).await;
         let entry = harness.entry.entry();
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         wait_until(|| async { entry.node.access() == StoreAccess::Unserved }).await;
         harness.tables.write(Table::Operator, "config", Some("7"));
         harness.tables.write(Table::Operator, "config", Some("8"));
         harness.tables.compact(Table::Operator);
-        harness.tables.mood.set(Mood::Well);
+        harness.tables.mode.set(StoreMode::Healthy);
         wait_until(|| async { entry.config_version() == 8 }).await;
     });
 }
@@ -126,13 +126,14 @@
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("a")]).await;
         let entry = harness.entry.entry();
-        let wait_for_reader =
-            async || wait_until(|| async { harness.tables.waiting(Table::Operator) == 1 }).await;
+        let wait_for_reader = async || {
+            wait_until(|| async { harness.tables.pending_reads(Table::Operator) == 1 }).await
+        };
         wait_for_reader().await;
         harness.tables.write(Table::Operator, "config", Some("2"));
         wait_until(|| async { entry.config_version() == 2 }).await;
         wait_for_reader().await;
-        harness.tables.silence();
+        harness.tables.stall_reads();
         harness.tables.write(Table::Operator, "config", Some("3"));
         let applied = tokio::time::timeout(
             Duration::from_secs(2),
@@ -151,14 +152,14 @@
         let table = Table::Operator;
         wait_until(|| async { node.confirmed_until(table).is_some() }).await;
         assert!(!node.after_interruption(table));
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let confirmed_before = node.confirmed_until(table);
         let outage_start = node.clock.now();
         harness.tables.write(table, "config", Some("7"));
         assert!(confirmed_before < Some(outage_start));
-        harness.tables.mood.set(Mood::Well);
+        harness.tables.mode.set(StoreMode::Healthy);
         wait_until(|| async {
             node.end(table) == 2 && confirmed_before < node.confirmed_until(table)
         })
@@ -171,7 +172,7 @@
 #[test]
 fn a_request_queued_at_a_replica_whose_weights_expire_is_withdrawn_and_retried() {
     run(async {
-        let silent = vec![vec![Step::Read, Step::UntilGone]];
+        let silent = vec![vec![Step::Read, Step::WaitForDisconnect]];
         let scripts = vec![silent, ok_script("from new weights")];
         let harness = Harness::start_unready(TestConfig::of(RouteKind::Idempotent), scripts).await;
         harness.set_weights_version(0, 1);
@@ -223,14 +224,14 @@
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("a")]).await;
         let node = &harness.entry.entry().node;
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
             .write(Table::Operator, "weights/m", Some("2"));
-        harness.tables.mood.set(Mood::Well);
+        harness.tables.mode.set(StoreMode::Healthy);
         wait_until(|| async { weights_record(node).is_some() }).await;
         let written = node.written_at(Table::Operator, &weights_record(node).unwrap());
         assert!(
@@ -248,19 +249,19 @@
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("a")]).await;
         let refusing = Rc::new(Tables::default());
-        refusing.mood.set(Mood::Refusing);
+        refusing.mode.set(StoreMode::Refusing);
         let second = harness.add_entry(2, &refusing).await;
         wait_until(|| async { get(2, 8002, "/ready").await.starts_with("HTTP/1.1 200") }).await;
         let node = &second.entry().node;
         let first = &harness.entry.entry().node;
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         wait_until(|| async { first.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
             .write(Table::Operator, "weights/m", Some("2"));
-        harness.tables.mood.set(Mood::Well);
+        harness.tables.mode.set(StoreMode::Healthy);
         wait_until(|| async { weights_record(node).is_some() }).await;
         let written = node.written_at(Table::Operator, &weights_record(node).unwrap());
         assert!(
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -31,7 +31,7 @@
     retry_budget,
 };
 use gradeloft_standin::{
-    scripted::{Scripted, Step},
+    scripted::{ScriptedServer, Step},
     tables::Tables,
 };
 use gradeloft_wire::{frame::Table, id::Digest};
@@ -214,8 +214,8 @@
     pub(crate) tables: Rc<Tables>,
     /// The entry under test.
     pub(crate) entry: Handle,
-    /// Scripted replicas, in the order of their scripts.
-    pub(crate) replicas: Vec<Scripted>,
+    /// ScriptedServer replicas, in the order of their scripts.
+    pub(crate) replicas: Vec<ScriptedServer>,
     decoder: Rc<TestDecoder>,
 }
 
@@ -342,7 +342,7 @@
         let mut listings = HashMap::new();
         for (idx, script) in scripts.into_iter().enumerate() {
             let bind = format!("{}:8540", address(100 + idx as u8));
-            let replica = Scripted::start(&bind, script).await.unwrap();
+            let replica = ScriptedServer::start(&bind, script).await.unwrap();
             let mut listing = listing(idx, replica.address);
             if let Some(slots) = config.model_slots {
                 listing.slots = slots;
--- a/crates/gradeloft_gateway/tests/entry/suspended.rs
+++ b/crates/gradeloft_gateway/tests/entry/suspended.rs
@@ -3,7 +3,7 @@
 
 use gradeloft_gateway::entry::Entry;
 use gradeloft_policy::process::document::RouteKind;
-use gradeloft_standin::{scripted::Step, tables::Mood};
+use gradeloft_standin::{scripted::Step, tables::StoreMode};
 use gradeloft_wire::frame::Table;
 
 use crate::support::{Harness, Machine, TestConfig, get, ok, request, run, wait_until};
@@ -21,7 +21,7 @@
 fn a_request_that_expires_during_suspension_gets_its_final_response_after_resume() {
     run(async {
         let machine = Machine::new();
-        let silent = vec![vec![Step::Read, Step::UntilGone]];
+        let silent = vec![vec![Step::Read, Step::WaitForDisconnect]];
         let config = TestConfig::of(RouteKind::Once);
         let harness = Harness::start_on(&machine, config, vec![silent]).await;
         let request_text = request("POST", "b");
@@ -118,8 +118,8 @@
         let replica = vec![vec![Step::Read, ok("receipt")]; 4];
         let harness =
             Harness::start_on(&machine, TestConfig::of(RouteKind::Once), vec![replica]).await;
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         machine.suspend_ms(5_000);
         wait_until_ready(1).await;
         let response = harness.send(&request("POST", "b")).await;
--- a/crates/gradeloft_standin/src/fragile.rs
+++ b/crates/gradeloft_standin/src/crashing_replica.rs
@@ -17,20 +17,20 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time from the beginning of a marked request to the end of its replica, in which other requests that are
-/// under way there can be seen.
+/// in flight there can be observed.
 const WORK: Duration = Duration::from_millis(30);
 /// Time until it starts again.
 const AWAY: Duration = Duration::from_millis(60);
 
 /// What happened at a replica.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Unix millisecond of its present start.
-    pub born: u64,
+    pub started_ms: u64,
     /// How often it has ended.
-    pub ends: usize,
+    pub crashes: usize,
     /// Requests that reached it.
-    pub arrived: usize,
+    pub received: usize,
     /// Marked ones among them.
     pub marked: usize,
     /// Requests that it answered.
@@ -39,7 +39,7 @@
 
 /// How a replica behaves.
 #[derive(Clone, Debug)]
-pub struct Nature {
+pub struct Behavior {
     /// Requests that contain this end it.
     pub marker: String,
     /// Name of the header that names a request, which answers repeat.
@@ -47,75 +47,75 @@
     /// Name of the header that marks its answers as its own.
     pub seal_header: String,
     /// How long it works on other requests.
-    pub work: Duration,
+    pub service_time: Duration,
 }
 
 /// A replica that ends when it begins a marked request.
 #[derive(Clone)]
-pub struct Fragile {
+pub struct CrashingReplica {
     /// Where it listens while it runs.
     pub address: SocketAddr,
-    seen: Rc<RefCell<Seen>>,
-    /// The present start; cancelled when it ends.
+    stats: Rc<RefCell<Stats>>,
+    /// The present start; cancelled when it crashes.
     running: Rc<RefCell<CancellationToken>>,
     changed: Rc<Notify>,
     held: Rc<Cell<bool>>,
     released: Rc<Notify>,
 }
 
-impl Fragile {
+impl CrashingReplica {
     /// Listens on `address`.
-    pub async fn start(address: SocketAddr, nature: Nature) -> io::Result<Fragile> {
+    pub async fn start(address: SocketAddr, behavior: Behavior) -> io::Result<CrashingReplica> {
         let listener = TcpListener::bind(address).await?;
-        let fragile = Fragile {
+        let replica = CrashingReplica {
             address,
-            seen: Rc::new(RefCell::new(Seen {
-                born: 1_000,
-                ..Seen::default()
+            stats: Rc::new(RefCell::new(Stats {
+                started_ms: 1_000,
+                ..Stats::default()
             })),
             running: Rc::default(),
             changed: Rc::default(),
             held: Rc::default(),
             released: Rc::default(),
         };
-        actix_rt::spawn(fragile.clone().run(listener, Rc::new(nature)));
-        Ok(fragile)
+        actix_rt::spawn(replica.clone().run(listener, Rc::new(behavior)));
+        Ok(replica)
     }
 
     /// What happened so far.
-    pub fn seen(&self) -> Seen {
-        self.seen.borrow().clone()
+    pub fn stats(&self) -> Stats {
+        self.stats.borrow().clone()
     }
 
     /// Whether it runs now.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         !self.running.borrow().is_cancelled()
     }
 
     /// Ends it, whatever runs there.
-    pub fn end(&self) {
+    pub fn crash(&self) {
         self.running.borrow().cancel();
     }
 
     /// Whether it stays away once it has ended, until it is told otherwise.
-    pub fn stays_away(&self, away: bool) {
+    pub fn hold_restarts(&self, away: bool) {
         self.held.set(away);
         self.released.notify_waiters();
     }
 
     /// Waits until it has started again more often than `ends` says.
-    pub async fn restarted(&self, ends: usize) -> Seen {
+    pub async fn wait_for_restart(&self, crashes: usize) -> Stats {
         loop {
             let changed = self.changed.notified();
-            let seen = self.seen();
-            if ends < seen.ends {
-                return seen;
+            let stats = self.stats();
+            if crashes < stats.crashes {
+                return stats;
             }
             changed.await;
         }
     }
 
-    async fn run(self, mut listener: TcpListener, nature: Rc<Nature>) {
+    async fn run(self, mut listener: TcpListener, behavior: Rc<Behavior>) {
         loop {
             let running = self.running.borrow().clone();
             loop {
@@ -124,8 +124,8 @@
                     accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
                         let connection = Connection {
-                            nature: Rc::clone(&nature),
-                            seen: Rc::clone(&self.seen),
+                            behavior: Rc::clone(&behavior),
+                            stats: Rc::clone(&self.stats),
                             running: running.clone(),
                         };
                         actix_rt::spawn(connection.serve(stream));
@@ -142,18 +142,18 @@
             };
             listener = again;
             *self.running.borrow_mut() = CancellationToken::new();
-            let mut seen = self.seen.borrow_mut();
-            seen.born += 1_000;
-            seen.ends += 1;
-            drop(seen);
+            let mut stats = self.stats.borrow_mut();
+            stats.started_ms += 1_000;
+            stats.crashes += 1;
+            drop(stats);
             self.changed.notify_waiters();
         }
     }
 }
 
 struct Connection {
-    nature: Rc<Nature>,
-    seen: Rc<RefCell<Seen>>,
+    behavior: Rc<Behavior>,
+    stats: Rc<RefCell<Stats>>,
     running: CancellationToken,
 }
 
@@ -174,20 +174,20 @@
             let Some(request) = read(stream, &mut buffer).await? else {
                 return Ok(());
             };
-            self.seen.borrow_mut().arrived += 1;
-            if request.contains(&self.nature.marker) {
-                self.seen.borrow_mut().marked += 1;
+            self.stats.borrow_mut().received += 1;
+            if request.contains(&self.behavior.marker) {
+                self.stats.borrow_mut().marked += 1;
                 actix_rt::time::sleep(WORK).await;
                 self.running.cancel();
                 std::future::pending::<()>().await;
             }
-            actix_rt::time::sleep(self.nature.work).await;
-            self.seen.borrow_mut().answered += 1;
-            let nature = &self.nature;
-            let id = field(&request, &nature.request_header);
+            actix_rt::time::sleep(self.behavior.service_time).await;
+            self.stats.borrow_mut().answered += 1;
+            let behavior = &self.behavior;
+            let id = field(&request, &behavior.request_header);
             let answer = format!(
                 "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nContent-Length: 2\r\n\r\nok",
-                nature.request_header, nature.seal_header
+                behavior.request_header, behavior.seal_header
             );
             stream.write_all(answer.as_bytes()).await?;
         }
--- a/crates/gradeloft_standin/src/lib.rs
+++ b/crates/gradeloft_standin/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`caller`]: a caller of the entries.
 //! - [`engine`]: a model engine.
 //! - [`fleet`]: all of it, with entries and agents between, in one process.
-//! - [`fragile`]: a replica that some requests end.
+//! - [`crashing_replica`]: a replica that some requests end.
 //! - [`link`]: links of a certain speed.
 //! - [`list`]: the list of instances.
 //! - [`log`]: the append-only log.
@@ -17,9 +17,9 @@
 //! measurements, and no shipped program depends on them.
 
 pub mod caller;
+pub mod crashing_replica;
 pub mod engine;
 pub mod fleet;
-pub mod fragile;
 pub mod link;
 pub mod list;
 pub mod log;
--- a/crates/gradeloft_standin/src/scripted.rs
+++ b/crates/gradeloft_standin/src/scripted.rs
@@ -25,71 +25,75 @@
     /// Sends bytes.
     Send(String),
     /// Waits until the caller has gone.
-    UntilGone,
+    WaitForDisconnect,
     /// Waits.
     Wait(Duration),
 }
 
 /// What happened at a replica.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Recording {
     /// Connections.
     pub connections: usize,
     /// Requests that were read, whole or their heads.
     pub requests: Vec<String>,
     /// Connections on which the caller went away while it was waited for.
-    pub gone: usize,
+    pub disconnects: usize,
 }
 
 /// A replica that plays scripts.
-pub struct Scripted {
+pub struct ScriptedServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// What happened.
-    pub seen: Rc<RefCell<Seen>>,
+    pub recording: Rc<RefCell<Recording>>,
 }
 
-impl Scripted {
+impl ScriptedServer {
     /// Listens on `address`; the connection of number n, from 0, plays `scripts[n]`, and those after
     /// the last script play the last one.
-    pub async fn start(address: &str, scripts: Vec<Vec<Step>>) -> io::Result<Scripted> {
+    pub async fn start(address: &str, scripts: Vec<Vec<Step>>) -> io::Result<ScriptedServer> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let seen = Rc::new(RefCell::new(Seen::default()));
-        let serving = Rc::clone(&seen);
+        let recording = Rc::new(RefCell::new(Recording::default()));
+        let serving = Rc::clone(&recording);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = serving.borrow().connections;
                 serving.borrow_mut().connections += 1;
                 let script = scripts.get(number).or(scripts.last()).cloned();
-                let seen = Rc::clone(&serving);
+                let recording = Rc::clone(&serving);
                 actix_rt::spawn(async move {
                     // A connection that breaks ends its script.
-                    let _ = play(stream, script.unwrap_or_default(), &seen).await;
+                    let _ = play(stream, script.unwrap_or_default(), &recording).await;
                 });
             }
         });
-        Ok(Scripted { address, seen })
+        Ok(ScriptedServer { address, recording })
     }
 
     /// Requests so far.
     pub fn requests(&self) -> Vec<String> {
-        self.seen.borrow().requests.clone()
+        self.recording.borrow().requests.clone()
     }
 }
 
-async fn play(mut stream: TcpStream, script: Vec<Step>, seen: &RefCell<Seen>) -> io::Result<()> {
+async fn play(
+    mut stream: TcpStream,
+    script: Vec<Step>,
+    recording: &RefCell<Recording>,
+) -> io::Result<()> {
     let mut buffer = Vec::new();
     for step in script {
         match step {
             Step::Close => return Ok(()),
             Step::Read => {
                 let request = read(&mut stream, &mut buffer, Part::Whole).await?;
-                seen.borrow_mut().requests.push(request);
+                recording.borrow_mut().requests.push(request);
             }
             Step::ReadHead => {
                 let request = read(&mut stream, &mut buffer, Part::Head).await?;
-                seen.borrow_mut().requests.push(request);
+                recording.borrow_mut().requests.push(request);
             }
             Step::Reset => {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
@@ -99,9 +103,9 @@
                 stream.write_all(text.as_bytes()).await?;
                 stream.flush().await?;
             }
-            Step::UntilGone => {
+            Step::WaitForDisconnect => {
                 while matches!(stream.read(&mut [0; 1024]).await, Ok(1..)) {}
-                seen.borrow_mut().gone += 1;
+                recording.borrow_mut().disconnects += 1;
             }
             Step::Wait(time) => actix_rt::time::sleep(time).await,
         }
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -14,14 +14,14 @@
 
 /// What the store does with calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Mood {
+pub enum StoreMode {
     /// It answers nothing.
     Silent,
     /// It refuses every call.
     Refusing,
     /// It serves.
     #[default]
-    Well,
+    Healthy,
 }
 
 /// Tables, with knobs.
@@ -31,58 +31,66 @@
     /// Records before these offsets were dropped.
     dropped: RefCell<HashMap<Table, u64>>,
     /// What it does with calls.
-    pub mood: Cell<Mood>,
+    pub mode: Cell<StoreMode>,
     /// Calls so far.
     pub calls: Cell<u64>,
     /// Of these, writes.
     pub writes: Cell<u64>,
     changed: Notify,
-    cut: Notify,
-    silent: Notify,
-    waiting: RefCell<HashMap<Table, usize>>,
-    snapshots: RefCell<HashMap<Table, usize>>,
+    aborted: Notify,
+    stalled: Notify,
+    pending_reads: RefCell<HashMap<Table, usize>>,
+    snapshot_reads: RefCell<HashMap<Table, usize>>,
 }
 
 /// A read that waits for records.
-struct Waiting<'a> {
+struct PendingRead<'a> {
     tables: &'a Tables,
     table: Table,
 }
 
-impl<'a> Waiting<'a> {
-    fn begin(tables: &'a Tables, table: Table) -> Waiting<'a> {
-        *tables.waiting.borrow_mut().entry(table).or_default() += 1;
-        Waiting { tables, table }
+impl<'a> PendingRead<'a> {
+    fn begin(tables: &'a Tables, table: Table) -> PendingRead<'a> {
+        *tables.pending_reads.borrow_mut().entry(table).or_default() += 1;
+        PendingRead { tables, table }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRead<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.tables.waiting.borrow_mut();
+        let mut waiting = self.tables.pending_reads.borrow_mut();
         waiting.entry(self.table).and_modify(|it| *it -= 1);
     }
 }
 
 impl Tables {
     /// Breaks off the reads that wait now.
-    pub fn cut(&self) {
-        self.cut.notify_waiters();
+    pub fn abort_reads(&self) {
+        self.aborted.notify_waiters();
     }
 
     /// Makes the connections silent on which reads wait now: no answer comes on them any more, while new
     /// calls are served.
-    pub fn silence(&self) {
-        self.silent.notify_waiters();
+    pub fn stall_reads(&self) {
+        self.stalled.notify_waiters();
     }
 
     /// Reads of a table that wait now.
-    pub fn waiting(&self, table: Table) -> usize {
-        self.waiting.borrow().get(&table).copied().unwrap_or(0)
+    pub fn pending_reads(&self, table: Table) -> usize {
+        self.pending_reads
+            .borrow()
+            .get(&table)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Whole reads of a table so far.
-    pub fn snapshots(&self, table: Table) -> usize {
-        self.snapshots.borrow().get(&table).copied().unwrap_or(0)
+    pub fn snapshot_reads(&self, table: Table) -> usize {
+        self.snapshot_reads
+            .borrow()
+            .get(&table)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Adds a record.
@@ -120,10 +128,10 @@
 
     async fn called(&self) -> Result<(), Fault> {
         self.calls.set(self.calls.get() + 1);
-        match self.mood.get() {
-            Mood::Silent => std::future::pending().await,
-            Mood::Refusing => Err(Fault::Refused("out of order".to_owned())),
-            Mood::Well => Ok(()),
+        match self.mode.get() {
+            StoreMode::Silent => std::future::pending().await,
+            StoreMode::Refusing => Err(Fault::Refused("out of order".to_owned())),
+            StoreMode::Healthy => Ok(()),
         }
     }
 
@@ -143,7 +151,7 @@
             }
             let wait = Duration::from_millis(wait_ms);
             let overdue = tokio::time::sleep(wait + READ_GRACE);
-            let waiting = Waiting::begin(self, table);
+            let waiting = PendingRead::begin(self, table);
             let waited = timeout(wait, async {
                 loop {
                     let changed = self.changed.notified();
@@ -156,8 +164,8 @@
             tokio::select! {
                 // What happens to the connection comes before what is written right after.
                 biased;
-                () = self.cut.notified() => return Err(Fault::Lost),
-                () = self.silent.notified() => {
+                () = self.aborted.notified() => return Err(Fault::Lost),
+                () = self.stalled.notified() => {
                     drop(waiting);
                     overdue.await;
                     return Err(Fault::Lost);
@@ -178,7 +186,7 @@
 
     fn snapshot(&self, table: Table) -> CallFuture<'_, Update> {
         async move {
-            *self.snapshots.borrow_mut().entry(table).or_default() += 1;
+            *self.snapshot_reads.borrow_mut().entry(table).or_default() += 1;
             self.called().await?;
             let all = self.since(table, 0);
             let end = all.len() as u64;
