--- a/crates/gradeloft_standin/src/lib.rs
+++ b/crates/gradeloft_standin/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`caller`]: a caller of the entries.
 //! - [`engine`]: a model engine.
 //! - [`fleet`]: all of it, with entries and agents between, in one process.
-//! - [`fragile`]: a replica that some requests end.
+//! - [`crashing_replica`]: a replica that some requests end.
 //! - [`link`]: links of a certain speed.
 //! - [`list`]: the list of instances.
 //! - [`log`]: the append-only log.
@@ -17,9 +17,9 @@
 //! measurements, and no shipped program depends on them.
 
 pub mod caller;
+pub mod crashing_replica;
 pub mod engine;
 pub mod fleet;
-pub mod fragile;
 pub mod link;
 pub mod list;
 pub mod log;
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 
 use gradeloft_http::{
-    message::{Answer, Request, json},
+    message::{HttpResponse, Request, json},
     server::{Handler, Limits, Server},
 };
 use gradeloft_wire::border::platform::Refused;
@@ -42,7 +42,7 @@
 async fn listen<S, F>(state: Rc<S>, answer: fn(Rc<S>, Request) -> F) -> std::io::Result<Server>
 where
     S: 'static,
-    F: Future<Output = Answer> + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let handler: Handler = Rc::new(move |it| Box::pin(answer(Rc::clone(&state), it)));
     Server::start(LOOPBACK, Limits::default(), handler).await
@@ -52,7 +52,7 @@
     format!("http://{}", server.address())
 }
 
-fn refused(status: u16, reason: &str) -> Answer {
+fn refused(status: u16, reason: &str) -> HttpResponse {
     json(
         status,
         &Refused {
