--- a/crates/gradeloft_bench/src/bundles.rs
+++ b/crates/gradeloft_bench/src/bundles.rs
@@ -8,7 +8,7 @@
 use gradeloft_daemon::node::Node;
 use gradeloft_platform::log::{Http, Log};
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, SIGNER, Shape, digest},
+    fleet::{Fleet, FleetConfig, MODEL, SIGNER, digest},
     weights::Version,
 };
 use gradeloft_wire::{
@@ -87,12 +87,12 @@
 }
 
 async fn measure(args: &Args, mode: Mode) -> Report {
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: args.entries,
         engines: args.agents,
         services: 0,
         zones: 4,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
     let version = Version::new(MODEL, "v1", 1, 1 << 10);
@@ -222,7 +222,7 @@
     append(fleet, &racers).await;
     let nodes = nodes(fleet);
     let all = || nodes.iter().all(|it| before.number < number(it));
-    gradeloft_standin::fleet::until("the race is decided everywhere", all).await;
+    gradeloft_standin::fleet::wait_until("the race is decided everywhere", all).await;
     let first = nodes.first().and_then(|it| head(it));
     nodes.iter().filter(|it| head(it) != first).count() as u64
 }
--- a/crates/gradeloft_bench/src/distribute.rs
+++ b/crates/gradeloft_bench/src/distribute.rs
@@ -17,7 +17,7 @@
 };
 use gradeloft_policy::version::fetch::Scheme;
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, SIGNER, Shape, digest},
+    fleet::{Fleet, FleetConfig, MODEL, SIGNER, digest},
     link::Links,
     weights::Version,
 };
@@ -216,11 +216,11 @@
     async fn measure(&self) -> (Report, Curve) {
         let links = Arc::new(Links::default());
         links.set(ORIGIN, self.args.link * ORIGIN_LINKS);
-        let shape = Shape {
+        let shape = FleetConfig {
             entries: 0,
             engines: 0,
             services: 0,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         let fleet = Fleet::start(shape).await.expect("the platform starts");
         let entry = start_entry(&fleet).await;
@@ -246,8 +246,10 @@
                 .filter(|(_, it)| serves(it))
                 .count()
         };
-        gradeloft_standin::fleet::until("the entry knows all agents", || known() == self.agents)
-            .await;
+        gradeloft_standin::fleet::wait_until("the entry knows all agents", || {
+            known() == self.agents
+        })
+        .await;
 
         let live = Rc::new(live::Load::new(entry.public(), self.agents));
         if self.args.live {
--- a/crates/gradeloft_bench/src/idle.rs
+++ b/crates/gradeloft_bench/src/idle.rs
@@ -8,7 +8,7 @@
 
 use gradeloft_policy::version::fetch::Scheme;
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, Shape},
+    fleet::{Fleet, FleetConfig, MODEL},
     link::Links,
     weights::Version,
 };
@@ -49,11 +49,11 @@
 /// Share of a core and bytes a second, of all agents and the entry together.
 async fn watch(agents: usize) -> (f64, f64) {
     let links = Arc::new(Links::default());
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: 0,
         engines: 0,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(shape).await.expect("the platform starts");
     let entry = start_entry(&fleet).await;
@@ -90,13 +90,13 @@
             .filter(|(_, it)| serves(it))
             .count()
     };
-    gradeloft_standin::fleet::until("the entry knows all agents", || known() == agents).await;
+    gradeloft_standin::fleet::wait_until("the entry knows all agents", || known() == agents).await;
     actix_rt::time::sleep(SETTLE).await;
-    let (started, cpu, bytes) = (Instant::now(), cpu_s(), links.crossed());
+    let (started, cpu, bytes) = (Instant::now(), cpu_s(), links.bytes_sent());
     actix_rt::time::sleep(WATCH).await;
     let passed = started.elapsed().as_secs_f64();
     let used = (cpu_s() - cpu) / passed;
-    let crossed = (links.crossed() - bytes) as f64 / passed;
+    let crossed = (links.bytes_sent() - bytes) as f64 / passed;
     workers.into_iter().for_each(Worker::stop);
     (used, crossed)
 }
--- a/crates/gradeloft_bench/src/relay.rs
+++ b/crates/gradeloft_bench/src/relay.rs
@@ -5,7 +5,7 @@
 use futures_util::{StreamExt, future::join_all};
 use gradeloft_platform::endpoint::{Engine, HttpEngine};
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, Shape},
+    fleet::{Fleet, FleetConfig, MODEL},
     weights::Version,
 };
 use gradeloft_wire::border::platform::EngineRequest;
@@ -62,11 +62,11 @@
 }
 
 async fn measure(args: &Args) -> Report {
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(shape).await.expect("the fleet starts");
     fleet.deploy(&Version::new(MODEL, "v1", 4, 1 << 10)).await;
--- a/crates/gradeloft_bench/src/requests.rs
+++ b/crates/gradeloft_bench/src/requests.rs
@@ -14,7 +14,7 @@
 use gradeloft_standin::{
     caller::Caller,
     engine::{self, Fault as EngineFault, PREFIX_BYTES},
-    fleet::{Fleet, MODEL, SERVICE, Shape, TEAM, TOKEN},
+    fleet::{Fleet, FleetConfig, MODEL, SERVICE, TEAM, TOKEN},
     weights::Version,
 };
 use hdrhistogram::Histogram;
@@ -157,14 +157,14 @@
 }
 
 async fn measure(args: &Args, scheme: Scheme) -> Report {
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: ENTRIES,
         engines: ENGINES,
         services: SERVICES,
         zones: ZONES,
         settings: "limits: {idle_ms: 2000}".to_owned(),
         route: scheme,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
     for engine in &fleet.engines {
@@ -186,7 +186,7 @@
     load.counting.set(false);
     load.running.set(false);
     let after = counters(&fleet);
-    gradeloft_standin::fleet::until("all answers are in", || load.open.get() == 0).await;
+    gradeloft_standin::fleet::wait_until("all answers are in", || load.open.get() == 0).await;
     load.report(&fleet, args, scheme, before, after, cut_by_drain)
 }
 
@@ -218,14 +218,18 @@
             .endpoint
             .state
             .fault
-            .set(EngineFault::Crossed),
+            .set(EngineFault::WrongRequestId),
         Fault::Kill => {
             fleet.engines[0].agent = None;
             fleet.services[0].agent = None;
         }
         Fault::LostReply => {
             for service in &fleet.services {
-                service.endpoint.state.lose_one_in.set(LOST_ONE_IN as u64);
+                service
+                    .endpoint
+                    .state
+                    .lose_reply_every
+                    .set(LOST_ONE_IN as u64);
             }
         }
         Fault::None => return 0,
@@ -364,7 +368,7 @@
         let answer = self.caller.generate(entry, MODEL, &prompt, TOKENS).await;
         self.open.set(self.open.get() - 1);
         let micros = started.elapsed().as_micros() as u64;
-        let expected = engine::expected(&self.version.chunks, &prompt, TOKENS).concat();
+        let expected = engine::expected_tokens(&self.version.chunks, &prompt, TOKENS).concat();
         if answer.end.is_some() && answer.text != expected {
             bump(&self.wrong);
         }
@@ -392,7 +396,8 @@
         let path = format!("{SERVICE}/charges");
         let keyed = count.is_multiple_of(2);
         let caller = if keyed {
-            self.caller.with("idempotency-key", &format!("k{count}"))
+            self.caller
+                .with_header("idempotency-key", &format!("k{count}"))
         } else {
             self.caller.clone()
         };
@@ -431,7 +436,7 @@
             fleet
                 .services
                 .iter()
-                .map(|it| it.endpoint.state.count(&name))
+                .map(|it| it.endpoint.state.executions(&name))
                 .sum()
         };
         let requests = self.requests.get();
--- a/crates/gradeloft_cli/examples/quickstart.rs
+++ b/crates/gradeloft_cli/examples/quickstart.rs
@@ -7,7 +7,7 @@
 
 use gradeloft_standin::{
     engine,
-    fleet::{Fleet, MODEL, SERVICE, Shape},
+    fleet::{Fleet, FleetConfig, MODEL, SERVICE},
     weights::Version,
 };
 
@@ -32,7 +32,7 @@
 async fn run() -> Result<(), String> {
     let started = Instant::now();
     let say = |text: String| println!("[{:>6.3} s] {text}", started.elapsed().as_secs_f64());
-    let fleet = Fleet::start(Shape::default())
+    let fleet = Fleet::start(FleetConfig::default())
         .await
         .map_err(|it| it.to_string())?;
     say("platform, 4 engines, 1 service, their agents and 2 entries are up".to_owned());
@@ -65,12 +65,12 @@
         nodes.all(|it| *it.bundle_number.borrow() == 1)
     };
     fleet
-        .until("the bundle is in force everywhere", everywhere)
+        .wait_until("the bundle is in force everywhere", everywhere)
         .await;
     say("bundle 1 in force on 7 nodes".to_owned());
 
     fleet
-        .until("replicas are ready", || fleet.known(&version))
+        .wait_until("replicas are ready", || fleet.is_routable(&version))
         .await;
     for replica in &fleet.engines {
         let Some(agent) = &replica.agent else {
@@ -113,7 +113,7 @@
         .map_err(|_| "the address is no ip:port")?;
 
     let generated = caller.generate(entry, MODEL, PROMPT, TOKENS).await;
-    let expected = engine::expected(&version.chunks, PROMPT, TOKENS).concat();
+    let expected = engine::expected_tokens(&version.chunks, PROMPT, TOKENS).concat();
     let end = generated
         .end
         .ok_or_else(|| format!("not whole: {:?}", generated.error))?;
@@ -126,7 +126,7 @@
     ));
 
     let path = format!("{SERVICE}/charges");
-    let once = caller.with("idempotency-key", "booking-1");
+    let once = caller.with_header("idempotency-key", "booking-1");
     let called = once.call(entry, "POST", &path, "two seats").await;
     let again = once.call(entry, "POST", &path, "two seats").await;
     if called.status != 200 || again.body != called.body {
@@ -135,7 +135,7 @@
     let ran = fleet.services[0]
         .endpoint
         .state
-        .count("POST /charges two seats");
+        .executions("POST /charges two seats");
     if ran != 1 {
         return Err(format!("a call that may not be repeated ran {ran} times"));
     }
--- a/crates/gradeloft_cli/tests/cli.rs
+++ b/crates/gradeloft_cli/tests/cli.rs
@@ -9,7 +9,7 @@
 
 use gradeloft_policy::version::bundle::canonical;
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, SIGNER, Shape, digest},
+    fleet::{Fleet, FleetConfig, MODEL, SIGNER, digest},
     weights::Version,
 };
 use gradeloft_wire::{border::bundle::Bundle, schema::Schema};
@@ -158,11 +158,11 @@
 #[actix_rt::test]
 async fn an_operators_day() {
     let folder = folder("day");
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: 1,
         engines: 2,
         services: 1,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(shape).await.expect("the fleet starts");
     let env = [
@@ -197,7 +197,9 @@
     let mut text = beside(&folder, &env, &["bundle", "status"]).await;
     text += &beside(&folder, &env, &["bundle", "publish", "first.yaml"]).await;
     text += &beside(&folder, &env, &publish("first.yaml")).await;
-    fleet.until("v1 is everywhere", || fleet.known(&v1)).await;
+    fleet
+        .wait_until("v1 is everywhere", || fleet.is_routable(&v1))
+        .await;
     text += &beside(&folder, &env, &["fleet", "status"]).await;
     let sign = [
         vec!["bundle", "sign", "second.yaml", "--out", "second.signed"],
@@ -220,11 +222,11 @@
 #[actix_rt::test]
 async fn a_bundle_that_is_not_in_force_everywhere_in_time_names_the_nodes_that_lag() {
     let folder = folder("lag");
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
     let env = [
@@ -257,11 +259,11 @@
 #[actix_rt::test]
 async fn another_instance_at_a_nodes_address_does_not_count_for_it() {
     let folder = folder("moved");
-    let shape = Shape {
+    let shape = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let fleet = Fleet::start(shape).await.expect("the fleet starts");
     let env = [
--- a/crates/gradeloft_daemon/tests/combined_failures.rs
+++ b/crates/gradeloft_daemon/tests/combined_failures.rs
@@ -5,13 +5,13 @@
 use futures_util::future::join;
 use gradeloft_standin::{
     engine::Fault,
-    fleet::{Fleet, MODEL, SERVICE, digest, until},
+    fleet::{Fleet, MODEL, SERVICE, digest, wait_until},
 };
 use support::{Transcript, describe_call, describe_generate, fleet, golden, shape, version};
 use tokio::sync::watch;
 
 async fn charge(fleet: &Fleet, entry: usize, key: &str) -> String {
-    let caller = fleet.caller().with("idempotency-key", key);
+    let caller = fleet.caller().with_header("idempotency-key", key);
     let path = format!("{SERVICE}/charges");
     describe_call(&caller.call(fleet.entry(entry), "POST", &path, key).await)
 }
@@ -21,7 +21,7 @@
     fleet
         .services
         .iter()
-        .map(|it| it.endpoint.state.count(&call))
+        .map(|it| it.endpoint.state.executions(&call))
         .sum()
 }
 
@@ -38,7 +38,13 @@
         "the reply is lost: {}",
         charge(&fleet, 0, "k1").await
     ));
-    let holder = usize::from(fleet.services[1].endpoint.state.count("POST /charges k1") == 1);
+    let holder = usize::from(
+        fleet.services[1]
+            .endpoint
+            .state
+            .executions("POST /charges k1")
+            == 1,
+    );
     fleet.services[holder].agent = None;
     for service in &fleet.services {
         service.endpoint.state.lose_replies.set(0);
@@ -55,7 +61,7 @@
         })
     };
     fleet
-        .until("the entries mark the agent unavailable", gone)
+        .wait_until("the entries mark the agent unavailable", gone)
         .await;
     transcript.add(format!(
         "again, at the other agent: {}",
@@ -111,7 +117,11 @@
     let v1 = version("v1");
     fleet.deploy(&v1).await;
     let mut transcript = Transcript::default();
-    fleet.engines[0].endpoint.state.fault.set(Fault::Crossed);
+    fleet.engines[0]
+        .endpoint
+        .state
+        .fault
+        .set(Fault::WrongRequestId);
     fleet.engines[1].endpoint.state.slots.set(0);
     for idx in 0..6 {
         let prompt = format!("p{idx}");
@@ -121,7 +131,11 @@
             .await;
         transcript.add(describe_generate(&answer, &v1, &prompt, 2));
     }
-    fleet.engines[2].endpoint.state.fault.set(Fault::Crossed);
+    fleet.engines[2]
+        .endpoint
+        .state
+        .fault
+        .set(Fault::WrongRequestId);
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     transcript.add(format!(
         "with no good one left: {}",
@@ -155,7 +169,7 @@
         .iter()
         .map(|it| std::rc::Rc::clone(&it.endpoint.state))
         .collect();
-    until("all requests are running", || {
+    wait_until("all requests are running", || {
         states.iter().map(|it| it.running.get()).sum::<u32>() == 6
     })
     .await;
@@ -172,7 +186,7 @@
         transcript.add(describe_generate(&answer, &v1, &format!("p{idx}"), 60));
     }
     fleet
-        .until("the other replicas serve v2", || fleet.known(&v2))
+        .wait_until("the other replicas serve v2", || fleet.is_routable(&v2))
         .await;
     let answer = caller.generate(entry, MODEL, "p", 2).await;
     transcript.add(format!(
@@ -189,12 +203,12 @@
     fleet.deploy(&v1).await;
     fleet.origin.state.down.set(true);
     fleet.store.state.down.set(true);
-    fleet.engines[0].endpoint.state.force(Vec::new());
-    fleet.engines[0].endpoint.state.forget();
+    fleet.engines[0].endpoint.state.set_serving(Vec::new());
+    fleet.engines[0].endpoint.state.clear_content();
     fleet.restart_agent(0).await.expect("the agent restarts");
     let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
     fleet
-        .until("the version is fetched from peers", reloaded)
+        .wait_until("the version is fetched from peers", reloaded)
         .await;
 }
 
@@ -213,11 +227,11 @@
         .await
         .expect("the bundle is accepted");
     let in_flight = || before + 2 * 8192 < fleet.origin.state.bytes_read.get();
-    fleet.until("v2 is in flight", in_flight).await;
+    fleet.wait_until("v2 is in flight", in_flight).await;
     fleet.engines[1].agent = None;
     fleet.list.state.frozen.set(true);
     fleet
-        .until("the remaining replicas serve v2", || fleet.known(&v2))
+        .wait_until("the remaining replicas serve v2", || fleet.is_routable(&v2))
         .await;
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     let expected = "200 the version's own text, end of 2 tokens by bulletin/v2, no error";
--- a/crates/gradeloft_daemon/tests/limits.rs
+++ b/crates/gradeloft_daemon/tests/limits.rs
@@ -14,7 +14,9 @@
     bundle.teams[0].requests_per_s = requests_per_s;
     fleet.publish(&bundle).await.expect("it is accepted");
     fleet
-        .until("ready", || fleet.known(&v1) && fleet.serving(&v1) == 1)
+        .wait_until("ready", || {
+            fleet.is_routable(&v1) && fleet.serving_count(&v1) == 1
+        })
         .await;
     let connected = || {
         fleet.entries.iter().flatten().all(|it| {
@@ -24,7 +26,7 @@
         })
     };
     fleet
-        .until("entries are connected to each other", connected)
+        .wait_until("entries are connected to each other", connected)
         .await;
     fleet
 }
@@ -82,7 +84,9 @@
         stranger
             .generate(fleet.entry(0), &format!("model-{idx}"), "p", 1)
             .await;
-        let with_unknown_class = fleet.caller().with("x-class", &format!("class-{idx}"));
+        let with_unknown_class = fleet
+            .caller()
+            .with_header("x-class", &format!("class-{idx}"));
         with_unknown_class
             .generate(fleet.entry(0), &format!("model-{idx}"), "p", 1)
             .await;
--- a/crates/gradeloft_daemon/tests/processes.rs
+++ b/crates/gradeloft_daemon/tests/processes.rs
@@ -13,7 +13,7 @@
 use gradeloft_cli::publish;
 use gradeloft_standin::{
     engine::Engine,
-    fleet::{Fleet, MODEL, SERVICE, SIGNER, Shape, until},
+    fleet::{Fleet, FleetConfig, MODEL, SERVICE, SIGNER, wait_until},
     service::Service,
 };
 use gradeloft_wire::border::platform::{Instance, InstanceRole, InstanceState};
@@ -109,11 +109,11 @@
 impl DaemonFleet {
     /// Starts daemons that time out on a silent peer or endpoint after `idle_ms`.
     async fn start(engines: usize, entries: usize, idle_ms: u64) -> DaemonFleet {
-        let shape = Shape {
+        let shape = FleetConfig {
             entries: 0,
             engines: 0,
             services: 0,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         let fleet = Fleet::start(shape).await.expect("the platform starts");
         let service = Service::start().await.expect("the service starts");
@@ -210,7 +210,7 @@
             .await
             .unwrap();
         assert_eq!(progress.lagging, Vec::<String>::new());
-        until("every engine serves", || {
+        wait_until("every engine serves", || {
             self.engines.iter().all(|it| it.state.serves().len() == 1)
         })
         .await;
@@ -246,14 +246,17 @@
     let v1 = version("v1");
     daemons.deploy(&v1).await;
     let path = format!("{SERVICE}/charges");
-    let keyed = daemons.fleet.caller().with("idempotency-key", "k");
+    let keyed = daemons.fleet.caller().with_header("idempotency-key", "k");
     for idx in [0, 1] {
         let answer = keyed
             .call(daemons.entry(idx), "POST", &path, "two seats")
             .await;
         assert_eq!(describe_call(&answer), "200 done: POST /charges two seats");
     }
-    assert_eq!(daemons.service.state.count("POST /charges two seats"), 1);
+    assert_eq!(
+        daemons.service.state.executions("POST /charges two seats"),
+        1
+    );
 
     daemons.agents[0].signal(Signal::SIGKILL);
     for idx in 0..6 {
@@ -306,7 +309,7 @@
         })
         .collect();
     let busy = || 0 < daemons.engines[0].state.running.get();
-    until("the first agent is busy", busy).await;
+    wait_until("the first agent is busy", busy).await;
     daemons.agents[0].signal(Signal::SIGTERM);
     daemons.entries[0].signal(Signal::SIGTERM);
     assert_eq!(daemons.agents[0].wait_for_exit().await, Some(0));
@@ -338,7 +341,7 @@
         .await;
     let _stream = stream.expect("an answer");
     let engine = std::rc::Rc::clone(&daemons.engines[0].state);
-    until("the request is running", || engine.running.get() == 1).await;
+    wait_until("the request is running", || engine.running.get() == 1).await;
     daemons.agents[0].signal(Signal::SIGTERM);
     wait_until_not_ready(&daemons.agents[0]).await;
     daemons.agents[0].signal(Signal::SIGTERM);
--- a/crates/gradeloft_daemon/tests/repeated_failures.rs
+++ b/crates/gradeloft_daemon/tests/repeated_failures.rs
@@ -41,7 +41,10 @@
             .await
             .expect("the agent restarts"),
         Failure::ChunksCorrupted => origin.corrupt_every.set(3),
-        Failure::EngineLostWeights => fleet.engines[occurrence].endpoint.state.force(Vec::new()),
+        Failure::EngineLostWeights => fleet.engines[occurrence]
+            .endpoint
+            .state
+            .set_serving(Vec::new()),
         Failure::OrderLost => fleet.engines[occurrence].endpoint.state.lose_replies.set(1),
         Failure::OriginDown => {
             let read = origin.bytes_read.get();
@@ -49,12 +52,12 @@
             actix_rt::time::sleep(std::time::Duration::from_millis(50)).await;
             origin.down.set(false);
             fleet
-                .until("the origin is read again", || {
-                    read < origin.bytes_read.get() || fleet.known(target)
+                .wait_until("the origin is read again", || {
+                    read < origin.bytes_read.get() || fleet.is_routable(target)
                 })
                 .await;
         }
-        Failure::StoreLimited => fleet.store.state.limited.set(occurrence == 0),
+        Failure::StoreLimited => fleet.store.state.rate_limited.set(occurrence == 0),
         Failure::VersionReplaced => {}
     }
 }
@@ -85,16 +88,18 @@
         let before = fleet.origin.state.bytes_read.get();
         // On a busy machine the rollout may complete before the first check.
         let in_flight =
-            || before + 8_192 < fleet.origin.state.bytes_read.get() || fleet.known(&target);
-        fleet.until("the version is in flight", in_flight).await;
+            || before + 8_192 < fleet.origin.state.bytes_read.get() || fleet.is_routable(&target);
+        fleet
+            .wait_until("the version is in flight", in_flight)
+            .await;
         inject_failure(&mut fleet, failure, occurrence, &target).await;
         if failure != Failure::VersionReplaced {
             assert_generates_old_or_new(&fleet, &target).await;
         }
     }
     fleet
-        .until("the remaining replicas serve the version", || {
-            fleet.known(&target)
+        .wait_until("the remaining replicas serve the version", || {
+            fleet.is_routable(&target)
         })
         .await;
     assert_generates(&fleet, &target).await;
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -63,7 +63,7 @@
     let v1 = version("v1");
     let first = fleet.deploy(&v1).await;
     fleet.origin.state.down.set(true);
-    fleet.store.state.limited.set(true);
+    fleet.store.state.rate_limited.set(true);
     let v2 = version("v2");
     publish_next(&fleet, &first, &v2).await;
     let in_force = || {
@@ -73,14 +73,16 @@
             .flatten()
             .all(|it| *it.node().bundle_number.borrow() == 2)
     };
-    fleet.until("bundle 2 is in force", in_force).await;
+    fleet.wait_until("bundle 2 is in force", in_force).await;
     assert_generates(&fleet, &v1).await;
     fleet.origin.state.down.set(false);
-    fleet.origin.state.limited.set(true);
+    fleet.origin.state.rate_limited.set(true);
     assert_generates(&fleet, &v1).await;
-    fleet.origin.state.limited.set(false);
-    fleet.store.state.limited.set(false);
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet.origin.state.rate_limited.set(false);
+    fleet.store.state.rate_limited.set(false);
+    fleet
+        .wait_until("v2 is everywhere", || fleet.is_routable(&v2))
+        .await;
     assert_generates(&fleet, &v2).await;
 }
 
@@ -103,7 +105,7 @@
     let first = fleet.bundle(1, None, &v1);
     fleet.publish(&first).await.unwrap();
     let in_flight = || 3 * 8192 < fleet.origin.state.bytes_read.get();
-    fleet.until("v1 is in flight", in_flight).await;
+    fleet.wait_until("v1 is in flight", in_flight).await;
 
     // Version 2 differs from version 1 only in the last chunk.
     let mut v2 = Version::new(MODEL, "v2", CHUNKS, 8 << 10);
@@ -115,9 +117,11 @@
     }
     v2.manifest = serde_json::to_vec(&manifest).unwrap().into();
     publish_next(&fleet, &first, &v2).await;
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet
+        .wait_until("v2 is everywhere", || fleet.is_routable(&v2))
+        .await;
     assert_generates(&fleet, &v2).await;
-    assert_eq!(fleet.serving(&v1), 0, "v1 was never served");
+    assert_eq!(fleet.serving_count(&v1), 0, "v1 was never served");
     let reads = fleet.origin.state.reads.borrow();
     let reads_per_chunk = v2
         .chunks
@@ -163,11 +167,15 @@
             .iter()
             .any(|it| it.version == "v2" && it.phase == "failed" && it.fault.is_some())
     };
-    fleet.until("the failure shows in the status", failed).await;
     fleet
-        .until("the other replica serves v2", || fleet.serving(&v2) == 1)
+        .wait_until("the failure shows in the status", failed)
         .await;
-    assert_eq!(fleet.serving(&v1), 2, "both still serve v1");
+    fleet
+        .wait_until("the other replica serves v2", || {
+            fleet.serving_count(&v2) == 1
+        })
+        .await;
+    assert_eq!(fleet.serving_count(&v1), 2, "both still serve v1");
     let entry_learned = || {
         let node = fleet.entries[0].as_ref().unwrap().node();
         let membership = node.membership.borrow();
@@ -177,7 +185,9 @@
                 .is_some_and(|it| it.serving.iter().any(|it| it.version == "v2"))
         })
     };
-    fleet.until("the entry learns of v2", entry_learned).await;
+    fleet
+        .wait_until("the entry learns of v2", entry_learned)
+        .await;
     assert_generates(&fleet, &v2).await;
     let orders = fleet.engines[0].endpoint.state.orders.get();
     assert_eq!(orders, 6, "one order for v1 and five attempts for v2");
@@ -195,11 +205,11 @@
     let running = caller.generate(fleet.entry(0), MODEL, "p", 50);
     let switch = async {
         fleet
-            .until("a request is running", || engine.running.get() == 1)
+            .wait_until("a request is running", || engine.running.get() == 1)
             .await;
         publish_next(&fleet, &first, &version("v2")).await;
         fleet
-            .until("v2 serves", || fleet.serving(&version("v2")) == 1)
+            .wait_until("v2 serves", || fleet.serving_count(&version("v2")) == 1)
             .await;
     };
     let (answer, ()) = futures_util::future::join(running, switch).await;
@@ -213,10 +223,12 @@
     let fleet = fleet(shape(1, 2, 0)).await;
     let v1 = version("v1");
     fleet.deploy(&v1).await;
-    fleet.engines[0].endpoint.state.force(Vec::new());
+    fleet.engines[0].endpoint.state.set_serving(Vec::new());
     assert_generates(&fleet, &v1).await;
     let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
-    fleet.until("the engine serves v1 again", reloaded).await;
+    fleet
+        .wait_until("the engine serves v1 again", reloaded)
+        .await;
 }
 
 #[actix_rt::test]
@@ -235,10 +247,10 @@
     fleet.engines[0]
         .endpoint
         .state
-        .force(vec![foreign.clone(), foreign]);
-    let withdrawn = || fleet.serving(&v1) == 0;
+        .set_serving(vec![foreign.clone(), foreign]);
+    let withdrawn = || fleet.serving_count(&v1) == 0;
     fleet
-        .until("the agent no longer reports v1", withdrawn)
+        .wait_until("the agent no longer reports v1", withdrawn)
         .await;
     assert_eq!(
         fleet
@@ -284,9 +296,9 @@
     engine.order(&order).await.unwrap();
     assert!(fleet.engines[0].endpoint.state.serves().is_empty());
     let reloaded = || fleet.engines[0].endpoint.state.serves() == ["bulletin/v1"];
-    fleet.until("the agent reloads v1", reloaded).await;
+    fleet.wait_until("the agent reloads v1", reloaded).await;
     fleet
-        .until("the agent reports v1", || fleet.serving(&v1) == 1)
+        .wait_until("the agent reports v1", || fleet.serving_count(&v1) == 1)
         .await;
 }
 
@@ -302,7 +314,9 @@
     let signed = fleet.key.sign(&second, "ops");
     // One node received the bundle just before the log went down.
     gradeloft_daemon::node::config::adopt(fleet.entries[0].as_ref().unwrap().node(), &signed);
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet
+        .wait_until("v2 is everywhere", || fleet.is_routable(&v2))
+        .await;
     assert_generates(&fleet, &v2).await;
 
     fleet.start_entry(1).await.unwrap();
@@ -310,7 +324,7 @@
     let learned =
         || node.bundle_source.get() == BundleSource::Peer && *node.bundle_number.borrow() == 2;
     fleet
-        .until(
+        .wait_until(
             "an entry started during the outage gets the bundle from peers",
             learned,
         )
@@ -336,7 +350,9 @@
         .unwrap();
     let v2 = version("v2");
     publish_next(&fleet, &first, &v2).await;
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet
+        .wait_until("v2 is everywhere", || fleet.is_routable(&v2))
+        .await;
     assert!(
         fleet
             .entries
@@ -368,7 +384,7 @@
             .all(|(_, it)| !it.connected)
     };
     fleet
-        .until("entry-0 marks entry-1 disconnected", disconnected)
+        .wait_until("entry-0 marks entry-1 disconnected", disconnected)
         .await;
     let addresses = fleet
         .caller()
@@ -412,13 +428,13 @@
     let most_down = std::cell::Cell::new(0);
     let v2 = version("v2");
     fleet
-        .until("v2 is everywhere", || {
+        .wait_until("v2 is everywhere", || {
             let down = fleet
                 .engines
                 .iter()
                 .filter(|it| it.endpoint.state.serves().is_empty());
             most_down.set(most_down.get().max(down.count()));
-            fleet.known(&v2)
+            fleet.is_routable(&v2)
         })
         .await;
     assert_eq!(most_down.get(), 1);
@@ -443,7 +459,7 @@
             .count()
     };
     fleet
-        .until("v2 failed on one replica", || failed() == 1)
+        .wait_until("v2 failed on one replica", || failed() == 1)
         .await;
     let waiting = || {
         let agents = fleet.engines.iter().filter_map(|it| it.agent.as_ref());
@@ -453,15 +469,15 @@
             .count()
     };
     fleet
-        .until("the other replicas wait for their turns", || waiting() == 2)
+        .wait_until("the other replicas wait for their turns", || waiting() == 2)
         .await;
     // The log holds three requests and one failure, and no other replica has switched.
     fleet
-        .until("all requests are in the log", || {
+        .wait_until("all requests are in the log", || {
             4 <= fleet.log.state.len("turns.bulletin")
         })
         .await;
-    assert_eq!((failed(), fleet.serving(&v1)), (1, 2));
+    assert_eq!((failed(), fleet.serving_count(&v1)), (1, 2));
     assert_generates(&fleet, &v1).await;
 }
 
@@ -477,9 +493,9 @@
             .count()
     };
     fleet
-        .until("v2 is everywhere", || {
+        .wait_until("v2 is everywhere", || {
             out_of_order.set(out_of_order.get() || (0 < serves(0) && serves(1) < 2));
-            fleet.known(&v2)
+            fleet.is_routable(&v2)
         })
         .await;
     assert!(
@@ -511,11 +527,13 @@
             .count()
     };
     fleet
-        .until("both replicas wait for their turns", || waiting() == 2)
+        .wait_until("both replicas wait for their turns", || waiting() == 2)
         .await;
-    assert_eq!(fleet.serving(&v1), 2);
+    assert_eq!(fleet.serving_count(&v1), 2);
     fleet.log.state.down.set(false);
-    fleet.until("v2 is everywhere", || fleet.known(&v2)).await;
+    fleet
+        .wait_until("v2 is everywhere", || fleet.is_routable(&v2))
+        .await;
 }
 
 #[actix_rt::test]
@@ -533,17 +551,17 @@
     let conflicting = Record::Bundle(fleet.key.sign(&conflicting, "ops")).encode();
     log.append(CONFIG, &[conflicting]).await.unwrap();
     fleet
-        .until("the log holds a checkpoint", || {
+        .wait_until("the log holds a checkpoint", || {
             3 <= fleet.log.state.len(CONFIG)
         })
         .await;
-    fleet.log.state.retain_from(CONFIG, 1);
+    fleet.log.state.truncate_before(CONFIG, 1);
     fleet.entries[1] = None;
     fleet.entries[0] = None;
     fleet.start_entry(0).await.unwrap();
     let node = fleet.entries[0].as_ref().unwrap().node();
     fleet
-        .until("a restarted entry has the bundle", || {
+        .wait_until("a restarted entry has the bundle", || {
             *node.bundle_number.borrow() == 1
         })
         .await;
@@ -575,7 +593,7 @@
         })
     };
     fleet
-        .until("the entry rejects the instance at the address", || {
+        .wait_until("the entry rejects the instance at the address", || {
             moved(true)
         })
         .await;
--- a/crates/gradeloft_daemon/tests/serving.rs
+++ b/crates/gradeloft_daemon/tests/serving.rs
@@ -7,7 +7,7 @@
 use futures_util::{StreamExt, future::join};
 use gradeloft_standin::{
     engine::Fault,
-    fleet::{Fleet, MODEL, SERVICE, until},
+    fleet::{Fleet, MODEL, SERVICE, wait_until},
 };
 use rstest::rstest;
 use support::{describe_call, describe_generate, fleet, shape, version};
@@ -15,10 +15,14 @@
 
 const CHARGE: &str = "POST /charges two seats";
 
-async fn charge(fleet: &Fleet, entry: usize, key: &str) -> gradeloft_standin::caller::Called {
+async fn charge(
+    fleet: &Fleet,
+    entry: usize,
+    key: &str,
+) -> gradeloft_standin::caller::ServiceResponse {
     let caller = match key {
         "" => fleet.caller(),
-        key => fleet.caller().with("idempotency-key", key),
+        key => fleet.caller().with_header("idempotency-key", key),
     };
     caller
         .call(
@@ -34,7 +38,7 @@
     fleet
         .services
         .iter()
-        .map(|it| it.endpoint.state.count(CHARGE))
+        .map(|it| it.endpoint.state.executions(CHARGE))
         .sum()
 }
 
@@ -42,19 +46,19 @@
 /// yet, another replica responds; otherwise the caller gets an error.
 #[rstest]
 #[case::crossed(
-    Fault::Crossed,
+    Fault::WrongRequestId,
     "200 the version's own text, end of 4 tokens by bulletin/v1, no error"
 )]
 #[case::mixed(
-    Fault::Mixed,
+    Fault::MixedVersions,
     "200 not the whole text, no end, mismatch ran unknown retryable false"
 )]
 #[case::repeated(
-    Fault::Repeated,
+    Fault::DuplicateToken,
     "200 not the whole text, no end, mismatch ran unknown retryable false"
 )]
 #[case::cut(
-    Fault::Cut,
+    Fault::Truncated,
     "200 not the whole text, no end, cut ran yes retryable false"
 )]
 #[case::stalled(
@@ -169,7 +173,7 @@
     );
     fleet.restart_service_agent(0).await.unwrap();
     fleet
-        .until("the restarted agent is known", || fleet.known(&v1))
+        .wait_until("the restarted agent is known", || fleet.is_routable(&v1))
         .await;
     assert_eq!(
         describe_call(&charge(&fleet, 0, "k").await),
@@ -243,7 +247,7 @@
     stream.next().await.expect("a first token").unwrap();
     assert_eq!(engine.running.get(), 1);
     drop(stream);
-    until("the engine's request is cancelled", || {
+    wait_until("the engine's request is cancelled", || {
         engine.cancelled.get() == 1
     })
     .await;
@@ -266,7 +270,7 @@
     let running = futures_util::future::join_all(running);
     let drained = async {
         let busy = || 0 < fleet.engines[0].endpoint.state.running.get();
-        until("the agent is busy", busy).await;
+        wait_until("the agent is busy", busy).await;
         let (_force, forced) = watch::channel(false);
         let cut = fleet.engines[0].agent.as_ref().unwrap().drain(forced).await;
         let before = fleet.engines[0].endpoint.state.finished.get();
@@ -297,7 +301,7 @@
     let short = caller.generate(fleet.entry(0), MODEL, "short", 100);
     let drain = async {
         let busy = || 0 < fleet.engines[0].endpoint.state.running.get();
-        until("a request runs", busy).await;
+        wait_until("a request runs", busy).await;
         let (_force, forced) = watch::channel(false);
         fleet.entries[0].as_ref().unwrap().drain(forced).await
     };
@@ -331,8 +335,8 @@
     let (force, forced) = watch::channel(false);
     let entry = fleet.entries[0].as_ref().unwrap();
     let requests = async {
-        until("the entry leaves", || entry.node().leaving()).await;
-        let deadline = |ms| fleet.caller().with("x-deadline-ms", ms);
+        wait_until("the entry leaves", || entry.node().leaving()).await;
+        let deadline = |ms| fleet.caller().with_header("x-deadline-ms", ms);
         let (short_deadline, long_deadline) = (deadline("1000"), deadline("60000"));
         let short = short_deadline.generate(fleet.entry(0), MODEL, "p", 3).await;
         let expected = "200 the version's own text, end of 3 tokens by bulletin/v1, no error";
@@ -356,7 +360,7 @@
     let malformed = || agent.node().metrics.malformed.get();
     let mut socket = tokio::net::TcpStream::connect(agent.peer()).await.unwrap();
     socket.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
-    until("data that is not HTTP/2 is counted", || malformed() == 1).await;
+    wait_until("data that is not HTTP/2 is counted", || malformed() == 1).await;
 
     let socket = tokio::net::TcpStream::connect(agent.peer()).await.unwrap();
     let (sender, connection) = h2::client::handshake(socket).await.unwrap();
@@ -370,7 +374,7 @@
         .unwrap();
     body.send_data(bytes::Bytes::from_static(&[0, 0, 0, 2, 0xff, 0xff]), true)
         .unwrap();
-    until("a malformed frame is counted", || malformed() == 2).await;
+    wait_until("a malformed frame is counted", || malformed() == 2).await;
     let _ = tokio::time::timeout(Duration::from_secs(5), connection)
         .await
         .expect("the connection is closed");
@@ -420,7 +424,7 @@
         .await;
     let mut first = first.expect("an answer");
     first.next().await.expect("a first token").unwrap();
-    let short_deadline = fleet.caller().with("x-deadline-ms", "300");
+    let short_deadline = fleet.caller().with_header("x-deadline-ms", "300");
     let answer = short_deadline.generate(fleet.entry(0), MODEL, "p", 1).await;
     let error = answer.error.expect("an error");
     // The transport queues the call, so the entry can't know that it was never sent.
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -9,7 +9,7 @@
     scope::Scope,
     transport::server::{Handler, Limits, Outgoing, Server},
 };
-use gradeloft_standin::fleet::{MODEL, SERVICE, TEAM, TOKEN, digest, team, until};
+use gradeloft_standin::fleet::{MODEL, SERVICE, TEAM, TOKEN, digest, team, wait_until};
 use gradeloft_wire::{
     border::platform::{Instance, InstanceRole, InstanceState},
     error::Kind,
@@ -57,7 +57,7 @@
         refused.expect_err("it lost")
     ));
     fleet
-        .until("v2 is known at all entries", || fleet.known(&v2))
+        .wait_until("v2 is known at all entries", || fleet.is_routable(&v2))
         .await;
     let answer = caller.generate(fleet.entry(1), MODEL, "p", 3).await;
     transcript.add(format!(
@@ -73,7 +73,9 @@
 
     fleet.restart_agent(0).await.unwrap();
     fleet
-        .until("the restarted agent serves", || fleet.serving(&v2) == 4)
+        .wait_until("the restarted agent serves", || {
+            fleet.serving_count(&v2) == 4
+        })
         .await;
     transcript.add("an agent restarted with nothing serves v2 again");
     golden("publish_and_serve", &transcript.text());
@@ -95,7 +97,7 @@
         })
     };
     fleet
-        .until("entries are connected to each other", all)
+        .wait_until("entries are connected to each other", all)
         .await;
     let mut transcript = Transcript::default();
     let name = |address: &str| {
@@ -133,7 +135,7 @@
             .any(|(_, it)| it.notice.as_ref().is_some_and(|it| it.leaving))
     };
     fleet
-        .until("entry-0 has the notice that entry-1 leaves", leaving_known)
+        .wait_until("entry-0 has the notice that entry-1 leaves", leaving_known)
         .await;
     transcript.add(format!(
         "zone-1 once entry-1 leaves: {}",
@@ -147,7 +149,7 @@
 async fn a_streamed_answer() {
     let fleet = fleet(shape(1, 1, 0)).await;
     fleet.deploy(&version("v1")).await;
-    let caller = fleet.caller().with("x-request-id", "night-watch-1");
+    let caller = fleet.caller().with_header("x-request-id", "night-watch-1");
     let mut stream = caller
         .generate_stream(fleet.entry(0), MODEL, 3)
         .await
@@ -239,8 +241,8 @@
             .any(|(_, it)| it.notice.is_some());
         seen && *node.bundle_number.borrow() == 1
     };
-    until("the entry has the agent's notice and the bundle", ready).await;
-    let caller = fleet.caller().with("x-request-id", "r-1");
+    wait_until("the entry has the agent's notice and the bundle", ready).await;
+    let caller = fleet.caller().with_header("x-request-id", "r-1");
     let mut transcript = Transcript::default();
     for kind in Kind::ALL.iter().copied() {
         *refusing_agent.kind.borrow_mut() = kind;
@@ -253,7 +255,7 @@
                 .iter()
                 .any(|(_, it)| it.takes_work(now))
         };
-        until("the refusing agent is no longer suspect", not_suspect).await;
+        wait_until("the refusing agent is no longer suspect", not_suspect).await;
         let answer = caller.generate(fleet.entry(0), MODEL, "p", 1).await;
         let error = answer.error.expect("an error");
         transcript.add(format!(
@@ -280,15 +282,17 @@
     fleet.upload(&v1);
     fleet.publish(&bundle).await.unwrap();
     fleet
-        .until("ready", || fleet.known(&v1) && fleet.serving(&v1) == 1)
+        .wait_until("ready", || {
+            fleet.is_routable(&v1) && fleet.serving_count(&v1) == 1
+        })
         .await;
 
     let entry = fleet.entry(0);
-    let duty = fleet.caller().with("x-request-id", "r-1");
+    let duty = fleet.caller().with_header("x-request-id", "r-1");
     let guides = gradeloft_standin::caller::Caller::new("guides", "guides-token");
-    let guides = guides.with("x-request-id", "r-2");
+    let guides = guides.with_header("x-request-id", "r-2");
     let mut transcript = Transcript::default();
-    let mut show = |what: &str, answer: gradeloft_standin::caller::Generated| {
+    let mut show = |what: &str, answer: gradeloft_standin::caller::GenerateResponse| {
         let error = answer.error.map_or("none".to_owned(), |it| {
             format!("{}: {}", it.kind, it.message)
         });
@@ -319,19 +323,19 @@
     );
     show(
         "unknown class",
-        duty.with("x-class", "urgent")
+        duty.with_header("x-class", "urgent")
             .generate(entry, MODEL, "p", 1)
             .await,
     );
     show(
         "bad deadline",
-        duty.with("x-deadline-ms", "soon")
+        duty.with_header("x-deadline-ms", "soon")
             .generate(entry, MODEL, "p", 1)
             .await,
     );
     show(
         "passed deadline",
-        duty.with("x-deadline-ms", "0")
+        duty.with_header("x-deadline-ms", "0")
             .generate(entry, MODEL, "p", 1)
             .await,
     );
@@ -356,7 +360,7 @@
     );
     let path = format!("{SERVICE}/rooms");
     let above = guides
-        .with("x-class", "critical")
+        .with_header("x-class", "critical")
         .call(entry, "GET", &path, "")
         .await;
     transcript.add(format!(
@@ -364,7 +368,7 @@
         describe_call(&above)
     ));
     let invalid_repeatable = guides
-        .with("x-repeatable", "maybe")
+        .with_header("x-repeatable", "maybe")
         .call(entry, "GET", &path, "")
         .await;
     transcript.add(format!(
@@ -372,14 +376,14 @@
         describe_call(&invalid_repeatable)
     ));
     let long = guides
-        .with("idempotency-key", &"k".repeat(300))
+        .with_header("idempotency-key", &"k".repeat(300))
         .call(entry, "POST", &path, "")
         .await;
     transcript.add(format!("too long a key: {}", describe_call(&long)));
     let unknown = guides.call(entry, "GET", "portal/rooms", "").await;
     transcript.add(format!("unknown service: {}", describe_call(&unknown)));
     let headers = guides
-        .with("x-long", &"h".repeat(2000))
+        .with_header("x-long", &"h".repeat(2000))
         .call(entry, "GET", &path, "")
         .await;
     transcript.add(format!("oversized headers: {}", describe_call(&headers)));
--- a/crates/gradeloft_daemon/tests/support/mod.rs
+++ b/crates/gradeloft_daemon/tests/support/mod.rs
@@ -6,9 +6,9 @@
 use std::fmt::Display;
 
 use gradeloft_standin::{
-    caller::{Called, Generated},
+    caller::{GenerateResponse, ServiceResponse},
     engine,
-    fleet::{Fleet, MODEL, Shape},
+    fleet::{Fleet, FleetConfig, MODEL},
     weights::Version,
 };
 
@@ -22,17 +22,17 @@
 }
 
 /// Starts a fleet.
-pub(crate) async fn fleet(shape: Shape) -> Fleet {
+pub(crate) async fn fleet(shape: FleetConfig) -> Fleet {
     Fleet::start(shape).await.expect("the fleet starts")
 }
 
 /// Returns the shape of a fleet with the given numbers of entries, engines and services.
-pub(crate) fn shape(entries: usize, engines: usize, services: usize) -> Shape {
-    Shape {
+pub(crate) fn shape(entries: usize, engines: usize, services: usize) -> FleetConfig {
+    FleetConfig {
         entries,
         engines,
         services,
-        ..Shape::default()
+        ..FleetConfig::default()
     }
 }
 
@@ -55,12 +55,13 @@
 /// Describes the response to a generate request in one line, with whether its text is the one that
 /// the version's weights produce.
 pub(crate) fn describe_generate(
-    answer: &Generated,
+    answer: &GenerateResponse,
     version: &Version,
     prompt: &str,
     tokens: u32,
 ) -> String {
-    let is_expected = answer.text == engine::expected(&version.chunks, prompt, tokens).concat();
+    let is_expected =
+        answer.text == engine::expected_tokens(&version.chunks, prompt, tokens).concat();
     let text = if is_expected {
         "the version's own text"
     } else {
@@ -76,7 +77,7 @@
 }
 
 /// Describes the response of a service in one line.
-pub(crate) fn describe_call(answer: &Called) -> String {
+pub(crate) fn describe_call(answer: &ServiceResponse) -> String {
     match &answer.error {
         Some(it) => format!(
             "{} {} ran {} retryable {}",
--- a/crates/gradeloft_standin/src/caller.rs
+++ b/crates/gradeloft_standin/src/caller.rs
@@ -21,7 +21,7 @@
 
 /// What came back for a generate request.
 #[derive(Clone, Debug, Default)]
-pub struct Generated {
+pub struct GenerateResponse {
     /// HTTP status; 0 when the connection failed.
     pub status: u16,
     /// The text of all tokens.
@@ -36,7 +36,7 @@
 
 /// What came back for a service call.
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct ServiceResponse {
     /// HTTP status; 0 when the connection failed or the body broke off.
     pub status: u16,
     /// Body.
@@ -60,7 +60,7 @@
     }
 
     /// The same caller with one header more.
-    pub fn with(&self, name: &str, value: &str) -> Caller {
+    pub fn with_header(&self, name: &str, value: &str) -> Caller {
         let mut caller = self.clone();
         caller.headers.push((name.to_owned(), value.to_owned()));
         caller
@@ -79,24 +79,29 @@
         model: &str,
         prompt: &str,
         max_tokens: u32,
-    ) -> Generated {
+    ) -> GenerateResponse {
         let body = json!({ "prompt": prompt, "max_tokens": max_tokens }).to_string();
         self.generate_raw(entry, model, body).await
     }
 
     /// Sends any body as a generate request.
-    pub async fn generate_raw(&self, entry: SocketAddr, model: &str, body: String) -> Generated {
+    pub async fn generate_raw(
+        &self,
+        entry: SocketAddr,
+        model: &str,
+        body: String,
+    ) -> GenerateResponse {
         let path = format!("/v1/teams/{}/models/{model}/generate", self.team);
         let Some(mut response) = self.send(entry, Method::POST, &path, body.into()).await else {
-            return Generated::default();
+            return GenerateResponse::default();
         };
         let status = response.status().as_u16();
         if status != 200 {
             let error = response.json().await.ok();
-            return Generated {
+            return GenerateResponse {
                 status,
                 error,
-                ..Generated::default()
+                ..GenerateResponse::default()
             };
         }
         read_events(response).await
@@ -121,14 +126,14 @@
         method: &str,
         service_path: &str,
         body: &str,
-    ) -> Called {
+    ) -> ServiceResponse {
         let path = format!("/v1/teams/{}/services/{service_path}", self.team);
         let method = Method::from_bytes(method.as_bytes()).unwrap_or_default();
         let sent = self
             .send(entry, method, &path, body.to_owned().into())
             .await;
         let Some(mut response) = sent else {
-            return Called {
+            return ServiceResponse {
                 status: 0,
                 body: String::new(),
                 error: None,
@@ -146,7 +151,7 @@
             0
         };
         let body = body.unwrap_or_default();
-        Called {
+        ServiceResponse {
             status,
             error: serde_json::from_slice(&body).ok(),
             body: String::from_utf8_lossy(&body).into_owned(),
@@ -173,13 +178,13 @@
     }
 }
 
-async fn read_events<S>(response: ClientResponse<S>) -> Generated
+async fn read_events<S>(response: ClientResponse<S>) -> GenerateResponse
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
-    let mut generated = Generated {
+    let mut generated = GenerateResponse {
         status: 200,
-        ..Generated::default()
+        ..GenerateResponse::default()
     };
     let mut events = response.eventsource();
     while let Some(Ok(event)) = events.next().await {
--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -37,16 +37,16 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
     /// Carries the id of another request.
-    Crossed,
+    WrongRequestId,
     /// Breaks off after two tokens.
-    Cut,
+    Truncated,
     /// Has tokens of another version in the middle.
-    Mixed,
+    MixedVersions,
     /// None.
     #[default]
     None,
     /// Has a token twice.
-    Repeated,
+    DuplicateToken,
     /// Stalls after two tokens.
     Stalled,
 }
@@ -151,7 +151,7 @@
 }
 
 /// The text that an engine with these weights answers, token by token.
-pub fn expected(weights: &[Bytes], prompt: &str, max_tokens: u32) -> Vec<String> {
+pub fn expected_tokens(weights: &[Bytes], prompt: &str, max_tokens: u32) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in weights {
         hasher.update(chunk);
@@ -178,12 +178,12 @@
     }
 
     /// Puts weights into service without an order, as a restarted engine or a rival would.
-    pub fn force(&self, weights: Vec<Weights>) {
+    pub fn set_serving(&self, weights: Vec<Weights>) {
         *self.serving.borrow_mut() = weights;
     }
 
     /// Drops all staged content, as a replaced engine has none.
-    pub fn forget(&self) {
+    pub fn clear_content(&self) {
         self.content.borrow_mut().clear();
     }
 
@@ -400,12 +400,14 @@
 fn events(request: &EngineRequest, weights: Digest, fault: Fault) -> Vec<String> {
     let tokens = tokens(weights, &request.prompt, request.max_tokens);
     let request_id = match fault {
-        Fault::Crossed => Digest::of(request.request_id.as_bytes()).to_string()[..32].to_owned(),
+        Fault::WrongRequestId => {
+            Digest::of(request.request_id.as_bytes()).to_string()[..32].to_owned()
+        }
         _ => request.request_id.clone(),
     };
     let mut events: Vec<String> = Vec::new();
     for (idx, text) in tokens.iter().enumerate() {
-        let mixed = fault == Fault::Mixed && idx == 2;
+        let mixed = fault == Fault::MixedVersions && idx == 2;
         let version = if mixed { "another" } else { &request.version };
         let token = EngineToken {
             request_id: request_id.clone(),
@@ -414,10 +416,10 @@
             text: text.clone(),
         };
         events.push(event("token", &token));
-        if idx == 1 && fault == Fault::Repeated {
+        if idx == 1 && fault == Fault::DuplicateToken {
             events.push(event("token", &token));
         }
-        if idx == 1 && fault == Fault::Cut {
+        if idx == 1 && fault == Fault::Truncated {
             return events;
         }
         if idx == 1 && fault == Fault::Stalled {
--- a/crates/gradeloft_standin/src/fleet.rs
+++ b/crates/gradeloft_standin/src/fleet.rs
@@ -51,7 +51,7 @@
 
 /// How many of what to start.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct FleetConfig {
     /// Entries.
     pub entries: usize,
     /// Engines, each with its agent.
@@ -70,9 +70,9 @@
     pub log: Logger,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig {
             entries: 2,
             engines: 4,
             services: 1,
@@ -116,13 +116,13 @@
     pub entries: Vec<Option<entry::Handle>>,
     /// The publisher's key.
     pub key: Key,
-    shape: Shape,
+    shape: FleetConfig,
     starts: u64,
 }
 
 impl Fleet {
     /// Starts the platform, the endpoints, and all agents and entries; no bundle is published.
-    pub async fn start(shape: Shape) -> std::io::Result<Fleet> {
+    pub async fn start(shape: FleetConfig) -> std::io::Result<Fleet> {
         let mut fleet = Fleet {
             log: Log::start().await?,
             list: List::start().await?,
@@ -359,17 +359,19 @@
         let bundle = self.bundle(1, None, version);
         let published = self.publish(&bundle).await;
         assert!(published.is_ok(), "the first bundle is refused");
-        self.until("every replica is ready", || {
-            self.serving(version) == self.engines.len()
+        self.wait_until("every replica is ready", || {
+            self.serving_count(version) == self.engines.len()
+        })
+        .await;
+        self.wait_until("every entry knows every replica", || {
+            self.is_routable(version)
         })
         .await;
-        self.until("every entry knows every replica", || self.known(version))
-            .await;
         bundle
     }
 
     /// How many agents tell that they serve a version.
-    pub fn serving(&self, version: &Version) -> usize {
+    pub fn serving_count(&self, version: &Version) -> usize {
         let agents = self.engines.iter().filter_map(|it| it.agent.as_ref());
         let serves = |it: &&agent::Handle| {
             let notice = it.node().notice.borrow().clone();
@@ -383,7 +385,7 @@
 
     /// Whether every live entry can give work to every live engine on a version, and to every live
     /// service.
-    pub fn known(&self, version: &Version) -> bool {
+    pub fn is_routable(&self, version: &Version) -> bool {
         let wanted = self.engines.iter().filter(|it| it.agent.is_some()).count();
         let services = self.services.iter().filter(|it| it.agent.is_some()).count();
         self.entries.iter().flatten().all(|entry| {
@@ -415,13 +417,13 @@
     }
 
     /// Waits for a condition; panics when it does not come true.
-    pub async fn until(&self, what: &str, condition: impl Fn() -> bool) {
-        until(what, condition).await;
+    pub async fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
+        wait_until(what, condition).await;
     }
 }
 
 /// Waits for a condition; panics when it does not come true.
-pub async fn until(what: &str, condition: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let give_up = tokio::time::Instant::now() + WAIT_BOUND;
     while !condition() {
         assert!(
--- a/crates/gradeloft_standin/src/link.rs
+++ b/crates/gradeloft_standin/src/link.rs
@@ -49,7 +49,7 @@
     /// One of so many slices gets a flipped byte; 0 for none.
     pub corrupt_every: AtomicU64,
     slices: AtomicU64,
-    crossed: AtomicU64,
+    bytes_sent: AtomicU64,
     /// Slices that got one.
     pub corrupted: AtomicU64,
 }
@@ -67,14 +67,14 @@
     }
 
     /// Waits until `bytes` have crossed from one address to another.
-    pub async fn carry(&self, from: IpAddr, to: IpAddr, bytes: usize) {
+    pub async fn transfer(&self, from: IpAddr, to: IpAddr, bytes: usize) {
         self.pass(from, Direction::Out, bytes).await;
         self.pass(to, Direction::In, bytes).await;
     }
 
     /// Bytes that have left any address so far.
-    pub fn crossed(&self) -> u64 {
-        self.crossed.load(Ordering::Relaxed)
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent.load(Ordering::Relaxed)
     }
 
     async fn pass(&self, address: IpAddr, direction: Direction, bytes: usize) {
@@ -98,7 +98,7 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn corrupts(&self) -> bool {
+    fn corrupts_next(&self) -> bool {
         let every = self.corrupt_every.load(Ordering::Relaxed);
         let slice = self.slices.fetch_add(1, Ordering::Relaxed);
         let corrupts = 0 < every && slice % every == every - 1;
@@ -199,7 +199,7 @@
     let leave = async move {
         let mut slice = vec![0; SLICE];
         while let Ok(count @ 1..) = from.read(&mut slice).await {
-            links.crossed.fetch_add(count as u64, Ordering::Relaxed);
+            links.bytes_sent.fetch_add(count as u64, Ordering::Relaxed);
             links.pass(from_address, Direction::Out, count).await;
             if send
                 .send(Bytes::copy_from_slice(&slice[..count]))
@@ -213,7 +213,7 @@
     let enter = async {
         while let Some(slice) = receive.recv().await {
             links.pass(to_address, Direction::In, slice.len()).await;
-            if to.write_all(&damaged(links, slice)).await.is_err() {
+            if to.write_all(&maybe_corrupt(links, slice)).await.is_err() {
                 return;
             }
         }
@@ -221,8 +221,8 @@
     tokio::join!(leave, enter);
 }
 
-fn damaged(links: &Links, slice: Bytes) -> Bytes {
-    if slice.len() < SLICE || !links.corrupts() {
+fn maybe_corrupt(links: &Links, slice: Bytes) -> Bytes {
+    if slice.len() < SLICE || !links.corrupts_next() {
         return slice;
     }
     let mut bytes = slice.to_vec();
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -82,7 +82,7 @@
     }
 
     /// Drops the records below an offset, as retention does.
-    pub fn retain_from(&self, stream: &str, oldest: u64) {
+    pub fn truncate_before(&self, stream: &str, oldest: u64) {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(stream.to_owned()).or_default();
         stream.records.retain(|it| oldest <= it.offset);
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -19,11 +19,11 @@
 #[derive(Default)]
 pub struct State {
     /// How often each call ran, by method, path and body.
-    pub ran: RefCell<HashMap<String, u64>>,
+    pub execution_counts: RefCell<HashMap<String, u64>>,
     /// So many next calls run, and their replies are lost.
     pub lose_replies: Cell<u32>,
     /// One of so many calls runs, and its reply is lost; 0 for none.
-    pub lose_one_in: Cell<u64>,
+    pub lose_reply_every: Cell<u64>,
     calls: Cell<u64>,
     /// Echoes a wrong request id while set.
     pub wrong_echo: Cell<bool>,
@@ -56,8 +56,12 @@
 
 impl State {
     /// How often a call ran.
-    pub fn count(&self, call: &str) -> u64 {
-        self.ran.borrow().get(call).copied().unwrap_or(0)
+    pub fn executions(&self, call: &str) -> u64 {
+        self.execution_counts
+            .borrow()
+            .get(call)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -75,10 +79,14 @@
     state.running.set(state.running.get() + 1);
     pause(state.delay_ms.get()).await;
     state.running.set(state.running.get() - 1);
-    *state.ran.borrow_mut().entry(call.clone()).or_default() += 1;
+    *state
+        .execution_counts
+        .borrow_mut()
+        .entry(call.clone())
+        .or_default() += 1;
     let calls = state.calls.get() + 1;
     state.calls.set(calls);
-    let every = state.lose_one_in.get();
+    let every = state.lose_reply_every.get();
     if 0 < every && calls.is_multiple_of(every) {
         return request.hangup.now().await;
     }
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -88,7 +88,7 @@
     /// Refuses every call while set.
     pub down: Cell<bool>,
     /// Answers 429 while set.
-    pub limited: Cell<bool>,
+    pub rate_limited: Cell<bool>,
     /// Every so-many-th answer is corrupted; 0 for none.
     pub corrupt_every: Cell<u64>,
     /// Answers so far.
@@ -160,7 +160,7 @@
     if state.down.get() {
         return refused(503, "it is down");
     }
-    if state.limited.get() {
+    if state.rate_limited.get() {
         return with_header(refused(429, "too many reads"), "retry-after", "0.2");
     }
     let segments = request.segments();
@@ -176,7 +176,7 @@
     state.carry(content.len() as u64).await;
     let links = state.links.borrow().clone();
     if let (Some((links, own)), Some(to)) = (links, request.from) {
-        links.carry(own, to, content.len()).await;
+        links.transfer(own, to, content.len()).await;
     }
     state
         .bytes_read
