--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -210,7 +210,7 @@
     }
 
     fn follow_partners(&mut self) {
-        let version = self.manifest.digest.short();
+        let version = self.manifest.digest.prefix_u64();
         let partners = partners::choose(
             self.agent.scheme,
             self.agent.own_hash,
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -137,7 +137,7 @@
     attempts: usize,
 ) -> Option<Bytes> {
     let nodes: Vec<u64> = members.iter().map(|it| it.node).collect();
-    let key = digest.short();
+    let key = digest.prefix_u64();
     let rank = rendezvous::rank(key, agent.own_hash, nodes.iter().copied());
     if rank == 0 || MANIFEST_OWNERS * 4 * rank < attempts {
         let store = agent
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -253,8 +253,12 @@
                 near: it.region == region,
             })
             .collect();
-        let mut partners =
-            partners::choose(Scheme::Owners, own, self.manifest.digest.short(), &others);
+        let mut partners = partners::choose(
+            Scheme::Owners,
+            own,
+            self.manifest.digest.prefix_u64(),
+            &others,
+        );
         let owners = self.owners_to_follow();
         let chosen: HashSet<u64> = partners.iter().map(|it| it.node).collect();
         let is_new_owner =
@@ -284,7 +288,7 @@
     fn is_far_fetcher(&self, chunk: Chunk, near: &[u64]) -> bool {
         let own = node_hash(self.agent.replica);
         let others = near.iter().copied().filter(|it| *it != own);
-        rendezvous::rank(chunk.digest.short(), own, others) == 0
+        rendezvous::rank(chunk.digest.prefix_u64(), own, others) == 0
     }
 
     /// Follows the partners that are not followed yet.
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -38,7 +38,7 @@
     version::{fetch::Fetch, readers, waves::SwitchProgress},
 };
 use gradeloft_wire::{
-    datagram::{Engine, Sender, StoreAccess},
+    datagram::{EngineStatus, Sender, StoreAccess},
     frame::Table,
     id::Digest,
 };
@@ -276,7 +276,7 @@
     /// Returns the agents among `nodes` that read a version from the origin.
     pub fn readers(&self, version: &Version, nodes: &[u64]) -> Vec<u64> {
         let connections = self.with_origin(|it| it.max_connections);
-        let key = fetch::version_digest(version).short();
+        let key = fetch::version_digest(version).prefix_u64();
         let connections = connections.unwrap_or(u32::MAX);
         readers::choose(key, nodes, connections, READER_CONNECTIONS)
     }
@@ -439,7 +439,7 @@
         let SocketAddr::V4(replica) = self.replica else {
             return;
         };
-        let engine = self.state.get().map(|it| Engine {
+        let engine = self.state.get().map(|it| EngineStatus {
             born: it.born,
             version: it.version,
             loading: self.closed() || it.busy,
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -7,7 +7,7 @@
 
 use gradeloft_policy::{clock::Time, rendezvous, version::waves::SwitchProgress};
 use gradeloft_wire::{
-    datagram::{Sender, StoreAccess, Switched},
+    datagram::{Sender, StoreAccess, SwitchedReplicas},
     frame::Table,
 };
 use rand::Rng;
@@ -39,9 +39,9 @@
     /// Returns whether to request records now from an entry whose copy of the operator's table ends
     /// at `end`: if this agent has no copy or does not know a version that the entry reports, or if
     /// the entry's copy is newer and a refresh is due.
-    fn needs_records(&self, switched: &[Switched], end: u64, now: Time) -> bool {
+    fn needs_records(&self, switched: &[SwitchedReplicas], end: u64, now: Time) -> bool {
         let target = self.target();
-        let newer = |it: &Switched| {
+        let newer = |it: &SwitchedReplicas| {
             target.as_ref().is_none_or(|own| {
                 rendezvous::hash(own.model.as_bytes()) == it.model && own.number < it.version
             })
@@ -57,7 +57,7 @@
         due
     }
 
-    fn update_progress(&self, models: &[Switched]) {
+    fn update_progress(&self, models: &[SwitchedReplicas]) {
         let mut switch_progress = self.switch_progress.borrow_mut();
         for model in models {
             let progress = SwitchProgress {
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -23,7 +23,8 @@
 };
 use gradeloft_wire::{
     datagram::{
-        self, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess, Switched,
+        self, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess,
+        SwitchedReplicas,
     },
     frame::Table,
 };
@@ -336,7 +337,7 @@
             };
             (age_ms < ENGINE_MAX_AGE_MS).then_some(EngineReport {
                 replica,
-                engine: datagram::Engine {
+                engine: datagram::EngineStatus {
                     born: report.born,
                     version: report.version,
                     loading: report.loading,
@@ -434,7 +435,7 @@
     }
 
     /// Counts for each model the replicas that serve its newest version.
-    fn switched(&self) -> Vec<Switched> {
+    fn switched(&self) -> Vec<SwitchedReplicas> {
         let now = self.node.clock.now();
         let config = self.config.borrow();
         let services = config.iter().flat_map(|it| &it.document.services);
@@ -446,7 +447,7 @@
                 let version = weights.get(model)?.newest();
                 let all = replicas.of(&service.name);
                 let done = all.filter(|(_, it)| it.serves(now) && it.version(now) == Some(version));
-                Some(Switched {
+                Some(SwitchedReplicas {
                     model: rendezvous::hash(model.as_bytes()),
                     version,
                     replicas: done.count().min(usize::from(u16::MAX)) as u16,
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -67,7 +67,7 @@
     version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
-    datagram::{Presence, Switched},
+    datagram::{Presence, SwitchedReplicas},
     frame::{Call, Table},
 };
 use slog::{info, warn};
@@ -158,7 +158,7 @@
     /// Replicas of this region whose reported state changed since the last message to other regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
     /// State sent to agents last: replicas that switched versions, and the end of the operator's table.
-    sent_to_agents: RefCell<(Vec<Switched>, u64)>,
+    sent_to_agents: RefCell<(Vec<SwitchedReplicas>, u64)>,
     /// Time of the first datagram from another entry.
     first_contact: Cell<Option<Time>>,
     /// Whether this entry brought operator records into its region that the other entries there may lack.
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -148,7 +148,7 @@
         let now = self.node.clock.now();
         let roster = self.roster.borrow();
         let others = roster.serving(|_| true, now).map(|it| roster::hash(&it));
-        rendezvous::rank(request.short(), own, others) == 0
+        rendezvous::rank(request.prefix_u64(), own, others) == 0
     }
 
     /// Returns whether a request is suspected of crashing replicas.
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -18,7 +18,8 @@
 };
 use gradeloft_wire::{
     datagram::{
-        Datagram, Engine, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess,
+        Datagram, EngineReport, EngineStatus, Loads, Member, Presence, RegionMessage, Sender,
+        StoreAccess,
     },
     frame::Table,
 };
@@ -187,7 +188,7 @@
     }
 
     /// Applies a report of an agent, and notes whether the replica closed or reopened.
-    fn receive_report(&self, address: SocketAddr, engine: Engine, now: Time) {
+    fn receive_report(&self, address: SocketAddr, engine: EngineStatus, now: Time) {
         let closing_state = |it: Option<Report>| it.map(|it| (it.loading, it.version));
         let before = closing_state(self.last_report(address));
         self.apply_report(address, report(engine, now));
@@ -235,7 +236,7 @@
     }
 }
 
-fn report(engine: Engine, at: Time) -> Report {
+fn report(engine: EngineStatus, at: Time) -> Report {
     Report {
         born: engine.born,
         version: engine.version,
--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -13,7 +13,7 @@
 use gradeloft_standin::tables::{StoreMode, Tables};
 use gradeloft_wire::{
     codec,
-    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, Switched},
+    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, SwitchedReplicas},
     frame::Table,
 };
 use tokio::net::{TcpListener, UdpSocket};
@@ -299,7 +299,7 @@
                     wants_state: false,
                     loads: Loads::default(),
                     entries: Vec::new(),
-                    switched: vec![Switched {
+                    switched: vec![SwitchedReplicas {
                         model: rendezvous::hash(b"w"),
                         version,
                         replicas: switched.count() as u16,
--- a/crates/gradeloft_http/src/message.rs
+++ b/crates/gradeloft_http/src/message.rs
@@ -23,11 +23,11 @@
 
 /// Ends a connection without an answer.
 #[derive(Clone, Debug, Default)]
-pub struct Hangup(pub(crate) Rc<Notify>);
+pub struct Connection(pub(crate) Rc<Notify>);
 
-impl Hangup {
+impl Connection {
     /// Ends it; what the handler would have answered is never sent, so this never returns.
-    pub async fn now(&self) -> HttpResponse {
+    pub async fn abort(&self) -> HttpResponse {
         self.0.notify_one();
         std::future::pending().await
     }
@@ -49,7 +49,7 @@
     /// Who connected.
     pub peer: Option<IpAddr>,
     /// The connection that it came on.
-    pub hangup: Hangup,
+    pub connection: Connection,
     /// Whether the headers are within the limit.
     pub head_fits: bool,
 }
--- a/crates/gradeloft_http/src/server.rs
+++ b/crates/gradeloft_http/src/server.rs
@@ -13,7 +13,7 @@
     task::JoinHandle,
 };
 
-use crate::message::{BodyError, Hangup, HttpResponse, Request, text};
+use crate::message::{BodyError, Connection, HttpResponse, Request, text};
 
 /// Answers requests.
 pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, HttpResponse>>;
@@ -117,21 +117,21 @@
 }
 
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
-    let hangup = Hangup::default();
+    let connection = Connection::default();
     let mut ended = shared.ended.subscribe();
     tokio::select! {
-        () = exchange(stream, &shared, &hangup) => {}
-        () = hangup.0.notified() => {}
+        () = exchange(stream, &shared, &connection) => {}
+        () = connection.0.notified() => {}
         _ = ended.wait_for(|it| *it) => {}
     }
     shared.open.set(shared.open.get() - 1);
     shared.freed.notify_one();
 }
 
-async fn exchange(stream: TcpStream, shared: &Rc<Shared>, hangup: &Hangup) {
+async fn exchange(stream: TcpStream, shared: &Rc<Shared>, connection: &Connection) {
     let idle = shared.limits.idle;
     let handling = Rc::clone(shared);
-    let hangup = hangup.clone();
+    let connection = connection.clone();
     let service = HttpService::build()
         .keep_alive(KeepAlive::Timeout(idle))
         .client_request_timeout(idle)
@@ -139,8 +139,8 @@
         .h1_allow_half_closed(false)
         .h1(fn_service(move |request| {
             let shared = Rc::clone(&handling);
-            let hangup = hangup.clone();
-            async move { Ok::<HttpResponse, Infallible>(handle(request, shared, hangup).await) }
+            let connection = connection.clone();
+            async move { Ok::<HttpResponse, Infallible>(handle(request, shared, connection).await) }
         }))
         .tcp();
     if let Ok(service) = service.new_service(()).await {
@@ -148,8 +148,12 @@
     }
 }
 
-async fn handle(request: actix_http::Request, shared: Rc<Shared>, hangup: Hangup) -> HttpResponse {
-    let request = read(request, shared.limits, hangup).await;
+async fn handle(
+    request: actix_http::Request,
+    shared: Rc<Shared>,
+    connection: Connection,
+) -> HttpResponse {
+    let request = read(request, shared.limits, connection).await;
     let mut answer = if request.head_fits {
         (shared.handler)(request).await
     } else {
@@ -161,7 +165,7 @@
     answer
 }
 
-async fn read(mut request: actix_http::Request, limits: Limits, hangup: Hangup) -> Request {
+async fn read(mut request: actix_http::Request, limits: Limits, connection: Connection) -> Request {
     let body = body(request.take_payload(), limits.body_bytes).await;
     let headers = request.headers().clone();
     let head_bytes: usize = headers
@@ -176,7 +180,7 @@
         headers,
         body,
         peer: request.peer_addr().map(|it| it.ip()),
-        hangup,
+        connection,
         head_fits: head_bytes + uri.path().len() <= limits.header_bytes,
     }
 }
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -146,7 +146,7 @@
         let keys: Vec<u64> = self
             .items
             .iter()
-            .map(|it| it.chunk.digest.short())
+            .map(|it| it.chunk.digest.prefix_u64())
             .collect();
         let firsts = owners::assign(&keys, &owners);
         for ((item, key), first) in self.items.iter_mut().zip(keys).zip(firsts) {
@@ -390,7 +390,7 @@
         if now < item.waiting_since.after_ms(wait) {
             return None;
         }
-        let key = item.chunk.digest.short();
+        let key = item.chunk.digest.prefix_u64();
         let better = self
             .members
             .iter()
--- a/crates/gradeloft_policy/tests/fetch.rs
+++ b/crates/gradeloft_policy/tests/fetch.rs
@@ -57,7 +57,7 @@
 /// Returns the position of a chunk for which `OWN` ranks right after the owner.
 fn chunk_of_rank_one(manifest: &Manifest, members: &[u64]) -> usize {
     let others = || members.iter().copied().filter(|it| *it != OWN);
-    let rank = |it: &Chunk| rendezvous::rank(it.digest.short(), OWN, others());
+    let rank = |it: &Chunk| rendezvous::rank(it.digest.prefix_u64(), OWN, others());
     manifest
         .chunks
         .iter()
--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -190,7 +190,7 @@
     /// When the prompt has been taken in, and whether its prefix was cached.
     fn prefill(&self, prompt: &str) -> Instant {
         let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
-        let prefix = Digest::of(prefix).short();
+        let prefix = Digest::of(prefix).prefix_u64();
         let mut cache = self.cache.borrow_mut();
         let found = cache.iter().position(|it| *it == prefix);
         let cost = match found {
@@ -311,7 +311,7 @@
     let res = obey(state, &order);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     res
 }
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -149,7 +149,7 @@
     state.appends.set(state.appends.get() + 1);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     json(200, &Appended { first_offset })
 }
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -80,11 +80,11 @@
     state.calls.set(calls);
     let every = state.lose_one_in.get();
     if 0 < every && calls.is_multiple_of(every) {
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     let echo = if state.wrong_echo.get() {
         "0".repeat(32)
--- a/crates/gradeloft_wire/src/datagram.rs
+++ b/crates/gradeloft_wire/src/datagram.rs
@@ -37,7 +37,7 @@
         /// Where the replica listens.
         replica: SocketAddrV4,
         /// What the replica says of itself; `None` while it does not answer.
-        engine: Option<Engine>,
+        engine: Option<EngineStatus>,
     },
     /// A process that callers talk to.
     Entry {
@@ -52,7 +52,7 @@
         /// Other entries that it knows of.
         entries: Vec<Ipv4Addr>,
         /// Replicas that take requests with the newest version named, by model.
-        switched: Vec<Switched>,
+        switched: Vec<SwitchedReplicas>,
     },
     /// An entry that speaks for all entries of its region. The rest of the datagram is of this entry.
     Region {
@@ -101,7 +101,7 @@
     /// Where the replica listens.
     pub replica: SocketAddrV4,
     /// What it says of itself.
-    pub engine: Engine,
+    pub engine: EngineStatus,
     /// How long ago, in milliseconds.
     pub age_ms: u16,
 }
@@ -132,7 +132,7 @@
 
 /// Replicas that changed over to a version.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Switched {
+pub struct SwitchedReplicas {
     /// Hash of the model's name.
     pub model: u64,
     /// Version.
@@ -165,7 +165,7 @@
 
 /// What a replica says of itself to its agent.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Engine {
+pub struct EngineStatus {
     /// Unix millisecond of the replica's start, where it says so.
     pub born: Option<u64>,
     /// Version of the weights that it holds in full; `None` without them.
--- a/crates/gradeloft_wire/src/id.rs
+++ b/crates/gradeloft_wire/src/id.rs
@@ -32,7 +32,7 @@
     }
 
     /// First eight bytes as a number, for hashing and for seeds.
-    pub fn short(self) -> u64 {
+    pub fn prefix_u64(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
     }
@@ -91,7 +91,7 @@
     }
 
     /// First eight bytes as a number, for hashing.
-    pub fn short(self) -> u64 {
+    pub fn prefix_u64(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
     }
