--- a/crates/gradeloft_cli/tests/cli.rs
+++ b/crates/gradeloft_cli/tests/cli.rs
@@ -9,7 +9,7 @@
 
 use gradeloft_policy::version::bundle::canonical;
 use gradeloft_standin::{
-    fleet::{Fleet, MODEL, SIGNER, Shape, digest},
+    fleet::{Fleet, FleetConfig, MODEL, SIGNER, digest},
     weights::Version,
 };
 use gradeloft_wire::{border::bundle::Bundle, schema::Schema};
@@ -158,13 +158,13 @@
 #[actix_rt::test]
 async fn bundles_are_published_refused_and_listed_in_the_history() {
     let folder = create_folder("day");
-    let shape = Shape {
+    let config = FleetConfig {
         entries: 1,
         engines: 2,
         services: 1,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
-    let fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let fleet = Fleet::start(config).await.expect("the fleet starts");
     let env = [
         ("GRADELOFT_LOG", fleet.log.url()),
         ("GRADELOFT_LIST", fleet.list.url()),
@@ -197,7 +197,9 @@
     let mut text = run_with_fleet(&folder, &env, &["bundle", "status"]).await;
     text += &run_with_fleet(&folder, &env, &["bundle", "publish", "first.yaml"]).await;
     text += &run_with_fleet(&folder, &env, &publish("first.yaml")).await;
-    fleet.until("v1 is everywhere", || fleet.known(&v1)).await;
+    fleet
+        .wait_until("v1 is everywhere", || fleet.is_routable(&v1))
+        .await;
     text += &run_with_fleet(&folder, &env, &["fleet", "status"]).await;
     let sign = [
         vec!["bundle", "sign", "second.yaml", "--out", "second.signed"],
@@ -220,13 +222,13 @@
 #[actix_rt::test]
 async fn publishing_names_the_nodes_that_lag_at_the_timeout() {
     let folder = create_folder("lag");
-    let shape = Shape {
+    let config = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let mut fleet = Fleet::start(config).await.expect("the fleet starts");
     let env = [
         ("GRADELOFT_LOG", fleet.log.url()),
         ("GRADELOFT_LIST", fleet.list.url()),
@@ -257,13 +259,13 @@
 #[actix_rt::test]
 async fn a_status_from_another_instance_at_a_nodes_address_is_ignored() {
     let folder = create_folder("moved");
-    let shape = Shape {
+    let config = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
-    let fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let fleet = Fleet::start(config).await.expect("the fleet starts");
     let env = [
         ("GRADELOFT_LOG", fleet.log.url()),
         ("GRADELOFT_LIST", fleet.list.url()),
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -82,7 +82,7 @@
     }
 
     /// Drops the records below an offset, as retention does.
-    pub fn retain_from(&self, stream: &str, oldest: u64) {
+    pub fn truncate_before(&self, stream: &str, oldest: u64) {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(stream.to_owned()).or_default();
         stream.records.retain(|it| oldest <= it.offset);
@@ -149,7 +149,7 @@
     state.appends.set(state.appends.get() + 1);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     json(200, &Appended { first_offset })
 }
