--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -129,7 +129,9 @@
     pub upload_pacer: RefCell<Pacer>,
     /// Number of current uploads to peers.
     pub uploads: Cell<usize>,
+    /// State of the replica at the last poll; `None` if it did not answer.
     state: Cell<Option<State>>,
+    /// Whether the replica is being ordered to load a version, or is loading it.
     loading: Cell<bool>,
     /// Progress of the switch to a new version by hash of the model, as last reported by an entry.
     switch_progress: RefCell<HashMap<u64, SwitchProgress>>,
@@ -287,7 +289,7 @@
         services.find(|it| it.origin.is_some()).map(get)
     }
 
-    /// Returns the replica's state as of its last answer, or `None` if the last poll failed.
+    /// Returns the state of the replica at the last poll; `None` if it did not answer.
     pub fn state(&self) -> Option<State> {
         self.state.get()
     }
--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -19,18 +19,18 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use support::{
-    CHUNKS, FakeEngine, FakeOrigin, TEST_TIMEOUT, World, address, chunk_content, run, start_agent,
-    start_agent_with,
+    CHUNKS, FakeEngine, FakeOrigin, Harness, TEST_TIMEOUT, address, chunk_content, run,
+    start_agent, start_agent_with,
 };
 
 #[test]
 fn empty_replicas_get_weights_with_little_more_than_one_copy_per_version_from_origin() {
     run(async {
-        let world = World::start(5, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        world.name_version(2);
-        world.wait_for_version(2).await;
-        let copies = world.origin.chunk_requests.get() as f64 / f64::from(CHUNKS);
+        let harness = Harness::start(5, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        harness.name_version(2);
+        harness.wait_for_version(2).await;
+        let copies = harness.origin.chunk_requests.get() as f64 / f64::from(CHUNKS);
         // Each of the two versions is read once, plus chunks read by agents that did not know of
         // each other in time.
         assert!(
@@ -43,9 +43,9 @@
 #[test]
 fn concurrent_origin_reads_respect_connection_limit() {
     run(async {
-        let world = World::start(8, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        let max_reads = world.origin.max_concurrent_reads.get();
+        let harness = Harness::start(8, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        let max_reads = harness.origin.max_concurrent_reads.get();
         // The limit allows two readers, here with two chunks each.
         assert!(max_reads <= 4, "{max_reads} chunks at once");
     });
@@ -55,47 +55,52 @@
 fn chunks_that_become_corrupt_after_staging_are_not_loaded() {
     run(async {
         let prepare = |_: &FakeOrigin, engines: &[Rc<FakeEngine>]| engines[1].corrupt_next.set(4);
-        let world = World::start(3, prepare).await;
-        world.wait_for_version(1).await;
+        let harness = Harness::start(3, prepare).await;
+        harness.wait_for_version(1).await;
     });
 }
 
 #[test]
 fn version_superseded_while_a_staged_chunk_is_corrupt_is_still_loaded() {
     run(async {
-        let world = World::start(3, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        world.engines[1].corrupt_next.set(2);
-        world.name_version(2);
+        let harness = Harness::start(3, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        harness.engines[1].corrupt_next.set(2);
+        harness.name_version(2);
         let staged = |engine: &FakeEngine| {
             let staged = engine.staged.borrow();
             (0..CHUNKS).all(|it| staged.get(&it) != Some(&chunk_content(1, it)))
         };
-        world.wait_for_all(staged).await;
-        world.origin.down.set(true);
-        world.name_version(3);
+        harness.wait_for_all(staged).await;
+        harness.origin.down.set(true);
+        harness.name_version(3);
         let ordered = |engine: &FakeEngine| engine.orders.borrow().iter().any(|it| it.0 == 2);
-        world.wait_for_all(ordered).await;
-        assert!(world.engines.iter().all(|it| !it.loaded_corrupt.get()));
+        harness.wait_for_all(ordered).await;
+        assert!(harness.engines.iter().all(|it| !it.loaded_corrupt.get()));
     });
 }
 
 #[test]
 fn corrupt_chunks_from_origin_are_read_again() {
     run(async {
-        let world = World::start(2, |origin, _| origin.corrupt_next.set(3)).await;
-        world.wait_for_version(1).await;
+        let harness = Harness::start(2, |origin, _| origin.corrupt_next.set(3)).await;
+        harness.wait_for_version(1).await;
     });
 }
 
 #[test]
 fn agents_read_from_origin_once_it_is_reachable_again() {
     run(async {
-        let world = World::start(3, |origin, _| origin.down.set(true)).await;
+        let harness = Harness::start(3, |origin, _| origin.down.set(true)).await;
         actix_rt::time::sleep(Duration::from_millis(300)).await;
-        assert!(world.engines.iter().all(|it| it.orders.borrow().is_empty()));
-        world.origin.down.set(false);
-        world.wait_for_version(1).await;
+        assert!(
+            harness
+                .engines
+                .iter()
+                .all(|it| it.orders.borrow().is_empty())
+        );
+        harness.origin.down.set(false);
+        harness.wait_for_version(1).await;
     });
 }
 
@@ -180,29 +185,29 @@
             engines[0].version.set(Some(1));
             engines[0].slow_reads.set(true);
         };
-        let world = World::start(1, prepare).await;
+        let harness = Harness::start(1, prepare).await;
         // Wait until the agent requests the manifest to recover the staged chunks.
-        while world.origin.manifest_requests.get() == 0 {
+        while harness.origin.manifest_requests.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.name_version(2);
-        while world.origin.manifest_requests.get() < 2 {
+        harness.name_version(2);
+        while harness.origin.manifest_requests.get() < 2 {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
         let staged_version = || {
-            let staged_chunks = world.agents[0].agent().staged_chunks.borrow();
+            let staged_chunks = harness.agents[0].agent().staged_chunks.borrow();
             staged_chunks.version.as_ref().map(|it| it.number)
         };
         while staged_version() != Some(2) {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.origin.withheld_manifest.set(None);
-        let engine = &world.engines[0];
+        harness.origin.withheld_manifest.set(None);
+        let engine = &harness.engines[0];
         while engine.version.get() != Some(2) {
             assert_eq!(staged_version(), Some(2));
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
-        world.wait_for_version(2).await;
+        harness.wait_for_version(2).await;
         let staged = engine.staged.borrow();
         assert!((0..CHUNKS).all(|it| staged.get(&it) == Some(&chunk_content(2, it))));
     });
@@ -215,11 +220,11 @@
 #[test]
 fn superseded_version_that_is_finished_is_loaded_with_every_chunk() {
     run(async {
-        let world = World::start(1, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        let engine = &world.engines[0];
+        let harness = Harness::start(1, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        let engine = &harness.engines[0];
         engine.refused_chunk.set(Some(5));
-        world.name_version(2);
+        harness.name_version(2);
         let others_staged = || {
             let staged = engine.staged.borrow();
             let second_version =
@@ -229,8 +234,8 @@
         while !others_staged() || engine.refusals.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        world.name_version(3);
-        while world.agents[0].agent().target().unwrap().number != 3 {
+        harness.name_version(3);
+        while harness.agents[0].agent().target().unwrap().number != 3 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let before = engine.refusals.get();
@@ -239,7 +244,7 @@
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         engine.refused_chunk.set(None);
-        world.wait_for_version(3).await;
+        harness.wait_for_version(3).await;
         assert!(!engine.loaded_corrupt.get());
     });
 }
@@ -247,20 +252,20 @@
 #[test]
 fn replica_stays_closed_after_loading_a_superseded_version() {
     run(async {
-        let world = World::start(1, |_, _| {}).await;
+        let harness = Harness::start(1, |_, _| {}).await;
         let reports = Rc::new(RefCell::new(Vec::new()));
         // The entry has no access to the store, so the agent reads the store itself.
         fake_entry(9, 1, Access::Unserved, Rc::clone(&reports)).await;
-        world.wait_for_version(1).await;
-        let engine = &world.engines[0];
+        harness.wait_for_version(1).await;
+        let engine = &harness.engines[0];
         engine.hold_loads.set(true);
-        world.name_version(2);
+        harness.name_version(2);
         let ordered = |version| engine.orders.borrow().iter().any(|it| it.0 == version);
         while !ordered(2) {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        world.name_version(3);
-        let target = || world.agents[0].agent().target().unwrap().number;
+        harness.name_version(3);
+        let target = || harness.agents[0].agent().target().unwrap().number;
         while target() != 3 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
@@ -276,7 +281,7 @@
         };
         assert!(!reports.borrow().iter().any(open), "{:?}", reports.borrow());
         engine.finish_load();
-        world.wait_for_version(3).await;
+        harness.wait_for_version(3).await;
     });
 }
 
@@ -322,9 +327,9 @@
 #[test]
 fn wave_starts_as_soon_as_entries_report_that_earlier_waves_serve() {
     run(async {
-        let world = World::start(8, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        for agent in &world.agents {
+        let harness = Harness::start(8, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        for agent in &harness.agents {
             let node = &agent.agent().node;
             let before = node.settings();
             // Long enough that no wave starts because its fixed time has passed.
@@ -333,22 +338,22 @@
                 ..(*before).clone()
             });
         }
-        send_progress(9, 2, world.engines.clone()).await;
-        world.name_version(2);
-        world.wait_for_version(2).await;
+        send_progress(9, 2, harness.engines.clone()).await;
+        harness.name_version(2);
+        harness.wait_for_version(2).await;
     });
 }
 
 #[test]
 fn version_numbers_only_increase_and_each_order_has_its_fence() {
     run(async {
-        let world = World::start(2, |_, _| {}).await;
+        let harness = Harness::start(2, |_, _| {}).await;
         // Both agents follow the table from here on, so both read the two records in order.
-        world.wait_for_version(1).await;
-        world.name_version(3);
-        world.name_version(2);
-        world.wait_for_version(3).await;
-        for engine in &world.engines {
+        harness.wait_for_version(1).await;
+        harness.name_version(3);
+        harness.name_version(2);
+        harness.wait_for_version(3).await;
+        for engine in &harness.engines {
             let orders = engine.orders.borrow();
             assert!(orders.is_sorted(), "{orders:?}");
             assert!(orders.iter().all(|(version, fence)| version == fence));
@@ -362,21 +367,21 @@
 #[test]
 fn version_that_crashes_its_replica_is_retried_with_backoff() {
     run(async {
-        let world = World::start(1, |_, engines| engines[0].born.set(Some(1_000))).await;
-        world.wait_for_version(1).await;
-        let engine = &world.engines[0];
+        let harness = Harness::start(1, |_, engines| engines[0].born.set(Some(1_000))).await;
+        harness.wait_for_version(1).await;
+        let engine = &harness.engines[0];
         engine.fatal_version.set(Some(2));
-        world.name_version(2);
+        harness.name_version(2);
         let orders = || {
             let orders = engine.orders.borrow();
             orders.iter().filter(|it| it.0 == 2).count()
         };
-        world.wait_for_all(|_| orders() == 3).await;
+        harness.wait_for_all(|_| orders() == 3).await;
         // Enough time for several further orders, but less than the backoff.
         actix_rt::time::sleep(Duration::from_secs(2)).await;
         assert_eq!(orders(), 3);
-        world.name_version(3);
-        world.wait_for_version(3).await;
+        harness.name_version(3);
+        harness.wait_for_version(3).await;
         assert_eq!(orders(), 3, "a newer version must end the retries");
     });
 }
@@ -386,8 +391,8 @@
     run(async {
         // An entry of another region reports newer records, and answers no calls.
         fake_entry(9, 1, Access::Served, Rc::default()).await;
-        let world = World::start(1, |_, _| {}).await;
-        world.wait_for_version(1).await;
+        let harness = Harness::start(1, |_, _| {}).await;
+        harness.wait_for_version(1).await;
     });
 }
 
@@ -417,15 +422,15 @@
     run(async {
         let received = Rc::default();
         fake_entry(30, 1, Access::Unserved, Rc::clone(&received)).await;
-        let world = World::start(1, |_, _| {}).await;
-        world.wait_for_version(1).await;
+        let harness = Harness::start(1, |_, _| {}).await;
+        harness.wait_for_version(1).await;
         let reports = || received.borrow().len();
         while reports() < 2 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let before = reports();
-        let newcomers = 20;
-        for last in 40..40 + newcomers {
+        let new_entries = 20;
+        for last in 40..40 + new_entries {
             let socket = UdpSocket::bind((address(last), 7700)).await.unwrap();
             let datagram = entry_datagram(Access::Unserved);
             socket.send_to(&datagram, (address(1), 7700)).await.unwrap();
@@ -435,7 +440,7 @@
             assert!(matches!(report.sender, Sender::Agent { .. }));
         }
         let further = reports() - before;
-        assert!(further < usize::from(newcomers) / 2, "{further} reports");
+        assert!(further < usize::from(new_entries) / 2, "{further} reports");
     });
 }
 
@@ -469,38 +474,38 @@
 #[test]
 fn existing_copy_of_replicas_is_used_if_no_entry_sends_a_newer_one() {
     run(async {
-        let world = World::start(3, |_, _| {}).await;
-        world.wait_for_version(1).await;
+        let harness = Harness::start(3, |_, _| {}).await;
+        harness.wait_for_version(1).await;
         for (agent, last) in (1..=3).zip(30..) {
             fake_entry(last, agent, Access::Unserved, Rc::default()).await;
         }
-        for agent in &world.agents {
+        for agent in &harness.agents {
             while agent.agent().entries().is_empty() {
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        let before = world.tables.snapshots(Table::Replicas);
-        world.name_version(2);
-        world.wait_for_version(2).await;
-        assert_eq!(world.tables.snapshots(Table::Replicas), before);
+        let before = harness.tables.snapshots(Table::Replicas);
+        harness.name_version(2);
+        harness.wait_for_version(2).await;
+        assert_eq!(harness.tables.snapshots(Table::Replicas), before);
     });
 }
 
 #[test]
 fn version_read_late_counts_as_named_before_the_store_outage() {
     run(async {
-        let world = World::start(1, |_, _| {}).await;
-        world.wait_for_version(1).await;
-        let agent = world.agents[0].agent();
-        world.tables.mood.set(Mood::Refusing);
-        world.tables.cut();
+        let harness = Harness::start(1, |_, _| {}).await;
+        harness.wait_for_version(1).await;
+        let agent = harness.agents[0].agent();
+        harness.tables.mood.set(Mood::Refusing);
+        harness.tables.cut();
         while agent.node.access() == Access::Served {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let outage_start = agent.node.clock.now();
-        world.name_version(2);
-        world.tables.mood.set(Mood::Well);
-        world.wait_for_version(2).await;
+        harness.name_version(2);
+        harness.tables.mood.set(Mood::Well);
+        harness.wait_for_version(2).await;
         let named = agent.named_at(&agent.target().unwrap());
         assert!(
             named <= outage_start,
--- a/crates/gradeloft_gateway/tests/agents/support.rs
+++ b/crates/gradeloft_gateway/tests/agents/support.rs
@@ -326,19 +326,19 @@
     not_executed: "j",
 };
 
-pub(crate) struct World {
+pub(crate) struct Harness {
     pub(crate) tables: Rc<Tables>,
     pub(crate) origin: Rc<FakeOrigin>,
     pub(crate) engines: Vec<Rc<FakeEngine>>,
     pub(crate) agents: Vec<Handle>,
 }
 
-impl World {
+impl Harness {
     /// Starts agents of `count` empty replicas, all of which are in the table of replicas.
     pub(crate) async fn start(
         count: u8,
         prepare: impl Fn(&FakeOrigin, &[Rc<FakeEngine>]),
-    ) -> World {
+    ) -> Harness {
         let tables = Rc::new(Tables::default());
         let origin = Rc::new(FakeOrigin::default());
         let engines: Vec<Rc<FakeEngine>> = (0..count).map(|_| Rc::default()).collect();
@@ -351,7 +351,7 @@
         for (engine, last) in engines.iter().zip(1..) {
             agents.push(start_agent(last, &tables, &origin, engine).await);
         }
-        World {
+        Harness {
             tables,
             origin,
             engines,
