--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -15,7 +15,7 @@
     },
     record::{CONFIG, Record},
 };
-use support::{CHUNKS, fleet, generated, shape, version};
+use support::{CHUNKS, describe_generate, fleet, shape, version};
 
 fn expected_response(version: &Version) -> String {
     let name = &version.version;
@@ -25,7 +25,7 @@
 async fn assert_generates(fleet: &Fleet, version: &Version) {
     let answer = fleet.caller().generate(fleet.entry(0), MODEL, "p", 2).await;
     assert_eq!(
-        generated(&answer, version, "p", 2),
+        describe_generate(&answer, version, "p", 2),
         expected_response(version)
     );
 }
@@ -204,7 +204,7 @@
     };
     let (answer, ()) = futures_util::future::join(running, switch).await;
     let expected = "200 the version's own text, end of 50 tokens by bulletin/v1, no error";
-    assert_eq!(generated(&answer, &v1, "p", 50), expected);
+    assert_eq!(describe_generate(&answer, &v1, "p", 50), expected);
     assert_eq!(engine.serves(), ["bulletin/v2"]);
 }
 
--- a/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
+++ b/crates/gradeloft_gateway/tests/entry/lagging_entry.rs
@@ -1,13 +1,13 @@
 //! Entries whose copy of the operator's table lags behind their peers.
 //!
 //! Guards against serving requests by a replaced configuration. A large configuration takes four to
-//! six seconds to reach the entries of some regions. Datagrams of peers announce it to these entries
-//! at once, but without a check of the lag they keep routing by the previous one, answer 404 and 401
-//! for new routes and keys, report that they are ready and stay listed in lookups.
+//! six seconds to reach the entries of some regions. Datagrams of peers announce it to these
+//! entries at once, but without a check of the lag they keep routing by the previous one, answer
+//! 404 and 401 for new routes and keys, report that they are ready and stay listed in lookups.
 //!
-//! Evidence: an entry in a region far from the store responded by the older configuration 5.1 s after
-//! the newer one was confirmed, while other entries responded by the newer one, and no response
-//! depended on how long the entry had been aware of its lag.
+//! Evidence: an entry in a region far from the store responded by the older configuration 5.1 s
+//! after the newer one was confirmed, while other entries responded by the newer one, and no
+//! response depended on how long the entry had been aware of its lag.
 
 use std::{cell::Cell, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -15,7 +15,7 @@
 use gradeloft_standin::scripted::Step;
 use gradeloft_wire::{
     codec,
-    datagram::{Access, Datagram, Loads, Presence, Sender},
+    datagram::{Datagram, Loads, Presence, Sender, StoreAccess},
     frame::Table,
 };
 use tokio::net::UdpSocket;
@@ -48,14 +48,14 @@
                 sender: Sender::Entry {
                     presence: Presence::Ready,
                     // Leaves reading the store to the entry, which catches up that way.
-                    store: Access::Unserved,
-                    asks: false,
+                    store: StoreAccess::Unserved,
+                    wants_state: false,
                     loads: Loads::default(),
                     entries: Vec::new(),
                     switched: Vec::new(),
                 },
             };
-            let bytes = codec::body(&datagram);
+            let bytes = codec::encode_body(&datagram);
             // Fails while the entry isn't running.
             let _ = socket.send_to(&bytes, (address(1), 7700)).await;
             actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -87,8 +87,8 @@
     wait_until(|| async { harness.entry.entry().config_version() == 2 }).await;
 }
 
-/// Sends a request that allows keep-alive and returns the response. Ends only if the entry closes the
-/// connection.
+/// Sends a request that allows keep-alive and returns the response. Ends only if the entry closes
+/// the connection.
 async fn send_keep_alive(harness: &Harness, request: &str) -> String {
     harness
         .send(&request.replace("Connection: close\r\n", ""))
--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -9,7 +9,7 @@
     scripted::Step,
     tables::{Mood, Tables},
 };
-use gradeloft_wire::{datagram::Access, frame::Table};
+use gradeloft_wire::{datagram::StoreAccess, frame::Table};
 use tokio::net::TcpListener;
 
 fn ok_script(body: &str) -> Vec<Vec<Step>> {
@@ -106,7 +106,7 @@
         let entry = harness.entry.entry();
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { entry.node.access() == Access::Unserved }).await;
+        wait_until(|| async { entry.node.access() == StoreAccess::Unserved }).await;
         harness.tables.write(Table::Operator, "config", Some("7"));
         harness.tables.write(Table::Operator, "config", Some("8"));
         harness.tables.compact(Table::Operator);
@@ -115,12 +115,12 @@
     });
 }
 
-/// Guards against responses by a configuration that was replaced five seconds before. All entries that
-/// read the operator's table wait in a long poll from the same offset; their connections go silent
-/// without a reset, while new connections work; then a configuration is confirmed. Cause: a poll
-/// lasts four seconds, and on a silent connection it looks like a poll without news until it is
-/// overdue. Evidence: when all connections went silent right before a change, all entries applied it
-/// together, 1.5 to 2.3 s late, although the store worked; usually that takes 0.05 s.
+/// Guards against responses by a configuration that was replaced five seconds before. All entries
+/// that read the operator's table wait in a long poll from the same offset; their connections go
+/// silent without a reset, while new connections work; then a configuration is confirmed. Cause: a
+/// poll lasts four seconds, and on a silent connection it looks like a poll without news until it
+/// is overdue. Evidence: when all connections went silent right before a change, all entries
+/// applied it together, 1.5 to 2.3 s late, although the store worked; usually that takes 0.05 s.
 #[test]
 fn a_configuration_applies_within_two_seconds_although_pending_polls_are_silent() {
     run(async {
@@ -153,7 +153,7 @@
         assert!(!node.after_interruption(table));
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { node.access() == Access::Unserved }).await;
+        wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let confirmed_before = node.confirmed_until(table);
         let outage_start = node.clock.now();
         harness.tables.write(table, "config", Some("7"));
@@ -213,11 +213,11 @@
     records.into_iter().find(|it| it.key == "weights/m")
 }
 
-/// Guards against requests that start on older weights more than eight seconds after a newer version
-/// was confirmed. An entry's reads of the store fail; a version is published; the store recovers and
-/// the entry reads it. Cause: the version's age counted from that read, as if the record had just been
-/// written. Evidence: the age counted from after the outage, although the entry's copy was last
-/// confirmed before it.
+/// Guards against requests that start on older weights more than eight seconds after a newer
+/// version was confirmed. An entry's reads of the store fail; a version is published; the store
+/// recovers and the entry reads it. Cause: the version's age counted from that read, as if the
+/// record had just been written. Evidence: the age counted from after the outage, although the
+/// entry's copy was last confirmed before it.
 #[test]
 fn a_version_read_after_an_outage_ages_from_before_the_outage() {
     run(async {
@@ -225,7 +225,7 @@
         let node = &harness.entry.entry().node;
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { node.access() == Access::Unserved }).await;
+        wait_until(|| async { node.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
@@ -255,7 +255,7 @@
         let first = &harness.entry.entry().node;
         harness.tables.mood.set(Mood::Refusing);
         harness.tables.cut();
-        wait_until(|| async { first.access() == Access::Unserved }).await;
+        wait_until(|| async { first.access() == StoreAccess::Unserved }).await;
         let outage_start = node.clock.now();
         harness
             .tables
@@ -297,8 +297,8 @@
 
 /// Guards against a new entry that sends requests to replicas with weights that were replaced long
 /// before. The entry read the configuration and a later version record in one response, and the
-/// version, which may have been mandatory before the process started, counted as just published with
-/// its full grace. With the configuration written after the version, it counted as mandatory.
+/// version, which may have been mandatory before the process started, counted as just published
+/// with its full grace. With the configuration written after the version, it counted as mandatory.
 #[test]
 fn a_version_published_before_the_start_is_mandatory() {
     run(async {
