--- a/crates/gradeloft_gateway/tests/agents/main.rs
+++ b/crates/gradeloft_gateway/tests/agents/main.rs
@@ -10,10 +10,10 @@
 
 use gradeloft_gateway::settings::Settings;
 use gradeloft_policy::rendezvous;
-use gradeloft_standin::tables::{Mood, Tables};
+use gradeloft_standin::tables::{StoreMode, Tables};
 use gradeloft_wire::{
     codec,
-    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, Switched},
+    datagram::{Datagram, Loads, MAX_BYTES, Presence, Sender, StoreAccess, SwitchedReplicas},
     frame::Table,
 };
 use tokio::net::{TcpListener, UdpSocket};
@@ -304,7 +304,7 @@
                     wants_state: false,
                     loads: Loads::default(),
                     entries: Vec::new(),
-                    switched: vec![Switched {
+                    switched: vec![SwitchedReplicas {
                         model: rendezvous::hash(b"w"),
                         version,
                         replicas: switched.count() as u16,
@@ -464,7 +464,7 @@
                 .await
                 .unwrap();
         }
-        assert_eq!(tables.snapshots(Table::Operator), 0);
+        assert_eq!(tables.snapshot_reads(Table::Operator), 0);
     });
 }
 
@@ -484,10 +484,10 @@
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        let before = harness.tables.snapshots(Table::Replicas);
+        let before = harness.tables.snapshot_reads(Table::Replicas);
         harness.name_version(2);
         harness.wait_for_version(2).await;
-        assert_eq!(harness.tables.snapshots(Table::Replicas), before);
+        assert_eq!(harness.tables.snapshot_reads(Table::Replicas), before);
     });
 }
 
@@ -497,14 +497,14 @@
         let harness = Harness::start(1, |_, _| {}).await;
         harness.wait_for_version(1).await;
         let agent = harness.agents[0].agent();
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         while agent.node.access() == StoreAccess::Served {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
         let outage_start = agent.node.clock.now();
         harness.name_version(2);
-        harness.tables.mood.set(Mood::Well);
+        harness.tables.mode.set(StoreMode::Healthy);
         harness.wait_for_version(2).await;
         let named = agent.named_at(&agent.target().unwrap());
         assert!(
--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use gradeloft_http::{
-    message::{Answer, Request, json, stream as streamed, text},
+    message::{HttpResponse, Request, json, stream as streamed, text},
     server::Server,
 };
 use gradeloft_wire::{
@@ -37,16 +37,16 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
     /// Carries the id of another request.
-    Crossed,
+    WrongRequestId,
     /// Breaks off after two tokens.
-    Cut,
+    Truncated,
     /// Has tokens of another version in the middle.
-    Mixed,
+    MixedVersions,
     /// None.
     #[default]
     None,
     /// Has a token twice.
-    Repeated,
+    DuplicateToken,
     /// Stalls after two tokens.
     Stalled,
 }
@@ -151,7 +151,7 @@
 }
 
 /// The text that an engine with these weights answers, token by token.
-pub fn expected(weights: &[Bytes], prompt: &str, max_tokens: u32) -> Vec<String> {
+pub fn expected_tokens(weights: &[Bytes], prompt: &str, max_tokens: u32) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in weights {
         hasher.update(chunk);
@@ -178,19 +178,19 @@
     }
 
     /// Puts weights into service without an order, as a restarted engine or a rival would.
-    pub fn force(&self, weights: Vec<Weights>) {
+    pub fn set_serving(&self, weights: Vec<Weights>) {
         *self.serving.borrow_mut() = weights;
     }
 
     /// Drops all staged content, as a replaced engine has none.
-    pub fn forget(&self) {
+    pub fn clear_content(&self) {
         self.content.borrow_mut().clear();
     }
 
     /// When the prompt has been taken in, and whether its prefix was cached.
     fn prefill(&self, prompt: &str) -> Instant {
         let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
-        let prefix = Digest::of(prefix).short();
+        let prefix = Digest::of(prefix).prefix_u64();
         let mut cache = self.cache.borrow_mut();
         let found = cache.iter().position(|it| *it == prefix);
         let cost = match found {
@@ -260,7 +260,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     let segments = request.segments();
     let body = request.body.clone().unwrap_or_default();
     match (request.method.as_str(), segments.as_slice()) {
@@ -282,7 +282,7 @@
     }
 }
 
-fn stage(state: &State, digest: &str, content: Bytes) -> Answer {
+fn stage(state: &State, digest: &str, content: Bytes) -> HttpResponse {
     let Ok(digest) = digest.parse() else {
         return refused(400, "no digest");
     };
@@ -290,7 +290,7 @@
     text(200, "")
 }
 
-async fn order(state: &State, body: &[u8], request: &Request) -> Answer {
+async fn order(state: &State, body: &[u8], request: &Request) -> HttpResponse {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
         return refused(400, "no order");
     };
@@ -311,12 +311,12 @@
     let res = obey(state, &order);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     res
 }
 
-fn obey(state: &State, order: &Order) -> Answer {
+fn obey(state: &State, order: &Order) -> HttpResponse {
     match order.action {
         Action::Load if state.refuse_loads.get() => {
             return refused(409, "the weights are no good");
@@ -360,7 +360,7 @@
     }
 }
 
-fn generate(state: &Rc<State>, request: EngineRequest) -> Answer {
+fn generate(state: &Rc<State>, request: EngineRequest) -> HttpResponse {
     let wanted = |it: &&Weights| it.model == request.model && it.version == request.version;
     let weights = state.serving.borrow().iter().find(wanted).cloned();
     let Some(digest) = weights.and_then(|it| state.weights_digest(&it)) else {
@@ -400,12 +400,14 @@
 fn events(request: &EngineRequest, weights: Digest, fault: Fault) -> Vec<String> {
     let tokens = tokens(weights, &request.prompt, request.max_tokens);
     let request_id = match fault {
-        Fault::Crossed => Digest::of(request.request_id.as_bytes()).to_string()[..32].to_owned(),
+        Fault::WrongRequestId => {
+            Digest::of(request.request_id.as_bytes()).to_string()[..32].to_owned()
+        }
         _ => request.request_id.clone(),
     };
     let mut events: Vec<String> = Vec::new();
     for (idx, text) in tokens.iter().enumerate() {
-        let mixed = fault == Fault::Mixed && idx == 2;
+        let mixed = fault == Fault::MixedVersions && idx == 2;
         let version = if mixed { "another" } else { &request.version };
         let token = EngineToken {
             request_id: request_id.clone(),
@@ -414,10 +416,10 @@
             text: text.clone(),
         };
         events.push(event("token", &token));
-        if idx == 1 && fault == Fault::Repeated {
+        if idx == 1 && fault == Fault::DuplicateToken {
             events.push(event("token", &token));
         }
-        if idx == 1 && fault == Fault::Cut {
+        if idx == 1 && fault == Fault::Truncated {
             return events;
         }
         if idx == 1 && fault == Fault::Stalled {
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -9,7 +9,7 @@
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use gradeloft_http::{
-    message::{Answer, Request, json},
+    message::{HttpResponse, Request, json},
     server::Server,
 };
 use gradeloft_wire::border::platform::{Append, Appended, Page, Record};
@@ -82,7 +82,7 @@
     }
 
     /// Drops the records below an offset, as retention does.
-    pub fn retain_from(&self, stream: &str, oldest: u64) {
+    pub fn truncate_before(&self, stream: &str, oldest: u64) {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(stream.to_owned()).or_default();
         stream.records.retain(|it| oldest <= it.offset);
@@ -123,7 +123,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     pause(state.delay_ms.get()).await;
     if state.down.get() {
         return refused(503, "the log is down");
@@ -136,7 +136,7 @@
     }
 }
 
-async fn append(state: &State, stream: &str, request: &Request) -> Answer {
+async fn append(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let body = request.body.as_ref().ok();
     let Some(body) = body.and_then(|it| serde_json::from_slice::<Append>(it).ok()) else {
         return refused(400, "no append");
@@ -149,15 +149,15 @@
     state.appends.set(state.appends.get() + 1);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
-        return request.hangup.now().await;
+        return request.connection.abort().await;
     }
     json(200, &Appended { first_offset })
 }
 
-async fn read(state: &State, stream: &str, request: &Request) -> Answer {
+async fn read(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let number = |name| {
         request
-            .param(name)
+            .query_param(name)
             .and_then(|it| it.parse().ok())
             .unwrap_or(0)
     };
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, with_header},
+    message::{HttpResponse, Request, bytes_of, with_header},
     server::Server,
 };
 use gradeloft_wire::{
@@ -88,7 +88,7 @@
     /// Refuses every call while set.
     pub down: Cell<bool>,
     /// Answers 429 while set.
-    pub limited: Cell<bool>,
+    pub rate_limited: Cell<bool>,
     /// Every so-many-th answer is corrupted; 0 for none.
     pub corrupt_every: Cell<u64>,
     /// Answers so far.
@@ -156,11 +156,11 @@
     0 < left
 }
 
-async fn answer(state: Rc<State>, request: Request) -> Answer {
+async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
         return refused(503, "it is down");
     }
-    if state.limited.get() {
+    if state.rate_limited.get() {
         return with_header(refused(429, "too many reads"), "retry-after", "0.2");
     }
     let segments = request.segments();
@@ -175,8 +175,8 @@
     }
     state.carry(content.len() as u64).await;
     let links = state.links.borrow().clone();
-    if let (Some((links, own)), Some(to)) = (links, request.from) {
-        links.carry(own, to, content.len()).await;
+    if let (Some((links, own)), Some(to)) = (links, request.peer) {
+        links.transfer(own, to, content.len()).await;
     }
     state
         .bytes_read
