--- a/crates/gradeloft_bench/src/fleet.rs
+++ b/crates/gradeloft_bench/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: what callers get under a load, by each way to choose replicas.
 
 use clap::ValueEnum;
-use gradeloft_emulator::prelude::{Load, Loss, Scheme, Tally, play};
+use gradeloft_emulator::prelude::{Load, Outage, Scheme, Tally, simulate};
 use serde::Serialize;
 
 /// When replicas go away, in milliseconds from the start.
@@ -125,31 +125,31 @@
     let base = Load {
         entries: args.entries.max(1),
         replicas: args.replicas.max(1),
-        length_ms: args.seconds * 1_000,
-        view_ms: args.view_ms.max(1),
-        ..Load::at(args.part)
+        arrivals_ms: args.seconds * 1_000,
+        exchange_interval_ms: args.view_ms.max(1),
+        ..Load::at_utilization(args.part)
     };
-    let loss = Loss {
-        at_ms: LOSS_AT_MS,
-        for_ms: args.lost_ms,
+    let outage = Outage {
+        start_ms: LOSS_AT_MS,
+        duration_ms: args.lost_ms,
         replicas: args.lost.min(base.replicas),
     };
     Load {
         rate: args.part * base.capacity(),
-        losses: vec![loss],
+        outages: vec![outage],
         ..base
     }
 }
 
 fn measure(way: Way, load: &Load, seeds: u64) -> Report {
     let load = way.apply(load);
-    let tallies: Vec<Tally> = (0..seeds).map(|it| play(&load, it).all).collect();
-    let asked: u32 = tallies.iter().map(Tally::asked).sum();
+    let tallies: Vec<Tally> = (0..seeds).map(|it| simulate(&load, it).all).collect();
+    let total: u32 = tallies.iter().map(Tally::total).sum();
     let part = |of: fn(&Tally) -> u32| {
         let sum: u32 = tallies.iter().map(of).sum();
-        f64::from(sum) / f64::from(asked.max(1))
+        f64::from(sum) / f64::from(total.max(1))
     };
-    let parts = || tallies.iter().map(Tally::part_in_time);
+    let parts = || tallies.iter().map(Tally::fraction_in_time);
     Report {
         way: way
             .to_possible_value()
--- a/crates/gradeloft_emulator/src/engine.rs
+++ b/crates/gradeloft_emulator/src/engine.rs
@@ -1,46 +1,46 @@
-//! A replica's queue and passes.
+//! Queue and passes of a replica.
 
 use gradeloft_policy::process::document::Speed;
 
 /// A request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Names it.
+    /// Index of the request.
     pub id: usize,
-    /// Rank in the queue, 0 for the first.
+    /// Rank in the queue; lower ranks run first.
     pub rank: u32,
-    /// Tokens of its prompt that are not read.
-    pub prompt: f64,
-    /// Tokens that are not written.
-    pub answer: f64,
+    /// Prompt tokens that are not processed yet.
+    pub prompt_left: f64,
+    /// Answer tokens that are not generated yet.
+    pub answer_left: f64,
 }
 
-/// What a pass did to a request.
+/// Progress of a request in a pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// It wrote the request's first tokens.
-    Began(usize),
-    /// It wrote further tokens.
-    Wrote(usize),
-    /// It wrote the last ones.
-    Ended(usize),
+pub enum Progress {
+    /// The first tokens were generated.
+    First(usize),
+    /// Further tokens were generated.
+    Further(usize),
+    /// The last tokens were generated.
+    Last(usize),
 }
 
-/// A replica.
+/// An emulated replica.
 #[derive(Clone, Debug)]
 pub struct Engine {
     speed: Speed,
     slots: usize,
-    /// Sorted by rank, then by arrival.
+    /// Waiting requests, sorted by rank, then by arrival.
     queue: Vec<Job>,
-    /// At most `slots`.
+    /// Requests in progress; at most `slots`.
     running: Vec<Job>,
-    /// Whether a pass goes on.
+    /// Whether a pass is in progress.
     busy: bool,
 }
 
 impl Engine {
-    /// An idle replica.
+    /// Creates an idle replica.
     pub fn new(speed: Speed, slots: u32) -> Engine {
         Engine {
             speed,
@@ -51,49 +51,51 @@
         }
     }
 
-    /// Takes a request; gives the length of the pass that begins by it, if none goes on.
-    pub fn take(&mut self, job: Job) -> Option<f64> {
-        let behind = self.queue.partition_point(|it| it.rank <= job.rank);
-        self.queue.insert(behind, job);
-        if self.busy { None } else { self.begin() }
+    /// Queues a request; returns the duration in milliseconds of the pass that this starts, if no
+    /// pass was in progress.
+    pub fn enqueue(&mut self, job: Job) -> Option<f64> {
+        let position = self.queue.partition_point(|it| it.rank <= job.rank);
+        self.queue.insert(position, job);
+        if self.busy { None } else { self.start_pass() }
     }
 
-    /// Begins a pass, if there is work; gives its length in milliseconds.
-    fn begin(&mut self) -> Option<f64> {
+    /// Starts a pass if there is work; returns its duration in milliseconds.
+    fn start_pass(&mut self) -> Option<f64> {
         let free = self.slots - self.running.len();
         let admitted = free.min(self.queue.len());
         self.running.extend(self.queue.drain(..admitted));
         self.busy = !self.running.is_empty();
-        let unread: f64 = self.running.iter().map(|it| it.prompt).sum();
-        let writers = self.running.len() as f64;
-        let step_ms = self.speed.step_ms + self.speed.step_ms_per_request * writers;
-        let pass_ms = unread / self.speed.read_per_ms + step_ms * f64::from(self.speed.steps);
+        let unprocessed: f64 = self.running.iter().map(|it| it.prompt_left).sum();
+        let requests = self.running.len() as f64;
+        let step_ms = self.speed.step_ms + self.speed.step_ms_per_request * requests;
+        let pass_ms = unprocessed / self.speed.read_per_ms + step_ms * f64::from(self.speed.steps);
         self.busy.then_some(pass_ms)
     }
 
-    /// Ends a pass; gives what it did, and the length of the next one.
-    pub fn end(&mut self) -> (Vec<Step>, Option<f64>) {
-        let written = f64::from(self.speed.steps);
-        let mut steps = Vec::with_capacity(self.running.len());
+    /// Finishes a pass; returns the progress of its requests and the duration of the next pass in
+    /// milliseconds, if there is more work.
+    pub fn finish_pass(&mut self) -> (Vec<Progress>, Option<f64>) {
+        let generated = f64::from(self.speed.steps);
+        let mut progress = Vec::with_capacity(self.running.len());
         for job in &mut self.running {
-            let first = 0.0 < job.prompt;
-            job.prompt = 0.0;
-            job.answer -= written;
-            if first {
-                steps.push(Step::Began(job.id));
-            } else if 0.0 < job.answer {
-                steps.push(Step::Wrote(job.id));
+            let is_first = 0.0 < job.prompt_left;
+            job.prompt_left = 0.0;
+            job.answer_left -= generated;
+            if is_first {
+                progress.push(Progress::First(job.id));
+            } else if 0.0 < job.answer_left {
+                progress.push(Progress::Further(job.id));
             }
-            if job.answer <= 0.0 {
-                steps.push(Step::Ended(job.id));
+            if job.answer_left <= 0.0 {
+                progress.push(Progress::Last(job.id));
             }
         }
-        self.running.retain(|it| 0.0 < it.answer);
-        (steps, self.begin())
+        self.running.retain(|it| 0.0 < it.answer_left);
+        (progress, self.start_pass())
     }
 
-    /// Drops all it has, as when it goes away; gives what that was.
-    pub fn clear(&mut self) -> Vec<usize> {
+    /// Drops all requests, as on a failure of the replica; returns their indices.
+    pub fn drop_all(&mut self) -> Vec<usize> {
         self.busy = false;
         let dropped = self.queue.drain(..).chain(self.running.drain(..));
         dropped.map(|it| it.id).collect()
--- a/crates/gradeloft_emulator/src/entry.rs
+++ b/crates/gradeloft_emulator/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry's view and decisions.
+//! View and decisions of one entry.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,85 +20,86 @@
 
 use crate::load::{Load, Scheme};
 
-/// Service of all requests.
+/// Service that all requests are for.
 const SERVICE: &str = "model";
-/// Availability zone of everything: distance plays no part here.
+/// Availability zone of all entries and replicas; distance is not simulated.
 const ZONE: &str = "zone";
-/// Requests beyond its slots that a baseline sends to a replica.
-const BASELINE_WAITING: u32 = 2;
-/// When a baseline lets callers come back, in milliseconds.
-const BASELINE_BACK_MS: u64 = 250;
+/// Requests beyond its slots that the baselines send to a replica.
+const BASELINE_MAX_WAITING: u32 = 2;
+/// Retry delay that the baselines send to refused callers, in milliseconds.
+const BASELINE_RETRY_MS: u64 = 250;
 
-/// A request as an entry gets it.
+/// A request as an entry receives it.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// Name of its kind's route.
+pub struct IncomingRequest {
+    /// Route of the request's kind.
     pub route: Rc<str>,
-    /// Tokens of its prompt.
-    pub prompt: f64,
-    /// Time within which the first token is to come, for one that comes for the first time.
-    pub goal: Duration,
-    /// How long its caller waits from now on.
-    pub left: Duration,
+    /// Number of prompt tokens.
+    pub prompt_tokens: f64,
+    /// Target time to the first token, counted from the first attempt.
+    pub first_token_goal: Duration,
+    /// Time that the caller still waits.
+    pub time_left: Duration,
 }
 
-/// Where a request goes.
+/// Decision of an entry on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Back to its caller, who is to come again after this time.
+    /// Refused; the caller is to retry after this time.
     Refused(Duration),
-    /// To a replica.
+    /// Sent to a replica.
     Sent {
-        /// Position of the replica.
+        /// Index of the replica.
         replica: usize,
         /// Rank in its queue.
         rank: u32,
-        /// Time until its first token by the published speed, in milliseconds.
+        /// Expected time to the first token at the published speed, in milliseconds.
         expected_ms: f64,
     },
 }
 
-/// Requests of one entry at one replica.
+/// In-flight requests of one entry at one replica.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Held {
-    /// Requests.
-    pub running: u32,
-    /// Of those, requests whose answer has not begun.
+pub struct InFlight {
+    /// All in-flight requests.
+    pub requests: u32,
+    /// In-flight requests without a first token.
     pub waiting: u32,
 }
 
-/// An entry.
+/// An emulated entry.
 pub struct Entry {
-    position: usize,
+    idx: usize,
     replicas: Replicas,
     keys: Vec<ReplicaKey>,
-    patience: TimeBudgets,
+    time_budgets: TimeBudgets,
     shortage: Shortage,
-    /// All requests.
+    /// Rate of all requests.
     demand: RequestRate,
-    /// Requests beyond its own slots.
-    beyond: RequestRate,
-    /// When the others told last what they have.
-    told: Time,
+    /// Rate of requests beyond the entry's own slots.
+    overflow: RequestRate,
+    /// Time of the newest view of the other entries' requests.
+    view_time: Time,
+    /// Counter for the round-robin baseline.
     turn: usize,
 }
 
 impl Entry {
-    /// The entry at a position among all, before the replicas of a load.
-    pub fn new(position: usize, load: &Load) -> Entry {
+    /// Creates the entry with an index among the entries of a load.
+    pub fn new(idx: usize, load: &Load) -> Entry {
         let mut replicas = Replicas::default();
         let keys = (0..load.replicas).map(|it| replicas.apply_listing(listing(it, load)));
         let keys = keys.collect();
         Entry {
-            position,
+            idx,
             replicas,
             keys,
-            patience: TimeBudgets::default(),
+            time_budgets: TimeBudgets::default(),
             shortage: Shortage::default(),
             demand: RequestRate::default(),
-            beyond: RequestRate::default(),
-            told: Time::ZERO,
-            turn: position,
+            overflow: RequestRate::default(),
+            view_time: Time::ZERO,
+            turn: idx,
         }
     }
 
@@ -106,31 +107,35 @@
     pub fn decide(
         &mut self,
         load: &Load,
-        asked: &Asked,
+        request: &IncomingRequest,
         now: Time,
         rng: &mut ChaCha8Rng,
     ) -> Decision {
         self.demand.count(now);
-        let age = self.patience.age(&asked.route, asked.left, now);
-        let urgency = Urgency::of(asked.goal.saturating_sub(age));
+        let age = self
+            .time_budgets
+            .age(&request.route, request.time_left, now);
+        let urgency = Urgency::of(request.first_token_goal.saturating_sub(age));
         let chosen = match load.scheme {
-            Scheme::Gradeloft => self.place(load, asked, urgency, now, rng),
-            baseline => self.baseline(baseline, rng).map(|it| (it, urgency)),
+            Scheme::Gradeloft => self.place(load, request, urgency, now, rng),
+            baseline => self
+                .place_by_baseline(baseline, rng)
+                .map(|it| (it, urgency)),
         };
-        let within = chosen.is_some_and(|(it, _)| self.is_within(it));
-        if !within {
-            self.beyond.count(now);
+        let has_own_slot = chosen.is_some_and(|(it, _)| self.has_own_slot(it));
+        if !has_own_slot {
+            self.overflow.count(now);
         }
         let Some((replica, urgency)) = chosen else {
             return Decision::Refused(match load.scheme {
-                Scheme::Gradeloft => self.shortage.record_refusal(asked.left, now, rng),
-                _ => Duration::from_millis(BASELINE_BACK_MS),
+                Scheme::Gradeloft => self.shortage.record_refusal(request.time_left, now, rng),
+                _ => Duration::from_millis(BASELINE_RETRY_MS),
             });
         };
-        let found = &self.replicas.get(self.keys[replica]);
-        let queue = found.map(|it| it.queue(&load.speed));
+        let target = &self.replicas.get(self.keys[replica]);
+        let queue = target.map(|it| it.queue(&load.speed));
         let expected_ms = queue.map_or(0.0, |it| {
-            forecast::first_token_ms(&load.speed, it, asked.prompt)
+            forecast::first_token_ms(&load.speed, it, request.prompt_tokens)
         });
         Decision::Sent {
             replica,
@@ -145,30 +150,30 @@
     fn place(
         &self,
         load: &Load,
-        asked: &Asked,
+        request: &IncomingRequest,
         urgency: Urgency,
         now: Time,
         rng: &mut ChaCha8Rng,
     ) -> Option<(usize, Urgency)> {
         let open = || self.replicas.of(SERVICE).filter(|(_, it)| it.open(now));
-        let age = now.since(self.told);
+        let age = now.since(self.view_time);
         let others = load.entries - 1;
         let rate = self.demand.rate(now) * others as f64 / open().count().max(1) as f64;
         let unseen_requests = slot_split::unseen_requests(rate, age);
         let spare = open().map(|(_, it)| it.spare(unseen_requests)).sum();
-        let wish = Requirements {
+        let requirements = Requirements {
             zone: ZONE,
             min_version: None,
             resumed_version: None,
             tried: &[],
             urgency,
-            prompt_tokens: asked.prompt,
+            prompt_tokens: request.prompt_tokens,
             speed: Some(&load.speed),
             near: Uncertainty {
                 overflow_probability: slot_split::overflow_probability(
                     spare,
                     others,
-                    self.beyond.rate(now),
+                    self.overflow.rate(now),
                     age,
                 ),
                 unseen_requests,
@@ -177,90 +182,100 @@
         };
         let urgencies = [Some(urgency), urgency.fallback()];
         urgencies.into_iter().flatten().find_map(|urgency| {
-            let wish = Requirements { urgency, ..wish };
-            let key = placement::choose(self.replicas.of(SERVICE), wish, now, rng)?;
+            let requirements = Requirements {
+                urgency,
+                ..requirements
+            };
+            let key = placement::choose(self.replicas.of(SERVICE), requirements, now, rng)?;
             Some((self.keys.iter().position(|it| *it == key)?, urgency))
         })
     }
 
-    fn baseline(&mut self, scheme: Scheme, rng: &mut ChaCha8Rng) -> Option<usize> {
-        let known: Vec<(usize, u32)> = self
+    fn place_by_baseline(&mut self, scheme: Scheme, rng: &mut ChaCha8Rng) -> Option<usize> {
+        let eligible: Vec<(usize, u32)> = self
             .keys
             .iter()
             .enumerate()
             .filter_map(|(idx, key)| Some((idx, self.replicas.get(*key)?)))
             .filter(|(_, it)| !it.listing.draining)
-            .filter(|(_, it)| it.load() < it.listing.slots + BASELINE_WAITING)
+            .filter(|(_, it)| it.load() < it.listing.slots + BASELINE_MAX_WAITING)
             .map(|(idx, it)| (idx, it.load()))
             .collect();
-        if known.is_empty() {
+        if eligible.is_empty() {
             return None;
         }
         self.turn += 1;
-        let drawn = |rng: &mut ChaCha8Rng| known[rng.random_range(0..known.len())];
+        let draw = |rng: &mut ChaCha8Rng| eligible[rng.random_range(0..eligible.len())];
         let chosen = match scheme {
             Scheme::FewestRequests | Scheme::Gradeloft => {
-                known.iter().copied().min_by_key(|it| it.1)
+                eligible.iter().copied().min_by_key(|it| it.1)
             }
-            Scheme::RoundRobin => Some(known[self.turn % known.len()]),
+            Scheme::RoundRobin => Some(eligible[self.turn % eligible.len()]),
             Scheme::TwoChoices => {
-                Some([drawn(rng), drawn(rng)]).and_then(|it| it.into_iter().min_by_key(|it| it.1))
+                Some([draw(rng), draw(rng)]).and_then(|it| it.into_iter().min_by_key(|it| it.1))
             }
         };
         chosen.map(|it| it.0)
     }
 
-    /// Whether it has a free slot of its own at a replica.
-    fn is_within(&self, replica: usize) -> bool {
+    /// Returns whether the entry has a free slot of its own at a replica.
+    fn has_own_slot(&self, replica: usize) -> bool {
         let replica = self.replicas.get(self.keys[replica]);
         replica.is_some_and(Replica::has_free_own_slot)
     }
 
-    /// Counts a request with a prompt as sent to a replica.
-    pub fn sent(&mut self, replica: usize, prompt: f64) {
+    /// Records that a request was sent to a replica.
+    pub fn record_sent(&mut self, replica: usize, prompt_tokens: f64) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
             replica.own_requests += 1;
             replica.own_waiting += 1;
-            replica.own_waiting_tokens += prompt;
+            replica.own_waiting_tokens += prompt_tokens;
         }
     }
 
-    /// A request's answer began, so long after it was sent.
-    pub fn began(&mut self, replica: usize, prompt: f64, expected_ms: f64, took: Duration) {
+    /// Records the first token of an answer and the time that it took.
+    pub fn record_first_token(
+        &mut self,
+        replica: usize,
+        prompt_tokens: f64,
+        expected_ms: f64,
+        elapsed: Duration,
+    ) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
             replica.own_waiting -= 1;
-            replica.own_waiting_tokens -= prompt;
-            let took_ms = took.as_secs_f64() * 1000.0;
-            replica.slowness.observe(expected_ms, took_ms);
+            replica.own_waiting_tokens -= prompt_tokens;
+            let elapsed_ms = elapsed.as_secs_f64() * 1000.0;
+            replica.slowness.observe(expected_ms, elapsed_ms);
         }
     }
 
-    /// A request's answer ended.
-    pub fn ended(&mut self, replica: usize) {
+    /// Records the end of a request.
+    pub fn record_end(&mut self, replica: usize) {
         if let Some(replica) = self.replicas.get_mut(self.keys[replica]) {
             replica.own_requests -= 1;
         }
     }
 
-    /// What it has at each replica.
-    pub fn held(&self) -> Vec<Held> {
+    /// Returns the in-flight requests of this entry at each replica.
+    pub fn in_flight(&self) -> Vec<InFlight> {
         let replicas = self.keys.iter().filter_map(|it| self.replicas.get(*it));
         replicas
-            .map(|it| Held {
-                running: it.own_requests,
+            .map(|it| InFlight {
+                requests: it.own_requests,
                 waiting: it.own_waiting,
             })
             .collect()
     }
 
-    /// Takes in what other entries have at each replica, and which replicas are there.
-    pub fn learn(&mut self, others: &[Held], here: &[bool], load: &Load, now: Time) {
-        self.told = now;
+    /// Applies a view: the other entries' in-flight requests at each replica, and which replicas are
+    /// available.
+    pub fn apply_view(&mut self, others: &[InFlight], available: &[bool], load: &Load, now: Time) {
+        self.view_time = now;
         for (idx, key) in self.keys.iter().enumerate() {
             if let Some(replica) = self.replicas.get_mut(*key) {
                 (replica.other_requests, replica.others_waiting) =
-                    (others[idx].running, others[idx].waiting);
-                replica.listing.draining = !here[idx];
+                    (others[idx].requests, others[idx].waiting);
+                replica.listing.draining = !available[idx];
             }
         }
         let open: Vec<ReplicaKey> = self
@@ -270,10 +285,10 @@
             .map(|(key, _)| key)
             .collect();
         let slots = vec![load.slots; open.len()];
-        let parts = slot_split::parts(self.position, load.entries, &slots);
-        for (key, part) in open.into_iter().zip(parts) {
+        let shares = slot_split::parts(self.idx, load.entries, &slots);
+        for (key, share) in open.into_iter().zip(shares) {
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.own_slots = part;
+                replica.own_slots = share;
             }
         }
     }
--- a/crates/gradeloft_emulator/src/lib.rs
+++ b/crates/gradeloft_emulator/src/lib.rs
@@ -1,27 +1,27 @@
-//! A fleet in virtual time: callers, entries and replicas, to see what the decisions of
-//! `gradeloft_policy` are worth to callers without a process, a socket or a clock.
+//! Discrete-event simulation of a fleet in virtual time: callers, entries and replicas. It evaluates
+//! the decisions of `gradeloft_policy` without processes, sockets or a real clock.
 //!
-//! Entries run the very code that the gateway runs. Replicas work in passes, by the times that an operator
-//! publishes. A run depends on its load and its seed only, and takes a small part of the time that it
-//! emulates.
+//! Entries run the same policy code as the gateway. Replicas process requests in passes, at the speed
+//! that an operator publishes. A run is determined by its load and its seed, and takes a small
+//! fraction of the time that it simulates.
 //!
-//! - [`engine`]: a replica's queue and passes.
-//! - [`load`]: what is played.
-//! - [`outcome`]: what callers got.
-//! - [`entry`]: one entry's view and decisions.
-//! - [`world`]: the run.
+//! - [`engine`]: queue and passes of a replica.
+//! - [`load`]: parameters of a run.
+//! - [`outcome`]: outcomes of the callers' requests.
+//! - [`entry`]: view and decisions of one entry.
+//! - [`simulation`]: event loop of a run.
 
 pub mod engine;
 pub mod entry;
 pub mod load;
 pub mod outcome;
-pub mod world;
+pub mod simulation;
 
-/// The names that most users of this crate want.
+/// Commonly used items of this crate.
 pub mod prelude {
     pub use crate::{
-        load::{Kind, Load, Loss, Scheme},
+        load::{Load, Outage, RequestKind, Scheme},
         outcome::{Outcome, Tally},
-        world::play,
+        simulation::simulate,
     };
 }
--- a/crates/gradeloft_emulator/src/load.rs
+++ b/crates/gradeloft_emulator/src/load.rs
@@ -1,82 +1,82 @@
-//! What is played.
+//! Parameters of a run.
 
 use gradeloft_policy::process::document::Speed;
 use serde::Serialize;
 
-/// How entries decide.
+/// Scheme by which entries choose replicas.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum Scheme {
-    /// The replica with the fewest requests that is known to have room, in the order of arrival; a
-    /// baseline.
+    /// Baseline: the replica with the fewest requests among those known to have room, with queues in
+    /// order of arrival.
     FewestRequests,
-    /// What gradeloft does.
+    /// The policy of gradeloft.
     Gradeloft,
-    /// One replica after the other; a baseline.
+    /// Baseline: each replica in turn.
     RoundRobin,
-    /// The less busy of two drawn at random; a baseline.
+    /// Baseline: the less loaded of two replicas drawn at random.
     TwoChoices,
 }
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
-    /// Part of all requests.
-    pub part: f64,
-    /// Mean tokens of a prompt.
-    pub prompt: f64,
-    /// Mean tokens of an answer.
-    pub answer: f64,
-    /// Time within which the first token is to come, in milliseconds.
-    pub goal_ms: u64,
+pub struct RequestKind {
+    /// Fraction of all requests.
+    pub fraction: f64,
+    /// Mean number of tokens of a prompt.
+    pub prompt_tokens: f64,
+    /// Mean number of tokens of an answer.
+    pub answer_tokens: f64,
+    /// Target time to the first token, in milliseconds.
+    pub first_token_goal_ms: u64,
 }
 
-/// Replicas that are away for a while.
+/// Temporary outage of some replicas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Loss {
-    /// When they leave, in milliseconds.
-    pub at_ms: u64,
-    /// For how long, in milliseconds.
-    pub for_ms: u64,
-    /// How many.
+pub struct Outage {
+    /// Start, in milliseconds from the start of the run.
+    pub start_ms: u64,
+    /// Duration in milliseconds.
+    pub duration_ms: u64,
+    /// Number of replicas that are unavailable.
     pub replicas: usize,
 }
 
-/// A load on a fleet.
+/// A fleet and the load on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// How entries decide.
+    /// Scheme by which entries choose replicas.
     pub scheme: Scheme,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Requests that a replica runs at once.
+    /// Requests that a replica processes concurrently.
     pub slots: u32,
-    /// How fast replicas work.
+    /// Speed of the replicas.
     pub speed: Speed,
-    /// Kinds of requests; their parts sum up to 1.
-    pub kinds: Vec<Kind>,
-    /// Requests a second.
+    /// Kinds of requests; their fractions add up to 1.
+    pub kinds: Vec<RequestKind>,
+    /// New requests per second.
     pub rate: f64,
-    /// How long requests come, in milliseconds.
-    pub length_ms: u64,
-    /// How long a caller waits in all, in milliseconds.
-    pub patience_ms: u64,
-    /// Pause between what entries tell each other, in milliseconds.
-    pub view_ms: u64,
-    /// Replicas that are away for a while.
-    pub losses: Vec<Loss>,
+    /// Time during which new requests arrive, in milliseconds.
+    pub arrivals_ms: u64,
+    /// Time that a caller waits in total, in milliseconds.
+    pub caller_timeout_ms: u64,
+    /// Interval at which entries exchange their views, in milliseconds.
+    pub exchange_interval_ms: u64,
+    /// Temporary outages of replicas.
+    pub outages: Vec<Outage>,
 }
 
 impl Load {
-    /// Twelve replicas of a large model behind nine entries, at a rate that is this part of what the
-    /// replicas can answer.
-    pub fn at(part: f64) -> Load {
-        let kind = |part, prompt, answer, goal_ms| Kind {
-            part,
-            prompt,
-            answer,
-            goal_ms,
+    /// Returns a load on twelve replicas of a large model behind nine entries; `utilization` is the
+    /// rate as a fraction of the replicas' capacity.
+    pub fn at_utilization(utilization: f64) -> Load {
+        let kind = |fraction, prompt_tokens, answer_tokens, first_token_goal_ms| RequestKind {
+            fraction,
+            prompt_tokens,
+            answer_tokens,
+            first_token_goal_ms,
         };
         let load = Load {
             scheme: Scheme::Gradeloft,
@@ -97,25 +97,26 @@
                 kind(0.3, 600.0, 72.0, 300),
             ],
             rate: 0.0,
-            length_ms: 20_000,
-            patience_ms: 6_000,
-            view_ms: 125,
-            losses: Vec::new(),
+            arrivals_ms: 20_000,
+            caller_timeout_ms: 6_000,
+            exchange_interval_ms: 125,
+            outages: Vec::new(),
         };
         Load {
-            rate: part * load.capacity(),
+            rate: utilization * load.capacity(),
             ..load
         }
     }
 
-    /// Requests a second that all replicas together answer with every slot taken: the slots' tokens in the
-    /// time that reading prompts leaves.
+    /// Returns the requests per second that all replicas together answer with every slot in use: each
+    /// request takes the time to process its prompt and its share of the decoding steps.
     pub fn capacity(&self) -> f64 {
-        let mean =
-            |of: fn(&Kind) -> f64| -> f64 { self.kinds.iter().map(|it| it.part * of(it)).sum() };
+        let mean = |value: fn(&RequestKind) -> f64| -> f64 {
+            self.kinds.iter().map(|it| it.fraction * value(it)).sum()
+        };
         let step_ms = self.speed.step_ms + self.speed.step_ms_per_request * f64::from(self.slots);
-        let writing_ms = mean(|it| it.answer) * step_ms / f64::from(self.slots);
-        let reading_ms = mean(|it| it.prompt) / self.speed.read_per_ms;
-        self.replicas as f64 * 1_000.0 / (writing_ms + reading_ms)
+        let decoding_ms = mean(|it| it.answer_tokens) * step_ms / f64::from(self.slots);
+        let prefill_ms = mean(|it| it.prompt_tokens) / self.speed.read_per_ms;
+        self.replicas as f64 * 1_000.0 / (decoding_ms + prefill_ms)
     }
 }
--- a/crates/gradeloft_emulator/src/outcome.rs
+++ b/crates/gradeloft_emulator/src/outcome.rs
@@ -1,31 +1,31 @@
-//! What callers got.
+//! Outcomes of the callers' requests.
 
 use serde::Serialize;
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Answered within its time.
+    /// Answered within its target times.
     InTime,
-    /// Answered later, or with a pause that is too long.
+    /// First token after the target time, or too long a gap between tokens.
     Late,
-    /// Refused, and refused again when it came back.
+    /// Refused at both attempts, or lost with its replica.
     Refused,
 }
 
-/// Ends of requests, by how many.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Tally {
-    /// Answered within their time.
+    /// Answered within their target times.
     pub in_time: u32,
-    /// Answered later.
+    /// Answered late.
     pub late: u32,
-    /// Refused for good.
+    /// Refused at both attempts, or lost with their replica.
     pub refused: u32,
 }
 
 impl Tally {
-    /// Counts one.
+    /// Adds an outcome.
     pub fn count(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::InTime => self.in_time += 1,
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Requests in all.
-    pub fn asked(&self) -> u32 {
+    /// Returns the number of requests.
+    pub fn total(&self) -> u32 {
         self.in_time + self.late + self.refused
     }
 
-    /// Part that was answered in time.
-    pub fn part_in_time(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked().max(1))
+    /// Returns the fraction of requests that were answered in time.
+    pub fn fraction_in_time(&self) -> f64 {
+        f64::from(self.in_time) / f64::from(self.total().max(1))
     }
 }
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Result {
+pub struct RunResult {
     /// All requests.
     pub all: Tally,
-    /// By kind, in the order of the load.
+    /// Requests by kind, in the order of the load.
     pub kinds: Vec<Tally>,
-    /// Those of the shorter and of the longer half of the prompts.
+    /// Requests with prompts below, and of at least, the mean length of their kind.
     pub halves: [Tally; 2],
 }
--- a/crates/gradeloft_emulator/tests/overload.rs
+++ b/crates/gradeloft_emulator/tests/overload.rs
@@ -1,38 +1,38 @@
-//! What callers get from a fleet that is short: in time, late, refused, by kind and size.
+//! Share of requests answered in time by an overloaded fleet, by kind and prompt size.
 
-use gradeloft_emulator::outcome::Result;
+use gradeloft_emulator::outcome::RunResult;
 use gradeloft_emulator::prelude::*;
 use rstest::rstest;
 
 const SEEDS: u64 = 20;
 
-/// A third of the replicas away for two seconds, at nearly full load.
-fn dip() -> Load {
+/// A third of the replicas is unavailable for two seconds, at nearly full load.
+fn outage() -> Load {
     Load {
-        losses: vec![Loss {
-            at_ms: 6_000,
-            for_ms: 2_000,
+        outages: vec![Outage {
+            start_ms: 6_000,
+            duration_ms: 2_000,
             replicas: 4,
         }],
-        ..Load::at(0.95)
+        ..Load::at_utilization(0.95)
     }
 }
 
-/// Mean part in time over the seeds.
-fn in_time(load: &Load) -> f64 {
-    let parts = (0..SEEDS).map(|seed| play(load, seed).all.part_in_time());
-    parts.sum::<f64>() / SEEDS as f64
+/// Returns the mean fraction of requests answered in time over the seeds.
+fn mean_in_time(load: &Load) -> f64 {
+    let fractions = (0..SEEDS).map(|seed| simulate(load, seed).all.fraction_in_time());
+    fractions.sum::<f64>() / SEEDS as f64
 }
 
-/// As if one entry knew all.
-fn knowing_all(load: &Load) -> Load {
+/// Replaces the entries by a single one, which sees all requests.
+fn with_single_entry(load: &Load) -> Load {
     Load {
         entries: 1,
         ..load.clone()
     }
 }
 
-fn by(scheme: Scheme, load: &Load) -> Load {
+fn with_scheme(scheme: Scheme, load: &Load) -> Load {
     Load {
         scheme,
         ..load.clone()
@@ -41,70 +41,73 @@
 
 #[test]
 fn the_same_seed_gives_the_same_result() {
-    let load = Load::at(1.33);
-    assert_eq!(play(&load, 3), play(&load, 3));
-    assert_ne!(play(&load, 3), play(&load, 4));
+    let load = Load::at_utilization(1.33);
+    assert_eq!(simulate(&load, 3), simulate(&load, 3));
+    assert_ne!(simulate(&load, 3), simulate(&load, 4));
 }
 
 #[test]
-fn a_fleet_with_room_answers_nearly_everyone_in_time() {
-    let part = in_time(&Load::at(0.6));
-    assert!(0.98 < part, "{part}");
+fn an_underloaded_fleet_answers_nearly_all_requests_in_time() {
+    let fraction = mean_in_time(&Load::at_utilization(0.6));
+    assert!(0.98 < fraction, "{fraction}");
 }
 
-/// The best that any baseline makes of a load.
+/// Returns the highest fraction in time that a baseline reaches.
 fn best_baseline(load: &Load) -> f64 {
     let schemes = [
         Scheme::FewestRequests,
         Scheme::RoundRobin,
         Scheme::TwoChoices,
     ];
-    let parts = schemes.map(|it| in_time(&by(it, load)));
-    parts.into_iter().fold(0.0, f64::max)
+    let fractions = schemes.map(|it| mean_in_time(&with_scheme(it, load)));
+    fractions.into_iter().fold(0.0, f64::max)
 }
 
-// Measured in time, over the seeds: a third more than the fleet can answer, 0.709 of 0.737 that one entry
-// which knows all makes of it, and 0.267 by the best baseline; the dip, 0.900 of 0.926, and 0.815.
+// Mean fractions in time, for gradeloft, a single entry that sees all requests and the best
+// baseline: 0.709, 0.737 and 0.267 at 1.33 times the capacity; 0.900, 0.926 and 0.815 in the outage.
 #[rstest]
-#[case(Load::at(1.33), 2.4)]
-#[case(dip(), 1.08)]
-fn a_short_fleet_answers_nearly_as_many_in_time_as_if_every_entry_knew_all(
+#[case(Load::at_utilization(1.33), 2.4)]
+#[case(outage(), 1.08)]
+fn an_overloaded_fleet_answers_nearly_as_many_in_time_as_with_a_single_entry(
     #[case] load: Load,
     #[case] over_baselines: f64,
 ) {
-    let part = in_time(&load);
-    let possible = in_time(&knowing_all(&load));
-    assert!(0.94 * possible < part, "{part} of {possible}");
+    let fraction = mean_in_time(&load);
+    let possible = mean_in_time(&with_single_entry(&load));
+    assert!(0.94 * possible < fraction, "{fraction} of {possible}");
     let baseline = best_baseline(&load);
-    assert!(over_baselines * baseline < part, "{part}, {baseline}");
+    assert!(
+        over_baselines * baseline < fraction,
+        "{fraction}, {baseline}"
+    );
 }
 
 #[test]
-fn entries_that_hear_late_of_each_other_lose_less_than_a_tenth() {
-    let load = Load::at(1.33);
-    let late = Load {
-        view_ms: 1_000,
+fn infrequent_exchanges_between_entries_cost_less_than_a_tenth() {
+    let load = Load::at_utilization(1.33);
+    let infrequent = Load {
+        exchange_interval_ms: 1_000,
         ..load.clone()
     };
-    let (prompt, late) = (in_time(&load), in_time(&late));
-    assert!(0.9 * prompt < late, "{late} of {prompt}");
+    let (frequent, infrequent) = (mean_in_time(&load), mean_in_time(&infrequent));
+    assert!(0.9 * frequent < infrequent, "{infrequent} of {frequent}");
 }
 
 #[test]
-fn neither_a_kind_nor_long_prompts_are_starved_while_the_fleet_is_short() {
-    let parts = |of: fn(&Result) -> Vec<f64>| {
+fn neither_a_kind_of_request_nor_long_prompts_are_starved_under_overload() {
+    let mean_fractions = |of: fn(&RunResult) -> Vec<f64>| {
         let runs: Vec<Vec<f64>> = (0..SEEDS)
-            .map(|it| of(&play(&Load::at(1.33), it)))
+            .map(|it| of(&simulate(&Load::at_utilization(1.33), it)))
             .collect();
         let mean = |idx: usize| runs.iter().map(|it| it[idx]).sum::<f64>() / SEEDS as f64;
         (0..runs[0].len()).map(mean).collect::<Vec<f64>>()
     };
-    let kinds = parts(|it| it.kinds.iter().map(Tally::part_in_time).collect());
-    let halves = parts(|it| it.halves.iter().map(Tally::part_in_time).collect());
-    for parts in [kinds, halves] {
-        let least = parts.iter().copied().fold(1.0, f64::min);
-        let most = parts.iter().copied().fold(0.0, f64::max);
-        assert!(0.75 * most < least, "{parts:?}");
+    let kinds = mean_fractions(|it| it.kinds.iter().map(Tally::fraction_in_time).collect());
+    let halves = mean_fractions(|it| it.halves.iter().map(Tally::fraction_in_time).collect());
+    for fractions in [kinds, halves] {
+        let least = fractions.iter().copied().fold(1.0, f64::min);
+        let most = fractions.iter().copied().fold(0.0, f64::max);
+        assert!(0.75 * most < least, "{fractions:?}");
     }
 }
 
@@ -112,16 +115,16 @@
 #[case(7, 12)]
 #[case(42, 45)]
 #[case(100, 560)]
-fn the_split_of_slots_holds_at_other_sizes(#[case] entries: usize, #[case] replicas: usize) {
-    let base = Load::at(1.33);
+fn the_slot_split_works_at_other_fleet_sizes(#[case] entries: usize, #[case] replicas: usize) {
+    let base = Load::at_utilization(1.33);
     let load = Load {
         entries,
         replicas,
         rate: base.rate * replicas as f64 / base.replicas as f64,
-        length_ms: if replicas < 100 { 20_000 } else { 3_000 },
+        arrivals_ms: if replicas < 100 { 20_000 } else { 3_000 },
         ..base
     };
-    let part = play(&load, 1).all.part_in_time();
+    let fraction = simulate(&load, 1).all.fraction_in_time();
     let possible = load.capacity() / load.rate;
-    assert!(0.85 * possible < part, "{part} of {possible}");
+    assert!(0.85 * possible < fraction, "{fraction} of {possible}");
 }
