--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -59,7 +59,7 @@
     ) {
         let now = self.node.clock.now();
         for record in records {
-            let Some(request) = quarantine::request(&record.key) else {
+            let Some(request) = quarantine::parse_key(&record.key) else {
                 continue;
             };
             let value = record.value.as_deref();
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -84,7 +84,7 @@
     }
 
     fn apply_entries(&self, records: &[Record]) {
-        let is_request = |it: &&Record| quarantine::request(&it.key).is_some();
+        let is_request = |it: &&Record| quarantine::parse_key(&it.key).is_some();
         self.apply_suspect_records(records.iter().filter(is_request));
         let own = self.node.settings().address;
         let mut roster = self.roster.borrow_mut();
--- a/crates/gradeloft_gateway/src/node/unreadable.rs
+++ b/crates/gradeloft_gateway/src/node/unreadable.rs
@@ -42,7 +42,7 @@
     fn unreadable_reason(&self, table: Table, record: &Record) -> Option<String> {
         let value = record.value.as_ref()?;
         match table {
-            Table::Entries if quarantine::request(&record.key).is_some() => {
+            Table::Entries if quarantine::parse_key(&record.key).is_some() => {
                 let kept = codec::decode_body::<SuspectRecord>(value);
                 kept.err().map(|it| format!("{it:?}"))
             }
--- a/crates/gradeloft_gateway/src/suspects.rs
+++ b/crates/gradeloft_gateway/src/suspects.rs
@@ -24,7 +24,7 @@
 
 impl StoredSuspect {
     fn of(record: &Record) -> Option<StoredSuspect> {
-        let request = quarantine::request(&record.key)?;
+        let request = quarantine::parse_key(&record.key)?;
         let record = codec::decode_body(record.value.as_deref()?).ok()?;
         Some(StoredSuspect { request, record })
     }
--- a/crates/gradeloft_wire/src/quarantine.rs
+++ b/crates/gradeloft_wire/src/quarantine.rs
@@ -46,14 +46,14 @@
 /// ```
 /// use gradeloft_wire::{id::Fingerprint, quarantine};
 /// let request = Fingerprint::of(None, ["host", "GET", "/"], b"");
-/// assert_eq!(quarantine::request(&quarantine::key(request)), Some(request));
-/// assert_eq!(quarantine::request("10.0.0.1"), None);
+/// assert_eq!(quarantine::parse_key(&quarantine::key(request)), Some(request));
+/// assert_eq!(quarantine::parse_key("10.0.0.1"), None);
 /// ```
 pub fn key(request: Fingerprint) -> String {
     format!("{KEY}{request}")
 }
 
 /// The request that a key names, if it names one.
-pub fn request(key: &str) -> Option<Fingerprint> {
+pub fn parse_key(key: &str) -> Option<Fingerprint> {
     key.strip_prefix(KEY)?.parse().ok()
 }
