--- a/crates/gradeloft_http/src/lib.rs
+++ b/crates/gradeloft_http/src/lib.rs
@@ -1,6 +1,6 @@
-//! A bounded HTTP/1 server on one thread, on top of `actix-http`.
+//! Single-threaded HTTP/1 server with bounded resources, on top of `actix-http`.
 //!
-//! - [`message`]: requests as handlers get them, and answers as they give them.
+//! - [`message`]: the requests and responses of handlers.
 //! - [`server`]: the listener.
 //!
 //! ```
--- a/crates/gradeloft_http/src/message.rs
+++ b/crates/gradeloft_http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests as handlers get them, and answers as they give them.
+//! Requests and responses of handlers.
 
 use std::{net::IpAddr, rc::Rc};
 
@@ -12,21 +12,22 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// The body is over the limit.
+/// Reason why a request body can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyError {
-    /// It broke off.
+    /// The body was truncated.
     Truncated,
-    /// It is over the limit.
+    /// The body exceeds the limit.
     TooLarge,
 }
 
-/// Ends a connection without an answer.
+/// Handle to the connection of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Connection(pub(crate) Rc<Notify>);
 
 impl Connection {
-    /// Ends it; what the handler would have answered is never sent, so this never returns.
+    /// Closes the connection without a response. Never returns, as the handler is dropped with the
+    /// connection.
     pub async fn abort(&self) -> HttpResponse {
         self.0.notify_one();
         std::future::pending().await
@@ -36,31 +37,31 @@
 /// A request with its whole body.
 #[derive(Debug)]
 pub struct Request {
-    /// Method, in capitals.
+    /// Method in upper case.
     pub method: String,
-    /// Path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Query, without the question mark; empty for none.
+    /// Query without the question mark; empty for none.
     pub query: String,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body, if it is within the limit.
+    /// Body, or why it can't be read.
     pub body: Result<Bytes, BodyError>,
-    /// Who connected.
+    /// Address of the client.
     pub peer: Option<IpAddr>,
-    /// The connection that it came on.
+    /// Connection of the request.
     pub connection: Connection,
-    /// Whether the headers are within the limit.
+    /// Whether the path and the headers are within the limit.
     pub head_fits: bool,
 }
 
 impl Request {
-    /// A header's text; `None` when it is absent or not visible ASCII.
+    /// Returns the text of a header; `None` if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|it| it.to_str().ok())
     }
 
-    /// A value of the query, as it stands there.
+    /// Returns the value of a query parameter, without decoding it.
     pub fn query_param(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|it| it.split_once('='));
         pairs
@@ -69,22 +70,22 @@
             .next()
     }
 
-    /// The path's segments.
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.path.split('/').filter(|it| !it.is_empty()).collect()
     }
 }
 
-/// An answer.
+/// A response.
 pub type HttpResponse = Response<BoxBody>;
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json(status: u16, body: &impl Serialize) -> HttpResponse {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     bytes_of(status, "application/json", bytes)
 }
 
-/// An answer of plain text.
+/// Creates a response with a plain text body.
 pub fn text(status: u16, body: &str) -> HttpResponse {
     bytes_of(
         status,
@@ -93,30 +94,30 @@
     )
 }
 
-/// An answer of bytes.
+/// Creates a response with a body of bytes.
 pub fn bytes_of(status: u16, content_type: &str, body: impl Into<Bytes>) -> HttpResponse {
-    let answer = Response::with_body(code(status), BoxBody::new(body.into()));
-    with_header(answer, header::CONTENT_TYPE.as_str(), content_type)
+    let response = Response::with_body(status_code(status), BoxBody::new(body.into()));
+    with_header(response, header::CONTENT_TYPE.as_str(), content_type)
 }
 
-/// An answer whose body comes bit by bit; dropped when the client goes away.
+/// Creates a response with a streamed body. The stream is dropped when the client disconnects.
 pub fn stream<S>(status: u16, content_type: &str, body: S) -> HttpResponse
 where
     S: Stream<Item = Result<Bytes, std::io::Error>> + 'static,
 {
-    let answer = Response::with_body(code(status), BoxBody::new(BodyStream::new(body)));
-    with_header(answer, header::CONTENT_TYPE.as_str(), content_type)
+    let response = Response::with_body(status_code(status), BoxBody::new(BodyStream::new(body)));
+    with_header(response, header::CONTENT_TYPE.as_str(), content_type)
 }
 
-/// Adds a header; one whose value is not allowed in headers is left out.
-pub fn with_header(mut answer: HttpResponse, name: &str, value: &str) -> HttpResponse {
+/// Sets a header; ignores a name or value that isn't valid in a header.
+pub fn with_header(mut response: HttpResponse, name: &str, value: &str) -> HttpResponse {
     let name = header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
-        answer.headers_mut().insert(name, value);
+        response.headers_mut().insert(name, value);
     }
-    answer
+    response
 }
 
-fn code(status: u16) -> StatusCode {
+fn status_code(status: u16) -> StatusCode {
     StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
--- a/crates/gradeloft_http/src/server.rs
+++ b/crates/gradeloft_http/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener.
+//! TCP listener and connections of the server.
 
 use std::{cell::Cell, convert::Infallible, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -15,19 +15,19 @@
 
 use crate::message::{BodyError, Connection, HttpResponse, Request, text};
 
-/// Answers requests.
+/// Function that handles requests.
 pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, HttpResponse>>;
 
-/// Bounds of one listener.
+/// Resource limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum length of the path and the headers of a request, in bytes.
     pub header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: usize,
-    /// Connections open at once; further ones wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// A silent connection ends after this.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
@@ -42,26 +42,26 @@
     }
 }
 
-/// A listener; dropping it ends it and the connections that it took.
+/// A listener; dropping it closes it and its connections.
 pub struct Server {
     address: SocketAddr,
     shared: Rc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 struct Shared {
     limits: Limits,
     handler: Handler,
-    /// Set when the listener takes no more connections.
+    /// Whether the listener accepts no more connections.
     closing: Cell<bool>,
-    open: Cell<usize>,
-    freed: Notify,
-    /// Set when the listener is dropped: connections end.
-    ended: watch::Sender<bool>,
+    open_connections: Cell<usize>,
+    connection_closed: Notify,
+    /// Set when the server is dropped, which closes all connections.
+    dropped: watch::Sender<bool>,
 }
 
 impl Server {
-    /// Listens on `address`, ip:port; port 0 takes a free one.
+    /// Starts to listen on `address`, `IP:PORT`; port 0 selects a free port.
     pub async fn start(address: &str, limits: Limits, handler: Handler) -> io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -69,68 +69,72 @@
             limits,
             handler,
             closing: Cell::new(false),
-            open: Cell::new(0),
-            freed: Notify::new(),
-            ended: watch::Sender::new(false),
+            open_connections: Cell::new(0),
+            connection_closed: Notify::new(),
+            dropped: watch::Sender::new(false),
         });
-        let accepting = actix_rt::spawn(accept(listener, Rc::clone(&shared)));
+        let accept_task = actix_rt::spawn(accept(listener, Rc::clone(&shared)));
         Ok(Server {
             address,
             shared,
-            accepting,
+            accept_task,
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no more connections; those that are open end with their present request.
+    /// Accepts no more connections; open ones close after the response to their current request.
     pub fn close(&self) {
         self.shared.closing.set(true);
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.accepting.abort();
-        let _ = self.shared.ended.send(true);
+        self.accept_task.abort();
+        let _ = self.shared.dropped.send(true);
     }
 }
 
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
-        while shared.limits.connections <= shared.open.get() {
-            shared.freed.notified().await;
+        while shared.limits.connections <= shared.open_connections.get() {
+            shared.connection_closed.notified().await;
         }
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors, most likely: let some go first.
+            // Most likely no file descriptors are free; wait until some are.
             actix_rt::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        shared.open.set(shared.open.get() + 1);
+        shared
+            .open_connections
+            .set(shared.open_connections.get() + 1);
         actix_rt::spawn(serve(stream, Rc::clone(&shared)));
     }
 }
 
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
     let connection = Connection::default();
-    let mut ended = shared.ended.subscribe();
+    let mut dropped = shared.dropped.subscribe();
     tokio::select! {
-        () = exchange(stream, &shared, &connection) => {}
+        () = serve_requests(stream, &shared, &connection) => {}
         () = connection.0.notified() => {}
-        _ = ended.wait_for(|it| *it) => {}
+        _ = dropped.wait_for(|it| *it) => {}
     }
-    shared.open.set(shared.open.get() - 1);
-    shared.freed.notify_one();
+    shared
+        .open_connections
+        .set(shared.open_connections.get() - 1);
+    shared.connection_closed.notify_one();
 }
 
-async fn exchange(stream: TcpStream, shared: &Rc<Shared>, connection: &Connection) {
+async fn serve_requests(stream: TcpStream, shared: &Rc<Shared>, connection: &Connection) {
     let idle = shared.limits.idle;
-    let handling = Rc::clone(shared);
+    let shared_by_requests = Rc::clone(shared);
     let connection = connection.clone();
     let service = HttpService::build()
         .keep_alive(KeepAlive::Timeout(idle))
@@ -138,7 +142,7 @@
         .client_disconnect_timeout(Duration::from_secs(1))
         .h1_allow_half_closed(false)
         .h1(fn_service(move |request| {
-            let shared = Rc::clone(&handling);
+            let shared = Rc::clone(&shared_by_requests);
             let connection = connection.clone();
             async move { Ok::<HttpResponse, Infallible>(handle(request, shared, connection).await) }
         }))
@@ -154,15 +158,17 @@
     connection: Connection,
 ) -> HttpResponse {
     let request = read(request, shared.limits, connection).await;
-    let mut answer = if request.head_fits {
+    let mut response = if request.head_fits {
         (shared.handler)(request).await
     } else {
         text(431, "the request's headers are over the limit\n")
     };
     if shared.closing.get() {
-        answer.head_mut().set_connection_type(ConnectionType::Close);
+        response
+            .head_mut()
+            .set_connection_type(ConnectionType::Close);
     }
-    answer
+    response
 }
 
 async fn read(mut request: actix_http::Request, limits: Limits, connection: Connection) -> Request {
@@ -187,12 +193,12 @@
 
 async fn body(mut payload: Payload, max_bytes: usize) -> Result<Bytes, BodyError> {
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|_| BodyError::Truncated)?;
-        if max_bytes < body.len() + piece.len() {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|_| BodyError::Truncated)?;
+        if max_bytes < body.len() + chunk.len() {
             return Err(BodyError::TooLarge);
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
--- a/crates/gradeloft_wire/examples/error_table.rs
+++ b/crates/gradeloft_wire/examples/error_table.rs
@@ -1,4 +1,4 @@
-//! Prints the table of errors as `docs/ERRORS.md` shows it.
+//! Prints the error table of `docs/ERRORS.md`.
 
 use gradeloft_wire::error::Kind;
 
--- a/crates/gradeloft_wire/src/border/mod.rs
+++ b/crates/gradeloft_wire/src/border/mod.rs
@@ -1,6 +1,6 @@
-//! Border types, generated from `schema/*.json` and committed; see `schema/README.md`.
+//! Types of external messages and documents, generated from `schema/*.json`; see `schema/README.md`.
 //!
-//! A module per schema. Do not edit them by hand: change the schema and generate again.
+//! Each schema has one module. Don't edit the modules by hand: change the schema and regenerate them.
 
 #![allow(
     dead_code,
--- a/crates/gradeloft_wire/src/codec.rs
+++ b/crates/gradeloft_wire/src/codec.rs
@@ -4,28 +4,28 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder as _, LengthDelimitedCodec};
 
-/// Memory that decoding one frame may claim, in bytes; above every allowed frame.
+/// Maximum memory allocated while decoding one frame, in bytes; larger than every allowed frame.
 const DECODE_LIMIT: usize = 128 << 20;
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no frame.
+/// Reason why bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Malformed {
     /// The body is not an encoded message.
     Body,
-    /// Longer than allowed.
+    /// The frame is longer than allowed.
     Length,
-    /// Bytes follow the message.
+    /// Bytes follow the message in the body.
     Trailing,
 }
 
-/// Body of a frame, without its length.
+/// Encodes the body of a frame, without the length.
 pub fn encode_body<T: Encode>(message: &T) -> Vec<u8> {
-    // Encoding into a growing vector fails for no type of this crate.
+    // Encoding into a growable vector can't fail for the types of this crate.
     bincode::encode_to_vec(message, config()).unwrap_or_default()
 }
 
-/// A whole frame: four bytes of length, then the body.
+/// Encodes a frame: four bytes of length, then the body.
 pub fn encode_frame<T: Encode>(message: &T) -> Bytes {
     let body = encode_body(message);
     let mut bytes = BytesMut::with_capacity(LENGTH_BYTES + body.len());
@@ -34,7 +34,7 @@
     bytes.freeze()
 }
 
-/// Reads a body; bytes that follow the message are an error.
+/// Decodes a body; bytes that follow the message are an error.
 pub fn decode_body<T: Decode<()>>(body: &[u8]) -> Result<T, Malformed> {
     let (message, used) =
         bincode::decode_from_slice(body, config()).map_err(|_| Malformed::Body)?;
@@ -60,12 +60,12 @@
 #[derive(Debug)]
 pub struct Decoder {
     codec: LengthDelimitedCodec,
-    /// Never longer than one allowed frame and what one read adds.
+    /// Received bytes; at most one allowed frame plus the bytes of one read.
     buffer: BytesMut,
 }
 
 impl Decoder {
-    /// A decoder that refuses bodies above `max_bytes`.
+    /// Creates a decoder that rejects bodies longer than `max_bytes`.
     pub fn new(max_bytes: usize) -> Decoder {
         let codec = LengthDelimitedCodec::builder()
             .max_frame_length(max_bytes)
@@ -81,7 +81,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes out the next message, if all of it has arrived.
+    /// Removes and returns the next message, if it has arrived completely.
     pub fn pop<T: Decode<()>>(&mut self) -> Result<Option<T>, Malformed> {
         match self.codec.decode(&mut self.buffer) {
             Ok(Some(body)) => decode_body(&body).map(Some),
--- a/crates/gradeloft_wire/src/datagram.rs
+++ b/crates/gradeloft_wire/src/datagram.rs
@@ -1,7 +1,7 @@
-//! What processes tell each other several times a second, each in one datagram.
+//! State that processes send each other several times a second, each message in one datagram.
 //!
-//! Datagrams get lost and come out of order, so each says all of its sender's state, or a part of it that
-//! stands for itself.
+//! Datagrams get lost and arrive out of order, so each carries its sender's whole state, or a part
+//! that is complete in itself.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -9,169 +9,170 @@
 
 use crate::quarantine::Suspect;
 
-/// Largest datagram that is read, in bytes; below the usual size of a packet.
+/// Largest datagram that is read, in bytes; below the usual MTU.
 pub const MAX_BYTES: usize = 1_400;
 
 /// State of the sender.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Datagram {
-    /// Names this start of the sender; later starts have higher numbers.
+    /// Identifies this start of the sender; later starts have higher numbers.
     pub incarnation: u64,
-    /// The sender's availability zone.
+    /// Availability zone of the sender.
     pub zone: String,
-    /// Offset up to which the sender's copy of each table goes, in the order of
+    /// Offset at which the sender's copy of each table ends, in the order of
     /// [`Table::ALL`](crate::frame::Table::ALL).
     pub ends: [u64; 3],
-    /// For how long the sender has not known each copy to be whole by its own reads of the store, in
-    /// milliseconds; the largest number for longer, and for never.
+    /// Time since the sender's own reads of the store last confirmed that each copy is complete, in
+    /// milliseconds; `u16::MAX` for longer and for never.
     pub unconfirmed_ms: [u16; 3],
-    /// What depends on the sender's role.
+    /// State specific to the sender's role or to the message.
     pub sender: Sender,
 }
 
-/// What depends on the sender's role.
+/// State specific to the sender's role or to the message.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Sender {
-    /// The process beside a replica.
+    /// The process next to a replica.
     Agent {
-        /// Where the replica listens.
+        /// Address of the replica.
         replica: SocketAddrV4,
-        /// What the replica says of itself; `None` while it does not answer.
+        /// Status that the replica reports; `None` while it does not respond.
         engine: Option<EngineStatus>,
     },
-    /// A process that callers talk to.
+    /// A process that serves callers.
     Entry {
-        /// Whether it takes callers.
+        /// Whether the entry accepts requests from callers.
         presence: Presence,
-        /// Whether the platform's store serves it, as far as it knows.
+        /// Whether the platform's store serves the entry, as far as the entry can tell.
         store: StoreAccess,
-        /// Whether it wants to be told of the receiver, of which it knows nothing but the address.
+        /// Whether the sender requests the receiver's state, because it has only the receiver's address.
         wants_state: bool,
-        /// Requests that it has at replicas now.
+        /// The entry's requests in flight at replicas.
         loads: Loads,
-        /// Other entries that it knows of.
+        /// Addresses of other entries.
         entries: Vec<Ipv4Addr>,
-        /// Replicas that take requests with the newest version named, by model.
+        /// Replicas that accept requests for the newest version, by model.
         switched: Vec<SwitchedReplicas>,
     },
-    /// An entry that speaks for all entries of its region. The rest of the datagram is of this entry.
+    /// State of a whole region, sent by one of its entries. The other fields of the datagram describe that
+    /// entry alone.
     Region {
-        /// Whether it came through an entry of the receiver's region.
+        /// Whether an entry of the receiver's region relayed the message.
         relayed: bool,
-        /// What it says.
+        /// The region's state.
         message: RegionMessage,
     },
-    /// An entry that knows something of requests under which replicas ended.
+    /// An entry's observations of requests suspected of crashing replicas.
     Suspects {
-        /// Whether it came through an entry of the receiver's region.
+        /// Whether an entry of the receiver's region relayed the message.
         relayed: bool,
-        /// The requests.
+        /// Suspect requests.
         suspects: Vec<Suspect>,
     },
 }
 
-/// What one region's entries tell those of others.
+/// State that one region's entries send to the entries of other regions.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum RegionMessage {
-    /// What agents said of the region's replicas.
+    /// Recent agent reports on the region's replicas.
     Engines(Vec<EngineReport>),
-    /// Requests that the region's entries have at replicas, of whatever region.
+    /// Requests of the region's entries in flight at replicas of any region.
     Loads(Loads),
     /// The region's entries.
     Members(Vec<Member>),
 }
 
-/// Requests of one entry or region at replicas. Where they are too many for one datagram, each datagram
-/// has those whose replicas' hashes fall into its part, and replaces what was said of that part before.
+/// Requests of one entry or region in flight at replicas. If they exceed one datagram, they are split
+/// into parts by the replica's hash, and each datagram replaces the previous one of its part.
 #[derive(Clone, Debug, Decode, Default, Encode, Eq, PartialEq)]
 pub struct Loads {
-    /// Number of the part, from 0.
+    /// Number of the part, counted from 0.
     pub part: u16,
-    /// Parts, less one.
+    /// Number of the last part.
     pub last_part: u16,
-    /// Requests that come for services which run a model, a second, in tenths.
+    /// Rate of incoming requests to services that run a model, in tenths of a request per second.
     pub demand: u32,
-    /// Requests by replica.
+    /// Requests in flight, by replica.
     pub loads: Vec<Load>,
 }
 
-/// What an agent said of its replica.
+/// Status of a replica as its agent reported it.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct EngineReport {
-    /// Where the replica listens.
+    /// Address of the replica.
     pub replica: SocketAddrV4,
-    /// What it says of itself.
+    /// Reported status.
     pub engine: EngineStatus,
-    /// How long ago, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u16,
 }
 
-/// What an entry said of itself.
+/// State of an entry as it announced it.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Member {
-    /// Its address.
+    /// Address of the entry.
     pub address: Ipv4Addr,
-    /// Names this start of it.
+    /// Identifies this start of the entry.
     pub incarnation: u64,
-    /// Whether it takes callers.
+    /// Whether the entry accepts requests from callers.
     pub presence: Presence,
-    /// Whether the platform's store serves it.
+    /// Whether the platform's store serves the entry.
     pub store: StoreAccess,
-    /// How far its copy of the operator's table goes.
+    /// Offset at which the entry's copy of the operator's table ends.
     pub end: u64,
 }
 
 /// Whether the platform's store serves a process.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum StoreAccess {
-    /// Its last read went well, or it leaves reading to others.
+    /// The last read succeeded, or the process leaves reading to others.
     Served,
-    /// Its last read failed.
+    /// The last read failed.
     Unserved,
 }
 
-/// Replicas that changed over to a version.
+/// Number of replicas that have switched to a version of a model.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct SwitchedReplicas {
     /// Hash of the model's name.
     pub model: u64,
     /// Version.
     pub version: u64,
-    /// Replicas that take requests with it.
+    /// Number of replicas that accept requests for the version.
     pub replicas: u16,
 }
 
-/// Whether an entry takes callers.
+/// Whether an entry accepts requests from callers.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Presence {
-    /// It finishes what runs and takes nothing new.
+    /// The entry completes its requests and accepts no new ones.
     Leaving,
-    /// It takes callers.
+    /// The entry accepts requests.
     Ready,
-    /// It does not know enough, or others know more.
+    /// The entry's state is incomplete, or behind that of other entries.
     Starting,
 }
 
-/// Requests of one entry at one replica.
+/// Requests of one entry or region in flight at one replica.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Load {
-    /// Hash of the replica's start.
+    /// Hash that identifies one start of the replica.
     pub replica: u32,
-    /// Requests.
+    /// Number of requests in flight.
     pub running: u16,
-    /// Of those, requests whose answer has not begun.
+    /// Number of those whose response has not begun.
     pub waiting: u16,
 }
 
-/// What a replica says of itself to its agent.
+/// Status that a replica reports to its agent.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct EngineStatus {
-    /// Unix millisecond of the replica's start, where it says so.
+    /// Unix time of the replica's start in milliseconds, if reported.
     pub born: Option<u64>,
-    /// Version of the weights that it holds in full; `None` without them.
+    /// Version of the weights that are completely loaded; `None` without one.
     pub version: Option<u64>,
-    /// Whether it takes no work now because weights are about to be loaded.
+    /// Whether the replica accepts no requests because it is about to load weights.
     pub loading: bool,
-    /// Whether the instance's link is full, so that requests to the replica wait before it.
+    /// Whether the instance's link is saturated, so that requests to the replica queue ahead of it.
     pub congested: bool,
 }
--- a/crates/gradeloft_wire/src/frame.rs
+++ b/crates/gradeloft_wire/src/frame.rs
@@ -1,6 +1,6 @@
 //! Messages between gradeloft's own processes.
 //!
-//! Every h2 stream opens with one [`Call`]; the other side answers with [`Reply`] frames until it
+//! The client opens each HTTP/2 stream with one [`Call`]; the server sends [`Reply`] frames until it
 //! closes the stream.
 
 use bincode::{Decode, Encode};
@@ -11,89 +11,89 @@
     record::SignedBundle,
 };
 
-/// First frame of a stream: what its opener wants.
+/// First frame of a stream: the request of its client.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Call {
-    /// Tell me your state now and whenever it changes: [`Reply::Notice`] frames without end.
+    /// Subscribe to the server's state: [`Reply::Notice`] frames, now and after each change, without end.
     Watch,
     /// Run a request: [`Reply::Refused`], or [`Reply::Head`], [`Reply::Piece`]s and a
     /// [`Reply::End`].
     Work(Work),
-    /// Send this content: one [`Reply::Chunk`] or [`Reply::Absent`].
+    /// Fetch a chunk: one [`Reply::Chunk`] or [`Reply::Absent`].
     Chunk {
-        /// The content wanted.
+        /// Digest of the chunk.
         digest: Digest,
     },
-    /// Tell me which chunks of a manifest you hold, now and whenever there are more:
-    /// [`Reply::Have`] frames without end.
+    /// Subscribe to the server's chunks of a manifest: [`Reply::Have`] frames, now and whenever it gets
+    /// more, without end.
     Follow {
         /// Digest of the manifest.
         manifest: Digest,
     },
-    /// Send the bundle in force if its number is above this one: one [`Reply::Bundles`].
+    /// Fetch the bundle in force if its number is higher than this one: one [`Reply::Bundles`].
     Sync {
-        /// Highest number that the caller has; 0 for none.
+        /// Highest bundle number that the client has; 0 for none.
         number: u64,
     },
-    /// Lend me shares of teams' rates, for which you are the home: one [`Reply::Leased`].
+    /// Lease shares of the rates of teams whose home is the server: one [`Reply::Leased`].
     Lease {
-        /// Instance that asks.
+        /// Instance that sends the call.
         node: String,
-        /// What it asks for.
+        /// Requested shares.
         requests: Vec<TeamLeaseRequest>,
     },
-    /// Here is a bundle that is in force: one [`Reply::Bundles`], empty.
+    /// Push the bundle in force: one empty [`Reply::Bundles`].
     Push(SignedBundle),
-    /// Send what brings a copy of a table up to date: one [`Reply::Records`].
+    /// Fetch the records that a copy of a table lacks: one [`Reply::Records`], or [`Reply::Absent`].
     Records {
         /// Table.
         table: Table,
-        /// Offset of the first record that the caller has not seen.
+        /// Offset of the first record that the client lacks.
         from: u64,
-        /// Whether to leave out of the operator's records what only entries need.
+        /// Whether to omit the parts of the operator's records that only entries need.
         abridged: bool,
     },
-    /// Send the digests of a version's pieces: one [`Reply::Pieces`] or [`Reply::Absent`].
+    /// Fetch the digests of a version's pieces: one [`Reply::Pieces`] or [`Reply::Absent`].
     Pieces {
         /// Model.
         model: String,
         /// Version.
         version: u64,
     },
-    /// Send a value that was announced by [`Value::Deferred`]: its [`Reply::Part`]s in order up to the end,
-    /// or one [`Reply::Absent`].
+    /// Fetch a value announced by [`Value::Deferred`]: the remaining [`Reply::Part`]s in order, or one
+    /// [`Reply::Absent`].
     Parts {
         /// Table.
         table: Table,
-        /// Position of the record in the table.
+        /// Offset of the record in the table.
         offset: u64,
-        /// Bytes of the value that the caller has already.
+        /// Number of bytes of the value that the client already has.
         start: u64,
-        /// What the caller is.
+        /// Role of the client.
         caller: Role,
     },
 }
 
-/// What a process is.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Role {
-    /// Beside a replica.
+    /// Process next to a replica.
     Agent,
-    /// Talks to callers.
+    /// Process that serves callers.
     Entry,
 }
 
-/// Frames of an answer.
+/// Frame of a response.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Reply {
-    /// Not run, or not known to have run; [`Kind::ran`] tells which.
+    /// The request failed; [`Kind::ran`] tells whether it ran.
     Refused {
         /// Attempt.
         request: RequestId,
-        /// Why.
+        /// Reason.
         kind: Kind,
     },
-    /// The endpoint's answer begins.
+    /// Start of the endpoint's response.
     Head {
         /// Attempt.
         request: RequestId,
@@ -102,72 +102,72 @@
         /// Content type; empty for none.
         content_type: String,
     },
-    /// A piece of the answer.
+    /// A piece of the response.
     Piece {
         /// Attempt.
         request: RequestId,
         /// Version whose weights made it; empty for services.
         version: String,
-        /// Position, from 0 without gaps.
+        /// Sequence number, from 0 without gaps.
         seq: u64,
-        /// Text of a token, or bytes of a body.
+        /// Text of a token, or bytes of the body.
         data: Vec<u8>,
     },
-    /// The answer is whole.
+    /// End of a complete response.
     End {
         /// Attempt.
         request: RequestId,
         /// Version whose weights made it; empty for services.
         version: String,
-        /// Number of pieces.
+        /// Number of pieces sent.
         count: u64,
-        /// Digest of all pieces' data, in order.
+        /// Digest of the data of all pieces, in order.
         digest: Digest,
     },
-    /// A chunk's content.
+    /// Content of a chunk.
     Chunk(Vec<u8>),
-    /// The sender does not hold it, or has no slot free now.
+    /// The server can't send the requested content now.
     Absent(Absence),
-    /// Positions, among the manifest's distinct chunks, that the sender holds since its last
-    /// such frame.
+    /// Positions, among the manifest's distinct chunks, of the chunks that the server got since its
+    /// last such frame.
     Have(Vec<u32>),
     /// Signed bundles, lowest number first.
     Bundles(Vec<SignedBundle>),
-    /// What is lent, in the order of the asks.
+    /// Leased shares, in the order of the requests.
     Leased(Vec<Units>),
-    /// State of the sender.
+    /// State of the server.
     Notice(Notice),
     /// Digests of a version's pieces, in order.
     Pieces(Vec<Digest>),
-    /// Part of a table.
+    /// Records of a table.
     Records {
-        /// Whether `rows` are the newest of every key, in place of the records since the offset.
+        /// Whether `rows` are the newest record of every key, instead of the records since the offset.
         snapshot: bool,
         /// Records in order of offset.
         rows: Vec<Row>,
-        /// Offset of the record that comes next.
+        /// Offset of the record after the last one.
         end: u64,
-        /// Whether the sender has read the table from the store without interruption, so that what
-        /// was removed from it is gone.
+        /// Whether the server has read the table from the store without interruption, so that it has seen
+        /// every removal.
         sound: bool,
     },
-    /// The next bytes of a record's value.
+    /// Next bytes of a record's value.
     Part(Vec<u8>),
 }
 
 /// A table of the platform's store that processes copy from each other.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, Hash, PartialEq)]
 pub enum Table {
-    /// Entries, written by themselves.
+    /// Registered entries, written by the entries.
     Entries,
-    /// What the operator writes: the configuration and the versions of weights.
+    /// Configuration and versions of weights, written by the operator.
     Operator,
-    /// Replicas, written by themselves.
+    /// Registered replicas, written by the replicas.
     Replicas,
 }
 
 impl Table {
-    /// Every table.
+    /// All tables, in the order in which messages list them.
     pub const ALL: [Table; 3] = [Table::Entries, Table::Operator, Table::Replicas];
 }
 
@@ -178,62 +178,62 @@
     pub key: String,
     /// Value.
     pub value: Value,
-    /// Position in the table.
+    /// Offset in the table.
     pub offset: u64,
-    /// For how long it has counted as written to the sender, in milliseconds; the largest number for longer.
+    /// Age of the record as the sender knows it, in milliseconds; `u16::MAX` for longer.
     pub age_ms: u16,
 }
 
-/// Value of a record, as a peer tells it.
+/// Value of a record in a reply.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Value {
-    /// Too large for this frame: to be asked for by [`Call::Parts`].
+    /// The value is too large for this frame; [`Call::Parts`] fetches it.
     Deferred {
-        /// Bytes.
+        /// Length of the value, in bytes.
         length: u64,
-        /// Of all of it, so that parts that came from several peers are known to fit together.
+        /// Digest of the whole value, by which parts from several peers are known to fit together.
         digest: Digest,
     },
     /// The key is deleted.
     Deleted,
-    /// All of it.
+    /// The whole value.
     Inline(Vec<u8>),
 }
 
-/// Thousandths of requests and of tokens a second.
+/// Rates of requests and of tokens, in thousandths per second.
 #[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, PartialEq)]
 pub struct Units {
-    /// Of requests.
+    /// Thousandths of requests per second.
     pub requests: u64,
-    /// Of tokens.
+    /// Thousandths of tokens per second.
     pub tokens: u64,
 }
 
-/// An ask for a share of one team's rate.
+/// Request to lease a share of one team's rate.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct TeamLeaseRequest {
     /// Team.
     pub team: String,
-    /// What callers want of the asker.
+    /// Rate that the callers of the requesting entry demand.
     pub demand: Units,
-    /// What the asker holds by lease.
+    /// Rate that the requesting entry holds by leases.
     pub held: Units,
 }
 
-/// Why a peer gives no chunk.
+/// Reason why a peer doesn't send the requested content.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Absence {
-    /// Every upload slot is taken: ask again soon.
+    /// Every upload slot is taken; the client may retry soon.
     Busy,
-    /// It is shutting down.
+    /// The peer is shutting down.
     Leaving,
-    /// It does not hold the chunk.
+    /// The peer doesn't hold the content.
     NotHeld,
-    /// It is about to read the chunk from the origin, or has not heard of it yet.
+    /// The peer is about to read the content from the origin, or doesn't know of it yet.
     Pending,
 }
 
-/// What a request is pinned to when it is admitted, for its whole life.
+/// Weights to which a request is pinned from admission to its end.
 #[derive(Clone, Debug, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Pin {
     /// Model.
@@ -247,19 +247,19 @@
 /// One attempt at a request, from an entry to an agent.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Work {
-    /// This attempt.
+    /// Id of the attempt.
     pub request: RequestId,
     /// Team, for logs and metrics.
     pub team: String,
     /// Position of the class in the bundle's list; 0 is the most important.
     pub class: u8,
-    /// Milliseconds left until the caller's deadline, when sent.
+    /// Time left until the caller's deadline when the frame was sent, in milliseconds.
     pub deadline_ms: u32,
-    /// What to run.
+    /// Work for the endpoint.
     pub job: Job,
 }
 
-/// What an attempt asks of its endpoint.
+/// Work that an attempt sends to its endpoint.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Job {
     /// Generate text.
@@ -268,7 +268,7 @@
         pin: Pin,
         /// Prompt.
         prompt: String,
-        /// Most tokens.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
     },
     /// Call a plain service.
@@ -277,13 +277,13 @@
         service: String,
         /// HTTP method.
         method: String,
-        /// Path and query below the service.
+        /// Path and query, relative to the service.
         path: String,
         /// Content type; empty for none.
         content_type: String,
         /// Body.
         body: Vec<u8>,
-        /// Whether it may run more than once.
+        /// Whether the call may run more than once.
         repeat: Repeat,
     },
 }
@@ -291,28 +291,28 @@
 /// Whether a call may run more than once.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Repeat {
-    /// Idempotent: may run again.
+    /// The call is idempotent and may run again.
     Allowed,
-    /// At most once; a lost reply leaves its outcome unknown.
+    /// The call runs at most once; if its reply is lost, its outcome stays unknown.
     Never,
-    /// At most once for all calls with this key.
+    /// All calls with this idempotency key together run at most once.
     Key(String),
 }
 
-/// State of an agent, pushed to those who watch it.
+/// State of an agent, sent to its watchers.
 #[derive(Clone, Debug, Decode, Default, Encode, Eq, PartialEq)]
 pub struct Notice {
     /// Instance.
     pub node: String,
     /// Availability zone.
     pub zone: String,
-    /// Number of the bundle in force there; 0 for none.
+    /// Number of the bundle in force at the agent; 0 for none.
     pub bundle: u64,
-    /// Whether it takes no new work.
+    /// Whether the agent accepts no new work.
     pub leaving: bool,
-    /// Weights that it serves, checked against the engine.
+    /// Weights served, as the engine confirms them.
     pub serving: Vec<Pin>,
-    /// Plain service that it serves.
+    /// Plain service served, if any.
     pub service: Option<String>,
     /// Requests running at the endpoint.
     pub running: u32,
--- a/crates/gradeloft_wire/src/id.rs
+++ b/crates/gradeloft_wire/src/id.rs
@@ -1,11 +1,11 @@
-//! Small `Copy` keys that name content and requests.
+//! Digests, fingerprints and ids of content and requests.
 
 use std::{fmt, str::FromStr};
 
 use bincode::{Decode, Encode};
 
-/// A digest of 32 bytes, which names a chunk, a manifest or a bundle by its content: blake3 for what
-/// gradeloft names itself, SHA-256 for pieces of weights whose origin names them so.
+/// Digest of 32 bytes that identifies a chunk, a manifest or a bundle by its content. Digests are
+/// BLAKE3, or SHA-256 for weight pieces whose origin identifies them that way.
 ///
 /// ```
 /// use gradeloft_wire::id::Digest;
@@ -16,12 +16,13 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Digest of `bytes`.
+    /// Returns the BLAKE3 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(blake3::hash(bytes).into())
     }
 
-    /// Digest of several byte strings, each with its length before it, so that no two lists of them share one.
+    /// Returns the digest of several byte strings. Each is prefixed with its length, so that different
+    /// lists have different digests.
     pub fn of_parts(parts: &[&[u8]]) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -31,7 +32,7 @@
         Digest(hasher.finalize().into())
     }
 
-    /// First eight bytes as a number, for hashing and for seeds.
+    /// Returns the first eight bytes as a number, for hashing and as a seed.
     pub fn prefix_u64(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
@@ -50,7 +51,7 @@
     }
 }
 
-/// Why a text is no key.
+/// Error of parsing an id from text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
@@ -64,33 +65,33 @@
     }
 }
 
-/// Names all requests that are alike: the same team sends the same bytes to the same place. Nothing of a body can
-/// be read from it, and nobody finds a second request with the fingerprint of a first.
+/// Identifies equal requests: the same team sends the same bytes to the same target. The hash reveals
+/// nothing of a body, and finding a second request with the same fingerprint is infeasible.
 #[derive(Clone, Copy, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(pub [u8; 16]);
 
 impl Fingerprint {
-    /// Of a request; `place` is its host, its method and its path with the query.
+    /// Returns the fingerprint of a request; `target` is its host, its method and its path with the query.
     ///
     /// ```
     /// use gradeloft_wire::id::Fingerprint;
-    /// let place = ["host", "POST", "/notes?long"];
-    /// let one = Fingerprint::of(Some("rangers"), place, b"body");
+    /// let target = ["host", "POST", "/notes?long"];
+    /// let one = Fingerprint::of(Some("rangers"), target, b"body");
     /// assert_eq!(one.to_string().parse(), Ok(one));
-    /// assert_ne!(one, Fingerprint::of(Some("guides"), place, b"body"));
-    /// assert_ne!(one, Fingerprint::of(None, place, b"body"));
+    /// assert_ne!(one, Fingerprint::of(Some("guides"), target, b"body"));
+    /// assert_ne!(one, Fingerprint::of(None, target, b"body"));
     /// ```
-    pub fn of(team: Option<&str>, place: [&str; 3], body: &[u8]) -> Fingerprint {
-        let [host, method, target] = place.map(str::as_bytes);
-        let with_team = [u8::from(team.is_some())];
+    pub fn of(team: Option<&str>, target: [&str; 3], body: &[u8]) -> Fingerprint {
+        let [host, method, path] = target.map(str::as_bytes);
+        let has_team = [u8::from(team.is_some())];
         let team = team.unwrap_or_default().as_bytes();
-        let digest = Digest::of_parts(&[&with_team, team, host, method, target, body]);
+        let digest = Digest::of_parts(&[&has_team, team, host, method, path, body]);
         let mut bytes = [0; 16];
         bytes.copy_from_slice(&digest.0[..16]);
         Fingerprint(bytes)
     }
 
-    /// First eight bytes as a number, for hashing.
+    /// Returns the first eight bytes as a number, for hashing.
     pub fn prefix_u64(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
@@ -119,8 +120,8 @@
     }
 }
 
-/// Names one attempt at one request; drawn at random by the entry for each dispatch, never taken
-/// from a caller, so two requests cannot share one.
+/// Identifies one attempt at a request. The entry generates it at random for each dispatch and never
+/// accepts one from a caller, so that two requests can't share an id.
 #[derive(Clone, Copy, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestId(pub u128);
 
--- a/crates/gradeloft_wire/src/lib.rs
+++ b/crates/gradeloft_wire/src/lib.rs
@@ -1,14 +1,14 @@
-//! What gradeloft's processes say to each other, to the platform and to callers.
+//! Messages between gradeloft's processes, the platform and callers.
 //!
 //! - [`border`]: types generated from the JSON Schemas under `schema/`.
 //! - [`codec`]: length-prefixed bincode frames with bounded sizes.
-//! - [`datagram`]: what processes tell each other several times a second.
-//! - [`error`]: the closed list of error kinds and its table of answers.
+//! - [`datagram`]: state that processes send each other several times a second.
+//! - [`error`]: the closed list of error kinds and the response to each.
 //! - [`frame`]: messages between gradeloft's own processes.
-//! - [`id`]: small `Copy` keys.
-//! - [`quarantine`]: requests under which replicas ended.
-//! - [`record`]: records that gradeloft keeps on the platform's log.
-//! - [`schema`]: documents checked against the schemas, all faults at once.
+//! - [`id`]: digests, fingerprints and ids.
+//! - [`quarantine`]: requests suspected of crashing replicas.
+//! - [`record`]: records that gradeloft appends to the platform's log.
+//! - [`schema`]: validation of documents against the schemas.
 
 pub mod border;
 pub mod codec;
@@ -20,7 +20,7 @@
 pub mod record;
 pub mod schema;
 
-/// The names that most users of this crate want.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
         border::{bundle::Bundle, manifest::Manifest, settings::Settings},
--- a/crates/gradeloft_wire/src/quarantine.rs
+++ b/crates/gradeloft_wire/src/quarantine.rs
@@ -1,47 +1,47 @@
-//! What entries tell each other, and keep in the platform's store, of requests under which replicas ended.
+//! Requests suspected of crashing replicas, as entries exchange and store them.
 
 use bincode::{Decode, Encode};
 
 use crate::id::Fingerprint;
 
-/// Crashes of one request that are told and kept: far more than shut one out.
+/// Maximum number of crashes of a request that are sent and stored, far more than quarantine it.
 pub const MAX_CRASHES: usize = 16;
-/// Requests in one datagram: with the most crashes each, 120 bytes, they fill it.
+/// Maximum number of suspects in one datagram. With [`MAX_CRASHES`] each, 120 bytes, they fill it.
 pub const MAX_PER_DATAGRAM: usize = 10;
 
-/// The end of a replica while it had a request.
+/// A crash of a replica while it had a request.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Crash {
-    /// Hash of the replica's start, which ended only once.
+    /// Hash that identifies the start of the replica; each start crashes at most once.
     pub start: u32,
-    /// Whether it no longer speaks against the request, which was answered elsewhere.
+    /// Whether the crash no longer counts, because the request succeeded elsewhere or an operator cleared it.
     pub void: bool,
 }
 
-/// What is known of a request, as one entry tells others.
+/// Crashes of a request, as entries send them to each other.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Crashes by start, each start once.
+    /// Crashes, each start once.
     pub crashes: Vec<Crash>,
-    /// How long ago the last of them happened, in milliseconds.
+    /// Time since the last crash, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is known of a request, as the store keeps it under the request's [`key`].
+/// Crashes of a request, as stored under the request's [`key`].
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct SuspectRecord {
-    /// Unix millisecond of the last crash, by the clock of the entry that wrote it.
+    /// Unix time of the last crash in milliseconds, by the clock of the entry that wrote the record.
     pub crashed_ms: u64,
-    /// Crashes by start, each start once.
+    /// Crashes, each start once.
     pub crashes: Vec<Crash>,
 }
 
-/// Begins the keys of requests, beside the addresses under which entries register.
-const KEY: &str = "request/";
+/// Prefix of the keys of requests; entries register in the same table under their addresses.
+const KEY_PREFIX: &str = "request/";
 
-/// Key of a request in the table that entries write.
+/// Returns the key of a request in the table that entries write.
 ///
 /// ```
 /// use gradeloft_wire::{id::Fingerprint, quarantine};
@@ -50,10 +50,10 @@
 /// assert_eq!(quarantine::parse_key("10.0.0.1"), None);
 /// ```
 pub fn key(request: Fingerprint) -> String {
-    format!("{KEY}{request}")
+    format!("{KEY_PREFIX}{request}")
 }
 
-/// The request that a key names, if it names one.
+/// Returns the request that a key identifies; `None` for other keys.
 pub fn parse_key(key: &str) -> Option<Fingerprint> {
-    key.strip_prefix(KEY)?.parse().ok()
+    key.strip_prefix(KEY_PREFIX)?.parse().ok()
 }
--- a/crates/gradeloft_wire/src/record.rs
+++ b/crates/gradeloft_wire/src/record.rs
@@ -1,13 +1,13 @@
-//! Records that gradeloft keeps on the platform's log.
+//! Records that gradeloft appends to the platform's log.
 //!
-//! A record is one format byte and a bincode body, so that a reader can pass over records of a
-//! newer format instead of misreading them.
+//! A record is one format byte and a bincode body, so that a reader skips records of a newer format
+//! instead of misreading them.
 
 use bincode::{Decode, Encode};
 
 use crate::{codec, id::Digest};
 
-/// Format of the records written by this build.
+/// Format of the records that this build writes.
 pub const FORMAT: u8 = 1;
 /// Largest record read from the log, in bytes.
 pub const MAX_BYTES: usize = 1 << 20;
@@ -16,16 +16,17 @@
 pub const CONFIG: &str = "config";
 /// Stream of agents' epochs.
 pub const EPOCHS: &str = "epochs";
-/// Streams of claims on calls that may run at most once; one for each service, `claims.SERVICE`.
+/// Prefix of the streams of claims on calls that run at most once; one for each service,
+/// `claims.SERVICE`.
 pub const CLAIMS: &str = "claims";
-/// Streams of turns to switch versions; one for each model, `turns.MODEL`, and for each adapter,
-/// `turns.MODEL.ADAPTER`.
+/// Prefix of the streams of turns to switch versions; one for each model, `turns.MODEL`, and for each
+/// adapter, `turns.MODEL.ADAPTER`.
 pub const TURNS: &str = "turns";
 
 /// A bundle with the signature of its publisher.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct SignedBundle {
-    /// The bundle in canonical JSON; its digest and its signature are over these bytes.
+    /// The bundle as canonical JSON; the digest and the signature cover these bytes.
     pub payload: Vec<u8>,
     /// Name of the publisher.
     pub signer: String,
@@ -34,84 +35,84 @@
 }
 
 impl SignedBundle {
-    /// Digest that names the bundle.
+    /// Returns the digest that identifies the bundle.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.payload)
     }
 }
 
-/// The right to run one call that may run at most once.
+/// Exclusive right to run a call that runs at most once.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Claim {
-    /// Service and the caller's key, scoped by team.
+    /// Digest of the team, the service and the caller's key.
     pub key: Digest,
-    /// Attempt that claims; equal in a re-read of the same claim.
+    /// Attempt that claims the call; tells a re-read of the same claim from a competing one.
     pub attempt: u128,
 }
 
-/// How far a replica is with a version that it needed a turn for.
+/// Progress of a replica's switch to a version.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Step {
-    /// It asks for a turn, or renews its ask.
+    /// The replica requests a turn, or renews its request.
     Ask,
-    /// It serves the version.
+    /// The replica serves the version.
     Done,
-    /// The version failed on it.
+    /// The version failed on the replica.
     Failed,
 }
 
-/// A replica's word on its turn to switch to a bundle's version.
+/// State of a replica's turn to switch to a bundle's version.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Turn {
-    /// Number of the bundle in force when it was said.
+    /// Number of the bundle in force when the record was written.
     pub number: u64,
-    /// Manifest of the version, which stays the same when a bundle changes something else.
+    /// Digest of the version's manifest; bundles that change something else keep it.
     pub manifest: Digest,
     /// Instance of the replica.
     pub node: String,
-    /// How far it is.
+    /// Progress of the switch.
     pub step: Step,
 }
 
-/// One record.
+/// A record of the log.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Record {
     /// A published bundle.
     Bundle(SignedBundle),
-    /// The bundle in force, appended again by a node that accepted it, for readers that come after
+    /// The bundle in force, appended again by a node that accepted it, for readers that start after
     /// the log has dropped the original.
     Checkpoint(SignedBundle),
     /// A start of an agent; its offset in the log is the agent's epoch.
     Epoch {
         /// Instance.
         node: String,
-        /// Drawn at random at start, to know the own record again.
+        /// Random number by which the agent recognizes its own record.
         nonce: u64,
     },
-    /// Claims on calls.
+    /// Claims on calls that run at most once.
     Claims(Vec<Claim>),
-    /// A turn of a rollout.
+    /// A replica's turn in a rollout.
     Turn(Turn),
 }
 
-/// Why a record can't be read.
+/// Reason why a record can't be decoded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RecordError {
-    /// Empty, cut off, too long or otherwise broken.
+    /// The record is empty, truncated, too long or otherwise invalid.
     Malformed,
-    /// Written by a newer build.
+    /// A newer build wrote the record.
     Newer,
 }
 
 impl Record {
-    /// Bytes for the log.
+    /// Encodes the record for the log.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT];
         bytes.extend(codec::encode_body(self));
         bytes
     }
 
-    /// Reads the bytes of one record.
+    /// Decodes the bytes of one record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         if MAX_BYTES < bytes.len() {
             return Err(RecordError::Malformed);
--- a/crates/gradeloft_wire/src/schema.rs
+++ b/crates/gradeloft_wire/src/schema.rs
@@ -1,11 +1,11 @@
-//! Documents checked against the JSON Schemas under `schema/`, all faults at once.
+//! Validation of documents against the JSON Schemas under `schema/`, which reports all faults at once.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A committed schema.
+/// A JSON Schema of this repository.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Schema {
     /// `schema/bundle.json`.
@@ -26,12 +26,12 @@
     }
 }
 
-/// One fault of a document.
+/// A fault in a document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Where, as a JSON pointer; empty for the whole document.
+    /// Location as a JSON pointer; empty for the whole document.
     pub path: String,
-    /// What is there and what is allowed.
+    /// Description of the invalid value and of what is allowed.
     pub message: String,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Fault {
-    /// A fault of a check beyond the schema.
+    /// Creates a fault, for checks that the schema can't express.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Fault {
         Fault {
             path: path.into(),
@@ -56,14 +56,14 @@
     }
 }
 
-/// Reads YAML, checks it against the schema and gives the typed document or every fault.
+/// Parses YAML, validates it against the schema and returns the typed document or all faults.
 pub fn from_yaml<T: DeserializeOwned>(schema: Schema, text: &str) -> Result<T, Vec<Fault>> {
     let value: Value =
         serde_saphyr::from_str(text).map_err(|it| vec![Fault::new("", first_line(&it))])?;
     from_value(schema, value)
 }
 
-/// As [`from_yaml`], for JSON bytes.
+/// Like [`from_yaml`], for JSON bytes.
 pub fn from_json<T: DeserializeOwned>(schema: Schema, bytes: &[u8]) -> Result<T, Vec<Fault>> {
     let value: Value =
         serde_json::from_slice(bytes).map_err(|it| vec![Fault::new("", it.to_string())])?;
--- a/crates/gradeloft_wire/tests/capacity.rs
+++ b/crates/gradeloft_wire/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page's arithmetic follows from its own figures.
+//! Checks the arithmetic of the tables in `docs/CAPACITY.md`.
 
 use std::{fs, path::Path};
 
@@ -7,9 +7,9 @@
 }
 
 #[test]
-fn every_row_is_its_slope_times_its_size() {
+fn each_result_is_slope_times_size() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/CAPACITY.md");
-    let page = fs::read_to_string(path).expect("the page is there");
+    let page = fs::read_to_string(path).expect("docs/CAPACITY.md can be read");
     let mut rows = 0;
     for line in page.lines().filter(|it| it.starts_with('|')) {
         let cells: Vec<&str> = line.trim_matches('|').split('|').collect();
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames, records, documents and the table of errors.
+//! Tests of frames, records, datagrams, documents and the error table.
 
 use std::{fs, path::Path};
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn frames_survive_being_cut_anywhere() {
+fn frames_decode_when_split_at_any_byte() {
     let pin = Pin {
         model: "m".to_owned(),
         adapter: None,
@@ -54,19 +54,19 @@
         .collect();
     for cut in 0..bytes.len() {
         let mut decoder = Decoder::new(1 << 16);
-        let mut seen: Vec<Call> = Vec::new();
+        let mut decoded: Vec<Call> = Vec::new();
         for part in [&bytes[..cut], &bytes[cut..]] {
             decoder.feed(part);
             while let Some(call) = decoder.pop().unwrap() {
-                seen.push(call);
+                decoded.push(call);
             }
         }
-        assert_eq!(seen, calls);
+        assert_eq!(decoded, calls);
     }
 }
 
 #[test]
-fn frames_that_are_too_long_or_have_trailing_bytes_are_refused() {
+fn frames_that_are_too_long_or_have_trailing_bytes_are_rejected() {
     let mut decoder = Decoder::new(8);
     decoder.feed(&codec::encode_frame(&work()));
     assert_eq!(decoder.pop::<Call>(), Err(Malformed::Length));
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn a_length_that_claims_more_memory_than_there_is_is_refused() {
-    // A vector of 2^60 bytes, in five bytes of frame.
+fn a_length_above_the_decoding_limit_is_rejected() {
+    // The body declares a vector of 2^60 bytes.
     let mut body = codec::encode_body(&Reply::Chunk(Vec::new()));
     body.truncate(1);
     body.push(253);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn records_of_a_newer_format_are_told_from_broken_ones() {
+fn records_of_a_newer_format_differ_from_malformed_ones() {
     let record = Record::Epoch {
         node: "a".to_owned(),
         nonce: 7,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_is_said_not_to_have_run_is_always_safe_to_retry_and_nothing_else_is() {
+fn only_kinds_that_never_ran_are_retried_unconditionally() {
     for kind in Kind::ALL {
         let row = kind.row();
         if row.retry == Retry::Elsewhere || row.caller_may_retry {
@@ -121,14 +121,14 @@
 }
 
 #[test]
-fn the_page_of_errors_shows_the_table() {
+fn the_errors_page_contains_the_table() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/ERRORS.md");
-    let page = fs::read_to_string(path).expect("the page is there");
+    let page = fs::read_to_string(path).expect("docs/ERRORS.md can be read");
     let table = page
         .split_once("\n| kind")
         .map(|(_, it)| format!("| kind{it}"));
     assert_eq!(
-        table.expect("a table"),
+        table.expect("the page has a table"),
         Kind::table(),
         "copy the table into docs/ERRORS.md"
     );
@@ -137,9 +137,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(20_000))]
 
-    /// Arbitrary bytes from a peer or from the log give an error or a message, and no panic.
+    /// Arbitrary bytes from a peer or from the log decode to an error or a message, without a panic.
     #[test]
-    fn arbitrary_bytes_are_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_dont_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = codec::decode_body::<Call>(&bytes);
         let _ = codec::decode_body::<Reply>(&bytes);
         let _ = Record::decode(&bytes);
@@ -151,9 +151,9 @@
         while let Ok(Some(_)) = decoder.pop::<Call>() {}
     }
 
-    /// Flipping any byte of a valid record never gives another bundle with the same digest.
+    /// A record with a corrupted byte never decodes to the original bundle.
     #[test]
-    fn a_flipped_byte_shows(at in 0usize..120, flip in 1u8..) {
+    fn a_corrupted_byte_changes_the_record(at in 0usize..120, flip in 1u8..) {
         let signed = SignedBundle {
             payload: b"{\"number\":1}".to_vec(),
             signer: "ops".to_owned(),
@@ -171,16 +171,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
-    /// Arbitrary text as settings or as a bundle gives faults, and no panic.
+    /// Arbitrary text as settings or as a bundle gives faults, without a panic.
     #[test]
-    fn arbitrary_text_is_no_harm(text in "[ -~\\n]{0,120}") {
+    fn arbitrary_text_doesnt_panic(text in "[ -~\\n]{0,120}") {
         let _ = schema::from_yaml::<Settings>(Schema::Settings, &text);
         let _ = schema::from_yaml::<Bundle>(Schema::Bundle, &text);
     }
 }
 
 #[test]
-fn digests_and_ids_survive_their_text_form() {
+fn digests_and_ids_round_trip_through_text() {
     let digest = Digest::of(b"x");
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert!("zz".parse::<Digest>().is_err());
@@ -190,8 +190,8 @@
 }
 
 #[test]
-fn what_a_datagram_says_of_the_age_of_copies_takes_nine_bytes_at_most() {
-    let told = |unconfirmed_ms| {
+fn ages_of_copies_take_nine_bytes_of_a_datagram_at_most() {
+    let length = |unconfirmed_ms| {
         let datagram = Datagram {
             incarnation: u64::MAX,
             zone: "z".to_owned(),
@@ -208,15 +208,15 @@
         };
         codec::encode_body(&datagram).len()
     };
-    // A byte for each copy that is known to be whole a moment ago.
-    let least = told([0; 3]);
-    assert!(least < 64, "{least}");
-    assert!(told([u16::MAX; 3]) <= least + 6);
+    // A copy that was just confirmed takes one byte.
+    let shortest = length([0; 3]);
+    assert!(shortest < 64, "{shortest}");
+    assert!(length([u16::MAX; 3]) <= shortest + 6);
 }
 
-/// A datagram that is too large is not sent, so as many requests as one may hold have room with all their crashes.
+/// A datagram that is too large isn't sent, so the maximum number of suspects must fit with all their crashes.
 #[test]
-fn the_largest_word_on_requests_has_room_in_a_datagram() {
+fn the_largest_suspects_message_fits_into_a_datagram() {
     let crashes = (0..MAX_CRASHES as u32).map(|it| Crash {
         start: u32::MAX - it,
         void: true,
