--- a/crates/gradeloft_gateway/tests/entry/large_records.rs
+++ b/crates/gradeloft_gateway/tests/entry/large_records.rs
@@ -96,7 +96,7 @@
 
     /// Returns the transferred bytes, in records of [`LARGE_BYTES`] bytes.
     fn records_sent(&self) -> f64 {
-        self.links.crossed() as f64 / LARGE_BYTES as f64
+        self.links.bytes_sent() as f64 / LARGE_BYTES as f64
     }
 }
 
