--- a/crates/gradeloft_wire/src/datagram.rs
+++ b/crates/gradeloft_wire/src/datagram.rs
@@ -45,7 +45,8 @@
         presence: Presence,
         /// Whether the platform's store serves the entry, as far as the entry can tell.
         store: StoreAccess,
-        /// Whether the sender requests the receiver's state, because it has only the receiver's address.
+        /// Whether the sender requests the receiver's state, because it has only the receiver's
+        /// address.
         wants_state: bool,
         /// The entry's requests in flight at replicas.
         loads: Loads,
@@ -54,8 +55,8 @@
         /// Replicas that accept requests for the newest version, by model.
         switched: Vec<SwitchedReplicas>,
     },
-    /// State of a whole region, sent by one of its entries. The other fields of the datagram describe that
-    /// entry alone.
+    /// State of a whole region, sent by one of its entries. The other fields of the datagram
+    /// describe that entry alone.
     Region {
         /// Whether an entry of the receiver's region relayed the message.
         relayed: bool,
@@ -82,8 +83,8 @@
     Members(Vec<Member>),
 }
 
-/// Requests of one entry or region in flight at replicas. If they exceed one datagram, they are split
-/// into parts by the replica's hash, and each datagram replaces the previous one of its part.
+/// Requests of one entry or region in flight at replicas. If they exceed one datagram, they are
+/// split into parts by the replica's hash, and each datagram replaces the previous one of its part.
 #[derive(Clone, Debug, Decode, Default, Encode, Eq, PartialEq)]
 pub struct Loads {
     /// Number of the part, counted from 0.
--- a/crates/gradeloft_wire/src/frame.rs
+++ b/crates/gradeloft_wire/src/frame.rs
@@ -1,7 +1,7 @@
 //! Messages between gradeloft's own processes.
 //!
-//! The client opens each HTTP/2 stream with one [`Call`]; the server sends [`Reply`] frames until it
-//! closes the stream.
+//! The client opens each HTTP/2 stream with one [`Call`]; the server sends [`Reply`] frames until
+//! it closes the stream.
 
 use bincode::{Decode, Encode};
 
@@ -14,7 +14,8 @@
 /// First frame of a stream: the request of its client.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Call {
-    /// Subscribe to the server's state: [`Reply::Notice`] frames, now and after each change, without end.
+    /// Subscribe to the server's state: [`Reply::Notice`] frames, now and after each change,
+    /// without end.
     Watch,
     /// Run a request: [`Reply::Refused`], or [`Reply::Head`], [`Reply::Piece`]s and a
     /// [`Reply::End`].
@@ -24,8 +25,8 @@
         /// Digest of the chunk.
         digest: Digest,
     },
-    /// Subscribe to the server's chunks of a manifest: [`Reply::Have`] frames, now and whenever it gets
-    /// more, without end.
+    /// Subscribe to the server's chunks of a manifest: [`Reply::Have`] frames, now and whenever it
+    /// gets more, without end.
     Follow {
         /// Digest of the manifest.
         manifest: Digest,
@@ -44,7 +45,8 @@
     },
     /// Push the bundle in force: one empty [`Reply::Bundles`].
     Push(SignedBundle),
-    /// Fetch the records that a copy of a table lacks: one [`Reply::Records`], or [`Reply::Absent`].
+    /// Fetch the records that a copy of a table lacks: one [`Reply::Records`], or
+    /// [`Reply::Absent`].
     Records {
         /// Table.
         table: Table,
@@ -60,8 +62,8 @@
         /// Version.
         version: u64,
     },
-    /// Fetch a value announced by [`Value::Deferred`]: the remaining [`Reply::Part`]s in order, or one
-    /// [`Reply::Absent`].
+    /// Fetch a value announced by [`Value::Deferred`]: the remaining [`Reply::Part`]s in order, or
+    /// one [`Reply::Absent`].
     Parts {
         /// Table.
         table: Table,
@@ -141,14 +143,15 @@
     Pieces(Vec<Digest>),
     /// Records of a table.
     Records {
-        /// Whether `rows` are the newest record of every key, instead of the records since the offset.
+        /// Whether `rows` are the newest record of every key, instead of the records since the
+        /// offset.
         snapshot: bool,
         /// Records in order of offset.
         rows: Vec<Row>,
         /// Offset of the record after the last one.
         end: u64,
-        /// Whether the server has read the table from the store without interruption, so that it has seen
-        /// every removal.
+        /// Whether the server has read the table from the store without interruption, so that it
+        /// has seen every removal.
         sound: bool,
     },
     /// Next bytes of a record's value.
--- a/crates/gradeloft_wire/src/id.rs
+++ b/crates/gradeloft_wire/src/id.rs
@@ -21,8 +21,8 @@
         Digest(blake3::hash(bytes).into())
     }
 
-    /// Returns the digest of several byte strings. Each is prefixed with its length, so that different
-    /// lists have different digests.
+    /// Returns the digest of several byte strings. Each is prefixed with its length, so that
+    /// different lists have different digests.
     pub fn of_parts(parts: &[&[u8]]) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -65,13 +65,14 @@
     }
 }
 
-/// Identifies equal requests: the same team sends the same bytes to the same target. The hash reveals
-/// nothing of a body, and finding a second request with the same fingerprint is infeasible.
+/// Identifies equal requests: the same team sends the same bytes to the same target. The hash
+/// reveals nothing of a body, and finding a second request with the same fingerprint is infeasible.
 #[derive(Clone, Copy, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(pub [u8; 16]);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request; `target` is its host, its method and its path with the query.
+    /// Returns the fingerprint of a request; `target` is its host, its method and its path with the
+    /// query.
     ///
     /// ```
     /// use gradeloft_wire::id::Fingerprint;
@@ -120,8 +121,8 @@
     }
 }
 
-/// Identifies one attempt at a request. The entry generates it at random for each dispatch and never
-/// accepts one from a caller, so that two requests can't share an id.
+/// Identifies one attempt at a request. The entry generates it at random for each dispatch and
+/// never accepts one from a caller, so that two requests can't share an id.
 #[derive(Clone, Copy, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestId(pub u128);
 
--- a/crates/gradeloft_wire/src/quarantine.rs
+++ b/crates/gradeloft_wire/src/quarantine.rs
@@ -14,7 +14,8 @@
 pub struct Crash {
     /// Hash that identifies the start of the replica; each start crashes at most once.
     pub start: u32,
-    /// Whether the crash no longer counts, because the request succeeded elsewhere or an operator cleared it.
+    /// Whether the crash no longer counts, because the request succeeded elsewhere or an operator
+    /// cleared it.
     pub void: bool,
 }
 
@@ -32,7 +33,8 @@
 /// Crashes of a request, as stored under the request's [`key`].
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct SuspectRecord {
-    /// Unix time of the last crash in milliseconds, by the clock of the entry that wrote the record.
+    /// Unix time of the last crash in milliseconds, by the clock of the entry that wrote the
+    /// record.
     pub crashed_ms: u64,
     /// Crashes, each start once.
     pub crashes: Vec<Crash>,
--- a/crates/gradeloft_wire/src/record.rs
+++ b/crates/gradeloft_wire/src/record.rs
@@ -19,8 +19,8 @@
 /// Prefix of the streams of claims on calls that run at most once; one for each service,
 /// `claims.SERVICE`.
 pub const CLAIMS: &str = "claims";
-/// Prefix of the streams of turns to switch versions; one for each model, `turns.MODEL`, and for each
-/// adapter, `turns.MODEL.ADAPTER`.
+/// Prefix of the streams of turns to switch versions; one for each model, `turns.MODEL`, and for
+/// each adapter, `turns.MODEL.ADAPTER`.
 pub const TURNS: &str = "turns";
 
 /// A bundle with the signature of its publisher.
--- a/crates/gradeloft_wire/src/schema.rs
+++ b/crates/gradeloft_wire/src/schema.rs
@@ -1,4 +1,5 @@
-//! Validation of documents against the JSON Schemas under `schema/`, which reports all faults at once.
+//! Validation of documents against the JSON Schemas under `schema/`, which reports all faults at
+//! once.
 
 use std::fmt;
 
--- a/crates/gradeloft_wire/tests/wire.rs
+++ b/crates/gradeloft_wire/tests/wire.rs
@@ -137,7 +137,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(20_000))]
 
-    /// Arbitrary bytes from a peer or from the log decode to an error or a message, without a panic.
+    /// Arbitrary bytes from a peer or from the log decode to an error or a message, without a
+    /// panic.
     #[test]
     fn arbitrary_bytes_dont_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = codec::decode_body::<Call>(&bytes);
@@ -214,7 +215,8 @@
     assert!(length([u16::MAX; 3]) <= shortest + 6);
 }
 
-/// A datagram that is too large isn't sent, so the maximum number of suspects must fit with all their crashes.
+/// A datagram that is too large isn't sent, so the maximum number of suspects must fit with all
+/// their crashes.
 #[test]
 fn the_largest_suspects_message_fits_into_a_datagram() {
     let crashes = (0..MAX_CRASHES as u32).map(|it| Crash {
