--- a/crates/gradeloft_standin/src/caller.rs
+++ b/crates/gradeloft_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entries.
+//! A client of the entries.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
 use gradeloft_wire::border::caller::{Addresses, End, Error, Token};
 use serde_json::json;
 
-/// A caller of one team.
+/// A client that sends requests of one team.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
@@ -19,36 +19,36 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// What came back for a generate request.
+/// The response to a generate request.
 #[derive(Clone, Debug, Default)]
 pub struct GenerateResponse {
     /// HTTP status; 0 when the connection failed.
     pub status: u16,
-    /// The text of all tokens.
+    /// The concatenated text of all tokens.
     pub text: String,
     /// Number of tokens.
     pub tokens: u64,
-    /// The closing event of a whole answer.
+    /// The `end` event; `None` if the response is incomplete.
     pub end: Option<End>,
-    /// The error, as a body or as an event.
+    /// The error from the body or from an event.
     pub error: Option<Error>,
 }
 
-/// What came back for a service call.
+/// The response to a service call.
 #[derive(Clone, Debug)]
 pub struct ServiceResponse {
-    /// HTTP status; 0 when the connection failed or the body broke off.
+    /// HTTP status; 0 when the connection failed or the body was truncated.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: String,
-    /// The error, if the body is one.
+    /// The error, if the body contains one.
     pub error: Option<Error>,
-    /// `Retry-After`, if there is one.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<String>,
 }
 
 impl Caller {
-    /// A caller of a team with its token.
+    /// Creates a client of `team` that authenticates with `token`; an empty token is not sent.
     pub fn new(team: &str, token: &str) -> Caller {
         let client = Client::builder().timeout(Duration::from_secs(60)).finish();
         Caller {
@@ -59,20 +59,20 @@
         }
     }
 
-    /// The same caller with one header more.
+    /// Returns a copy of this caller with an additional header.
     pub fn with_header(&self, name: &str, value: &str) -> Caller {
         let mut caller = self.clone();
         caller.headers.push((name.to_owned(), value.to_owned()));
         caller
     }
 
-    /// Asks an entry which addresses to use.
+    /// Requests the addresses of the entries that callers in `zone` use.
     pub async fn addresses(&self, entry: SocketAddr, zone: &str) -> Option<Addresses> {
         let url = format!("http://{entry}/v1/addresses?team={}&zone={zone}", self.team);
         self.client.get(url).send().await.ok()?.json().await.ok()
     }
 
-    /// Sends a generate request and reads the whole answer.
+    /// Sends a generate request and reads the whole response.
     pub async fn generate(
         &self,
         entry: SocketAddr,
@@ -84,7 +84,7 @@
         self.generate_raw(entry, model, body).await
     }
 
-    /// Sends any body as a generate request.
+    /// Sends a generate request with the given body.
     pub async fn generate_raw(
         &self,
         entry: SocketAddr,
@@ -107,7 +107,7 @@
         read_events(response).await
     }
 
-    /// Starts a generate request and gives the answer's bytes as they come.
+    /// Sends a generate request and returns the stream of response bytes.
     pub async fn generate_stream(
         &self,
         entry: SocketAddr,
--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -1,7 +1,7 @@
 //! A fake of a model engine.
 //!
-//! Its tokens are a function of the prompt and of the bytes of the weights that it serves, so a
-//! test can tell which weights answered, and whether they were whole.
+//! Tokens are a function of the prompt and of the served weights, so a test can check which weights
+//! generated a response and whether they were complete.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use gradeloft_http::{
-    message::{HttpResponse, Request, json, stream as streamed, text},
+    message::{HttpResponse, Request, json, stream as stream_response, text},
     server::Server,
 };
 use gradeloft_wire::{
@@ -28,71 +28,72 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::{listen, pause, refused, url};
+use crate::{refusal, sleep_ms, start_server, url};
 
-/// Bytes of a prompt that are cached as its prefix.
+/// Length of the prompt prefix that identifies a cache entry, in bytes.
 pub const PREFIX_BYTES: usize = 256;
 
-/// A fault of the answers to generate requests.
+/// A fault in the responses to generate requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// Carries the id of another request.
+    /// Events carry the id of another request.
     WrongRequestId,
-    /// Breaks off after two tokens.
+    /// The response ends after two tokens, without an `end` event.
     Truncated,
-    /// Has tokens of another version in the middle.
+    /// The third token is labelled with another version.
     MixedVersions,
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Has a token twice.
+    /// The second token is sent twice.
     DuplicateToken,
-    /// Stalls after two tokens.
+    /// The response stalls after two tokens.
     Stalled,
 }
 
-/// State and knobs of an engine.
+/// State and fault settings of an engine.
 pub struct State {
     content: RefCell<BTreeMap<Digest, Bytes>>,
     serving: RefCell<Vec<Weights>>,
     fence: RefCell<Fence>,
-    /// Versions that it can hold.
+    /// Number of versions that fit in memory.
     pub capacity: Cell<u32>,
-    /// Requests that it runs at once; it refuses more.
+    /// Maximum number of concurrent requests; further ones are refused.
     pub slots: Cell<u32>,
-    /// Requests running.
+    /// Number of requests in progress.
     pub running: Cell<u32>,
-    /// Requests that ran to their end.
+    /// Number of requests that have completed.
     pub finished: Cell<u64>,
-    /// Requests that were cancelled before their end.
+    /// Number of requests that were cancelled before completion.
     pub cancelled: Rc<Cell<u64>>,
-    /// Time for each token, in milliseconds.
+    /// Time per token, in milliseconds.
     pub token_ms: Cell<u64>,
-    /// Time to take in a prompt whose prefix is not cached, in milliseconds; one at a time.
+    /// Prefill time of a prompt whose prefix is not cached, in milliseconds. Prefills run one at a
+    /// time.
     pub prefill_ms: Cell<u64>,
-    /// Time to take in a prompt whose prefix is cached, in milliseconds.
+    /// Prefill time of a prompt whose prefix is cached, in milliseconds.
     pub cached_ms: Cell<u64>,
-    /// Prefixes that it caches.
+    /// Maximum number of cached prefixes.
     pub cache_size: Cell<usize>,
-    /// Prompts whose prefix was cached.
+    /// Number of prompts whose prefix was cached.
     pub hits: Cell<u64>,
-    /// Prompts whose prefix was not.
+    /// Number of prompts whose prefix was not cached.
     pub misses: Cell<u64>,
     cache: RefCell<VecDeque<u64>>,
-    prefill_free: Cell<Option<Instant>>,
-    /// Fault of its answers.
+    prefill_idle_at: Cell<Option<Instant>>,
+    /// Fault in the responses.
     pub fault: Cell<Fault>,
-    /// Whether it obeys orders whatever their fence.
+    /// Whether orders with a stale fence are accepted.
     pub ignores_fence: Cell<bool>,
-    /// So many next orders take effect, and their replies are lost.
+    /// Number of next orders that take effect but whose replies are lost.
     pub lose_replies: Cell<u32>,
-    /// So many next orders are answered well and do nothing.
+    /// Number of next orders that are acknowledged but have no effect.
     pub ignore_orders: Cell<u32>,
-    /// Refuses to load anything while set, as for weights that are no good.
+    /// Whether load orders are refused, as for invalid weights.
     pub refuse_loads: Cell<bool>,
-    /// Delay of orders, in milliseconds.
+    /// Delay of each order, in milliseconds.
     pub order_ms: Cell<u64>,
-    /// Orders received.
+    /// Number of orders received.
     pub orders: Cell<u64>,
 }
 
@@ -117,7 +118,7 @@
             hits: Cell::default(),
             misses: Cell::default(),
             cache: RefCell::default(),
-            prefill_free: Cell::default(),
+            prefill_idle_at: Cell::default(),
             fault: Cell::default(),
             ignores_fence: Cell::default(),
             lose_replies: Cell::default(),
@@ -129,18 +130,18 @@
     }
 }
 
-/// An engine that listens.
+/// A listening engine.
 pub struct Engine {
-    /// State and knobs.
+    /// State and fault settings.
     pub state: Rc<State>,
     server: Server,
 }
 
 impl Engine {
-    /// Starts an engine that holds nothing.
+    /// Starts an engine without weights.
     pub async fn start() -> std::io::Result<Engine> {
         let state = Rc::new(State::default());
-        let server = listen(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), handle_request).await?;
         Ok(Engine { state, server })
     }
 
@@ -150,7 +151,7 @@
     }
 }
 
-/// The text that an engine with these weights answers, token by token.
+/// Returns the tokens that an engine generates with the given weights, in order.
 pub fn expected_tokens(weights: &[Bytes], prompt: &str, max_tokens: u32) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in weights {
@@ -168,7 +169,7 @@
 }
 
 impl State {
-    /// Versions that it serves, as `model/version`.
+    /// Returns the versions in service as `model/version`.
     pub fn serves(&self) -> Vec<String> {
         let serving = self.serving.borrow();
         serving
@@ -177,17 +178,18 @@
             .collect()
     }
 
-    /// Puts weights into service without an order, as a restarted engine or a rival would.
+    /// Replaces the weights in service without an order, as after an engine restart or an order from
+    /// a competing controller.
     pub fn set_serving(&self, weights: Vec<Weights>) {
         *self.serving.borrow_mut() = weights;
     }
 
-    /// Drops all staged content, as a replaced engine has none.
+    /// Deletes all staged content, as after an engine replacement.
     pub fn clear_content(&self) {
         self.content.borrow_mut().clear();
     }
 
-    /// When the prompt has been taken in, and whether its prefix was cached.
+    /// Schedules the prefill of a prompt, updates the prefix cache and returns the completion time.
     fn prefill(&self, prompt: &str) -> Instant {
         let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
         let prefix = Digest::of(prefix).prefix_u64();
@@ -207,9 +209,9 @@
         cache.push_front(prefix);
         cache.truncate(self.cache_size.get());
         let now = Instant::now();
-        let start = self.prefill_free.get().unwrap_or(now).max(now);
+        let start = self.prefill_idle_at.get().unwrap_or(now).max(now);
         let end = start + Duration::from_millis(cost);
-        self.prefill_free.set(Some(end));
+        self.prefill_idle_at.set(Some(end));
         end
     }
 
@@ -238,8 +240,8 @@
         Some(Digest(hasher.finalize().into()))
     }
 
-    /// Drops content that no version in service needs.
-    fn collect(&self) {
+    /// Deletes content that no version in service needs.
+    fn delete_unused_content(&self) {
         let serving = self.serving.borrow().clone();
         let mut needed = Vec::new();
         for weights in serving {
@@ -260,7 +262,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
+async fn handle_request(state: Rc<State>, request: Request) -> HttpResponse {
     let segments = request.segments();
     let body = request.body.clone().unwrap_or_default();
     match (request.method.as_str(), segments.as_slice()) {
@@ -272,30 +274,30 @@
                 &content.keys().map(ToString::to_string).collect::<Vec<_>>(),
             )
         }
-        ("PUT", ["v1", "content", digest]) => stage(&state, digest, body),
-        ("POST", ["v1", "orders"]) => order(&state, &body, &request).await,
+        ("PUT", ["v1", "content", digest]) => stage_content(&state, digest, body),
+        ("POST", ["v1", "orders"]) => handle_order(&state, &body, &request).await,
         ("POST", ["v1", "generate"]) => match serde_json::from_slice(&body) {
             Ok(it) => generate(&state, it),
-            Err(_) => refused(400, "no generate request"),
+            Err(_) => refusal(400, "malformed generate request"),
         },
-        _ => refused(404, "no such call"),
+        _ => refusal(404, "no such call"),
     }
 }
 
-fn stage(state: &State, digest: &str, content: Bytes) -> HttpResponse {
+fn stage_content(state: &State, digest: &str, content: Bytes) -> HttpResponse {
     let Ok(digest) = digest.parse() else {
-        return refused(400, "no digest");
+        return refusal(400, "malformed digest");
     };
     state.content.borrow_mut().insert(digest, content);
     text(200, "")
 }
 
-async fn order(state: &State, body: &[u8], request: &Request) -> HttpResponse {
+async fn handle_order(state: &State, body: &[u8], request: &Request) -> HttpResponse {
     let Ok(order) = serde_json::from_slice::<Order>(body) else {
-        return refused(400, "no order");
+        return refusal(400, "malformed order");
     };
     state.orders.set(state.orders.get() + 1);
-    pause(state.order_ms.get()).await;
+    sleep_ms(state.order_ms.get()).await;
     if 0 < state.ignore_orders.get() {
         state.ignore_orders.set(state.ignore_orders.get() - 1);
         return text(200, "");
@@ -303,12 +305,12 @@
     let fence = state.fence.borrow().clone();
     let stale = (order.fence.epoch, order.fence.bundle) < (fence.epoch, fence.bundle);
     if stale && !state.ignores_fence.get() {
-        return refused(409, "the order's fence is stale");
+        return refusal(409, "the order's fence is stale");
     }
     if !stale {
         *state.fence.borrow_mut() = order.fence.clone();
     }
-    let res = obey(state, &order);
+    let res = apply_order(state, &order);
     if 0 < state.lose_replies.get() {
         state.lose_replies.set(state.lose_replies.get() - 1);
         return request.connection.abort().await;
@@ -316,42 +318,42 @@
     res
 }
 
-fn obey(state: &State, order: &Order) -> HttpResponse {
+fn apply_order(state: &State, order: &Order) -> HttpResponse {
     match order.action {
         Action::Load if state.refuse_loads.get() => {
-            return refused(409, "the weights are no good");
+            return refusal(409, "the weights are invalid");
         }
         Action::Load => {
             if state.weights_digest(&order.weights).is_none() {
-                return refused(409, "content is missing");
+                return refusal(409, "content is missing");
             }
             let mut serving = state.serving.borrow_mut();
             if serving.contains(&order.weights) {
                 return text(200, "");
             }
             if state.capacity.get() as usize <= serving.len() {
-                return refused(409, "no memory for another version");
+                return refusal(409, "no memory for another version");
             }
             serving.push(order.weights.clone());
         }
         Action::Unload => {
             state.serving.borrow_mut().retain(|it| *it != order.weights);
-            state.collect();
+            state.delete_unused_content();
         }
     }
     text(200, "")
 }
 
-/// Counts a request as running, and as finished or cancelled when dropped.
-struct Run {
+/// Counts a request as running, and as finished or cancelled on drop.
+struct RunningRequest {
     state: Rc<State>,
-    whole: Cell<bool>,
+    is_complete: Cell<bool>,
 }
 
-impl Drop for Run {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.state.running.set(self.state.running.get() - 1);
-        let count = if self.whole.get() {
+        let count = if self.is_complete.get() {
             &self.state.finished
         } else {
             &*self.state.cancelled
@@ -361,43 +363,43 @@
 }
 
 fn generate(state: &Rc<State>, request: EngineRequest) -> HttpResponse {
-    let wanted = |it: &&Weights| it.model == request.model && it.version == request.version;
-    let weights = state.serving.borrow().iter().find(wanted).cloned();
+    let is_requested = |it: &&Weights| it.model == request.model && it.version == request.version;
+    let weights = state.serving.borrow().iter().find(is_requested).cloned();
     let Some(digest) = weights.and_then(|it| state.weights_digest(&it)) else {
-        return refused(409, "it does not serve that version");
+        return refusal(409, "the engine does not serve the version");
     };
     if state.slots.get() <= state.running.get() {
-        return refused(503, "every slot is taken");
+        return refusal(503, "all slots are in use");
     }
     state.running.set(state.running.get() + 1);
-    let run = Rc::new(Run {
+    let running = Rc::new(RunningRequest {
         state: Rc::clone(state),
-        whole: Cell::new(false),
+        is_complete: Cell::new(false),
     });
     let ready = state.prefill(&request.prompt);
-    let events = events(&request, digest, state.fault.get());
+    let events = response_events(&request, digest, state.fault.get());
     let last = events.len().saturating_sub(1);
     let body = stream::iter(events.into_iter().enumerate()).then(move |(idx, event)| {
-        let run = Rc::clone(&run);
+        let running = Rc::clone(&running);
         async move {
             if idx == 0 {
                 tokio::time::sleep_until(ready).await;
             }
-            pause(run.state.token_ms.get()).await;
+            sleep_ms(running.state.token_ms.get()).await;
             if event == STALL {
                 std::future::pending::<()>().await;
             }
-            run.whole.set(idx == last);
+            running.is_complete.set(idx == last);
             Ok(Bytes::from(event))
         }
     });
-    streamed(200, "text/event-stream", body)
+    stream_response(200, "text/event-stream", body)
 }
 
-/// Stands in an answer's events where it stalls.
+/// Placeholder event at which a response stalls.
 const STALL: &str = "stall";
 
-fn events(request: &EngineRequest, weights: Digest, fault: Fault) -> Vec<String> {
+fn response_events(request: &EngineRequest, weights: Digest, fault: Fault) -> Vec<String> {
     let tokens = tokens(weights, &request.prompt, request.max_tokens);
     let request_id = match fault {
         Fault::WrongRequestId => {
@@ -407,17 +409,21 @@
     };
     let mut events: Vec<String> = Vec::new();
     for (idx, text) in tokens.iter().enumerate() {
-        let mixed = fault == Fault::MixedVersions && idx == 2;
-        let version = if mixed { "another" } else { &request.version };
+        let wrong_version = fault == Fault::MixedVersions && idx == 2;
+        let version = if wrong_version {
+            "another"
+        } else {
+            &request.version
+        };
         let token = EngineToken {
             request_id: request_id.clone(),
             version: version.to_owned(),
             seq: idx as u64,
             text: text.clone(),
         };
-        events.push(event("token", &token));
+        events.push(encode_event("token", &token));
         if idx == 1 && fault == Fault::DuplicateToken {
-            events.push(event("token", &token));
+            events.push(encode_event("token", &token));
         }
         if idx == 1 && fault == Fault::Truncated {
             return events;
@@ -428,7 +434,7 @@
     }
     let count = tokens.len() as u64;
     let version = request.version.clone();
-    events.push(event(
+    events.push(encode_event(
         "end",
         &EngineEnd {
             request_id,
@@ -439,7 +445,7 @@
     events
 }
 
-fn event(name: &str, data: &impl Serialize) -> String {
+fn encode_event(name: &str, data: &impl Serialize) -> String {
     format!(
         "event: {name}\ndata: {}\n\n",
         serde_json::to_string(data).unwrap_or_default()
--- a/crates/gradeloft_standin/src/fleet.rs
+++ b/crates/gradeloft_standin/src/fleet.rs
@@ -1,5 +1,5 @@
-//! All of it in one process: the platform's fakes, engines and services, and the shipped entries
-//! and agents between them, each on ports of its own.
+//! A whole deployment in one process: fakes of the platform, of engines and of services, and real
+//! entries and agents, each on its own ports.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -35,38 +35,38 @@
     weights::{Version, Weights},
 };
 
-/// Team of the fleet's bundles.
+/// Name of the team in the fleet's bundles.
 pub const TEAM: &str = "duty";
-/// Its token.
+/// Token of [`TEAM`].
 pub const TOKEN: &str = "duty-token";
-/// Model of the fleet's bundles.
+/// Name of the model in the fleet's bundles.
 pub const MODEL: &str = "bulletin";
-/// Service of the fleet's bundles.
+/// Name of the service in the fleet's bundles.
 pub const SERVICE: &str = "booking";
-/// Publisher of the fleet's bundles.
+/// Name of the publisher that signs the fleet's bundles.
 pub const SIGNER: &str = "ops";
 
 const WAIT_STEP: Duration = Duration::from_millis(5);
-const WAIT_BOUND: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many of what to start.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines, each with its agent.
+    /// Number of engines, each with its own agent.
     pub engines: usize,
-    /// Plain services, each with its agent.
+    /// Number of service endpoints, each with its own agent.
     pub services: usize,
-    /// Availability zones, over which all are spread in turn.
+    /// Number of availability zones, assigned round-robin.
     pub zones: usize,
-    /// Lines added to the settings of every process, as YAML at the top level.
+    /// Top-level YAML lines added to the settings of every process.
     pub settings: String,
-    /// Lines added to the part of every agent, indented by two spaces.
+    /// YAML lines added to the `agent` section of every agent, indented by two spaces.
     pub agent_settings: String,
-    /// How entries choose replicas.
+    /// Load balancing scheme of the entries.
     pub route: Scheme,
-    /// Logger of all processes.
+    /// Parent logger of all nodes.
     pub log: Logger,
 }
 
@@ -85,44 +85,44 @@
     }
 }
 
-/// An endpoint and its agent.
+/// An endpoint with its agent.
 pub struct Replica<E> {
-    /// Instance.
+    /// Id of the instance.
     pub id: String,
     /// The endpoint.
     pub endpoint: E,
-    /// The agent; none while it is dead.
+    /// The agent; `None` while it is stopped.
     pub agent: Option<agent::Handle>,
     zone: String,
     kind: &'static str,
     url: String,
 }
 
-/// The whole fleet.
+/// A running fleet.
 pub struct Fleet {
     /// The log.
     pub log: Log,
-    /// The list.
+    /// The list of instances.
     pub list: List,
     /// The weight store.
     pub store: Weights,
     /// The origin.
     pub origin: Weights,
-    /// Engines and their agents.
+    /// Engines with their agents.
     pub engines: Vec<Replica<Engine>>,
-    /// Services and their agents.
+    /// Service endpoints with their agents.
     pub services: Vec<Replica<Service>>,
-    /// Entries; none while one is dead.
+    /// Entries; `None` for a stopped one.
     pub entries: Vec<Option<entry::Handle>>,
-    /// The publisher's key.
+    /// Signing key of the publisher.
     pub key: Key,
-    shape: FleetConfig,
+    config: FleetConfig,
     starts: u64,
 }
 
 impl Fleet {
-    /// Starts the platform, the endpoints, and all agents and entries; no bundle is published.
-    pub async fn start(shape: FleetConfig) -> std::io::Result<Fleet> {
+    /// Starts the platform, the endpoints, the agents and the entries, without publishing a bundle.
+    pub async fn start(config: FleetConfig) -> std::io::Result<Fleet> {
         let mut fleet = Fleet {
             log: Log::start().await?,
             list: List::start().await?,
@@ -132,29 +132,31 @@
             services: Vec::new(),
             entries: Vec::new(),
             key: Key::new([7; 32]),
-            shape: shape.clone(),
+            config: config.clone(),
             starts: 0,
         };
-        for idx in 0..shape.engines {
+        for idx in 0..config.engines {
             let engine = Engine::start().await?;
             let (id, url) = (format!("engine-{idx}"), engine.url());
-            let replica = fleet.replica(id, idx, engine, "engine", url).await?;
+            let replica = fleet.start_replica(id, idx, engine, "engine", url).await?;
             fleet.engines.push(replica);
         }
-        for idx in 0..shape.services {
+        for idx in 0..config.services {
             let service = Service::start().await?;
             let (id, url) = (format!("service-{idx}"), service.url());
-            let replica = fleet.replica(id, idx, service, "service", url).await?;
+            let replica = fleet
+                .start_replica(id, idx, service, "service", url)
+                .await?;
             fleet.services.push(replica);
         }
-        for idx in 0..shape.entries {
+        for idx in 0..config.entries {
             fleet.entries.push(None);
             fleet.start_entry(idx).await?;
         }
         Ok(fleet)
     }
 
-    async fn replica<E>(
+    async fn start_replica<E>(
         &mut self,
         id: String,
         idx: usize,
@@ -163,7 +165,7 @@
         url: String,
     ) -> std::io::Result<Replica<E>> {
         let zone = self.zone(idx);
-        let agent = self.agent(&id, &zone, kind, &url).await?;
+        let agent = self.start_agent(&id, &zone, kind, &url).await?;
         Ok(Replica {
             id,
             endpoint,
@@ -174,27 +176,27 @@
         })
     }
 
-    /// Starts the agent of an engine again, as a new process that knows nothing.
+    /// Restarts the agent of an engine without its state, as a new process.
     pub async fn restart_agent(&mut self, idx: usize) -> std::io::Result<()> {
         self.engines[idx].agent = None;
         let it = &self.engines[idx];
         let (id, zone, kind, url) = (it.id.clone(), it.zone.clone(), it.kind, it.url.clone());
-        let agent = self.agent(&id, &zone, kind, &url).await?;
+        let agent = self.start_agent(&id, &zone, kind, &url).await?;
         self.engines[idx].agent = Some(agent);
         Ok(())
     }
 
-    /// Starts the agent of a service again, as a new process that knows nothing.
+    /// Restarts the agent of a service without its state, as a new process.
     pub async fn restart_service_agent(&mut self, idx: usize) -> std::io::Result<()> {
         self.services[idx].agent = None;
         let it = &self.services[idx];
         let (id, zone, kind, url) = (it.id.clone(), it.zone.clone(), it.kind, it.url.clone());
-        let agent = self.agent(&id, &zone, kind, &url).await?;
+        let agent = self.start_agent(&id, &zone, kind, &url).await?;
         self.services[idx].agent = Some(agent);
         Ok(())
     }
 
-    async fn agent(
+    async fn start_agent(
         &mut self,
         id: &str,
         zone: &str,
@@ -206,36 +208,36 @@
         } else {
             String::new()
         };
-        let extra = &self.shape.agent_settings;
-        let part =
+        let extra = &self.config.agent_settings;
+        let section =
             format!("agent:\n  endpoint: {{kind: {kind}, url: \"{url}\"{service}}}\n{extra}");
-        let settings = self.settings("agent", id, zone, "", &part)?;
+        let settings = self.settings("agent", id, zone, "", &section)?;
         let agent = settings
             .agent
             .clone()
-            .ok_or_else(|| std::io::Error::other("no agent part"))?;
+            .ok_or_else(|| std::io::Error::other("the settings have no agent section"))?;
         let endpoint = Endpoint::http(&agent.endpoint);
         let node = self.node(settings, id);
         let handle = agent::Builder::new(node, agent, endpoint).start().await?;
         let service = (kind == "service").then(|| SERVICE.to_owned());
         let role = InstanceRole::Agent;
-        self.list_it(id, zone, role, handle.peer(), None, handle.admin(), service);
+        self.register(id, zone, role, handle.peer(), None, handle.admin(), service);
         Ok(handle)
     }
 
-    /// Starts an entry, again if it is dead.
+    /// Starts an entry, or restarts it if it is running.
     pub async fn start_entry(&mut self, idx: usize) -> std::io::Result<()> {
         self.entries[idx] = None;
         let (id, zone) = (format!("entry-{idx}"), self.zone(idx));
         let settings = self.settings("entry", &id, &zone, ", public: \"127.0.0.1:0\"", "")?;
         let node = self.node(settings, &id);
         let handle = entry::Builder::new(node)
-            .scheme(self.shape.route)
+            .scheme(self.config.route)
             .start()
             .await?;
         let public = Some(handle.public());
         let role = InstanceRole::Entry;
-        self.list_it(
+        self.register(
             &id,
             &zone,
             role,
@@ -249,7 +251,7 @@
     }
 
     fn zone(&self, idx: usize) -> String {
-        format!("zone-{}", idx % self.shape.zones.max(1))
+        format!("zone-{}", idx % self.config.zones.max(1))
     }
 
     fn settings(
@@ -258,19 +260,19 @@
         id: &str,
         zone: &str,
         public: &str,
-        part: &str,
+        section: &str,
     ) -> std::io::Result<Settings> {
         let (log, list) = (self.log.url(), self.list.url());
         let (store, origin) = (self.store.url(), self.origin.url());
-        let (key, extra) = (self.key.public(), &self.shape.settings);
+        let (key, extra) = (self.key.public(), &self.config.settings);
         let yaml = format!(
             "role: {role}\nnode: {{id: {id}, zone: {zone}, region: region-0}}\nlisten: {{peer: \
              \"127.0.0.1:0\", admin: \"127.0.0.1:0\"{public}}}\nplatform: {{log: \"{log}\", list: \
              \"{list}\", store: \"{store}\", origin: \"{origin}\"}}\npublishers: [{{name: {SIGNER}, \
-             key: {key}}}]\n{extra}\n{part}\n"
+             key: {key}}}]\n{extra}\n{section}\n"
         );
-        settings::parse(&yaml).map_err(|faults| {
-            let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        settings::parse(&yaml).map_err(|errors| {
+            let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
             std::io::Error::other(lines.join("; "))
         })
     }
@@ -278,15 +280,15 @@
     fn node(&mut self, settings: Settings, id: &str) -> Node {
         self.starts += 1;
         let platform = Platform::http(&settings);
-        let log = self.shape.log.new(slog::o!("node" => id.to_owned()));
+        let log = self.config.log.new(slog::o!("node" => id.to_owned()));
         Node::new(settings, platform, log, self.starts)
     }
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "one for each field of the list's entry"
+        reason = "one argument per field of the listed instance"
     )]
-    fn list_it(
+    fn register(
         &self,
         id: &str,
         zone: &str,
@@ -309,12 +311,12 @@
         });
     }
 
-    /// Puts a version into the origin.
+    /// Stores a version in the origin.
     pub fn upload(&self, version: &Version) {
         self.origin.state.put(version);
     }
 
-    /// A bundle with one team, one model on every engine and one service.
+    /// Creates a bundle with one team, one model with a replica on every engine, and one service.
     pub fn bundle(&self, number: u64, parent: Option<Digest>, version: &Version) -> Bundle {
         Bundle {
             format: 1,
@@ -343,7 +345,7 @@
         }
     }
 
-    /// Signs and publishes a bundle; gives its signed form.
+    /// Signs and publishes a bundle, and returns the signed bundle.
     pub async fn publish(&self, bundle: &Bundle) -> Result<SignedBundle, PublishError> {
         let signed = self.key.sign(bundle, SIGNER);
         let log = Http::new(&self.log.url(), Duration::from_secs(2));
@@ -352,13 +354,13 @@
         Ok(signed)
     }
 
-    /// Uploads a version, publishes the first bundle with it and waits until every engine and
-    /// service is ready at every entry.
+    /// Uploads a version, publishes it in the first bundle and waits until every entry can route to
+    /// every engine and service.
     pub async fn deploy(&self, version: &Version) -> Bundle {
         self.upload(version);
         let bundle = self.bundle(1, None, version);
         let published = self.publish(&bundle).await;
-        assert!(published.is_ok(), "the first bundle is refused");
+        assert!(published.is_ok(), "the first bundle was refused");
         self.wait_until("every replica is ready", || {
             self.serving_count(version) == self.engines.len()
         })
@@ -370,7 +372,7 @@
         bundle
     }
 
-    /// How many agents tell that they serve a version.
+    /// Returns the number of engine agents that report a version as served.
     pub fn serving_count(&self, version: &Version) -> usize {
         let agents = self.engines.iter().filter_map(|it| it.agent.as_ref());
         let serves = |it: &&agent::Handle| {
@@ -383,8 +385,8 @@
         agents.filter(serves).count()
     }
 
-    /// Whether every live entry can give work to every live engine on a version, and to every live
-    /// service.
+    /// Returns whether every running entry can route requests for a version to every engine whose
+    /// agent runs, and requests to every service whose agent runs.
     pub fn is_routable(&self, version: &Version) -> bool {
         let wanted = self.engines.iter().filter(|it| it.agent.is_some()).count();
         let services = self.services.iter().filter(|it| it.agent.is_some()).count();
@@ -403,7 +405,7 @@
         })
     }
 
-    /// Public address of an entry.
+    /// Returns the public address of an entry.
     pub fn entry(&self, idx: usize) -> SocketAddr {
         self.entries[idx]
             .as_ref()
@@ -411,30 +413,30 @@
             .public()
     }
 
-    /// A caller of the fleet's team.
+    /// Creates a caller of [`TEAM`].
     pub fn caller(&self) -> Caller {
         Caller::new(TEAM, TOKEN)
     }
 
-    /// Waits for a condition; panics when it does not come true.
+    /// Waits for a condition; panics after a timeout.
     pub async fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         wait_until(what, condition).await;
     }
 }
 
-/// Waits for a condition; panics when it does not come true.
+/// Waits for a condition; panics after a timeout.
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let give_up = tokio::time::Instant::now() + WAIT_BOUND;
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
-            tokio::time::Instant::now() < give_up,
-            "waited in vain: {what}"
+            tokio::time::Instant::now() < deadline,
+            "timed out waiting: {what}"
         );
         actix_rt::time::sleep(WAIT_STEP).await;
     }
 }
 
-/// A team that may call the fleet's model and service.
+/// Creates a team that may call [`MODEL`] and [`SERVICE`].
 pub fn team(name: &str, token: &str) -> Team {
     Team {
         name: name.to_owned(),
@@ -448,7 +450,7 @@
     }
 }
 
-/// Digest of a bundle, as the next one names it as its parent.
+/// Returns the digest of a bundle, which its successor names as the parent.
 pub fn digest(bundle: &Bundle) -> Digest {
     Digest::of(&bundle::canonical(bundle))
 }
--- a/crates/gradeloft_standin/src/lib.rs
+++ b/crates/gradeloft_standin/src/lib.rs
@@ -1,20 +1,20 @@
-//! Small fakes of the platform and of endpoints, with knobs for faults.
+//! Fakes of the platform and of endpoints, with settings that inject faults.
 //!
-//! - [`caller`]: a caller of the entries.
+//! - [`caller`]: a client of the entries.
 //! - [`engine`]: a model engine.
-//! - [`fleet`]: all of it, with entries and agents between, in one process.
-//! - [`crashing_replica`]: a replica that some requests end.
-//! - [`link`]: links of a certain speed.
+//! - [`fleet`]: a whole deployment with entries and agents in one process.
+//! - [`crashing_replica`]: a replica that marked requests crash.
+//! - [`link`]: network links with limited bandwidth.
 //! - [`list`]: the list of instances.
 //! - [`log`]: the append-only log.
-//! - [`scripted`]: a replica that plays a script, down to how a connection ends.
-//! - [`service`]: a plain service some of whose calls may not be repeated.
-//! - [`tables`]: the tables that a platform keeps.
-//! - [`weights`]: the weight store and the origin, and weights to put there.
+//! - [`scripted`]: a server that plays a script on each connection.
+//! - [`service`]: a service that counts the executions of each call.
+//! - [`tables`]: the tables of the platform's store.
+//! - [`weights`]: the weight store and the origin, and generated weights.
 //!
-//! Each fake listens on a loopback port of its own and speaks the published interface of the real
-//! thing; its knobs are fields that a test sets while it runs. They serve tests, examples and
-//! measurements, and no shipped program depends on them.
+//! A fake server listens on its own loopback port and implements the published interface of the
+//! real component; tests set the fields of its state while it runs. Tests, examples and benchmarks
+//! use the fakes; no shipped program depends on them.
 
 pub mod caller;
 pub mod crashing_replica;
@@ -38,8 +38,11 @@
 
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Starts a listener on a free loopback port; `answer` gets its state with each request.
-async fn listen<S, F>(state: Rc<S>, answer: fn(Rc<S>, Request) -> F) -> std::io::Result<Server>
+/// Starts a server on a free loopback port; `answer` receives `state` with each request.
+async fn start_server<S, F>(
+    state: Rc<S>,
+    answer: fn(Rc<S>, Request) -> F,
+) -> std::io::Result<Server>
 where
     S: 'static,
     F: Future<Output = HttpResponse> + 'static,
@@ -52,7 +55,7 @@
     format!("http://{}", server.address())
 }
 
-fn refused(status: u16, reason: &str) -> HttpResponse {
+fn refusal(status: u16, reason: &str) -> HttpResponse {
     json(
         status,
         &Refused {
@@ -62,7 +65,7 @@
     )
 }
 
-async fn pause(ms: u64) {
+async fn sleep_ms(ms: u64) {
     if 0 < ms {
         actix_rt::time::sleep(std::time::Duration::from_millis(ms)).await;
     }
--- a/crates/gradeloft_standin/src/list.rs
+++ b/crates/gradeloft_standin/src/list.rs
@@ -11,7 +11,7 @@
 };
 use gradeloft_wire::border::platform::{Instance, InstanceState, Instances};
 
-use crate::{listen, refused, url};
+use crate::{refusal, start_server, url};
 
 /// State and knobs of the list.
 #[derive(Default)]
@@ -35,7 +35,7 @@
     /// Starts an empty list.
     pub async fn start() -> std::io::Result<List> {
         let state = Rc::new(State::default());
-        let server = listen(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), answer).await?;
         Ok(List { state, server })
     }
 
@@ -75,10 +75,10 @@
 
 async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
-        return refused(503, "the list is down");
+        return refusal(503, "the list is down");
     }
     if request.path != "/v1/instances" {
-        return refused(404, "no such call");
+        return refusal(404, "no such call");
     }
     if !state.frozen.get() {
         *state.shown.borrow_mut() = state.live.borrow().clone();
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -15,7 +15,7 @@
 use gradeloft_wire::border::platform::{Append, Appended, Page, Record};
 use tokio::sync::Notify;
 
-use crate::{listen, pause, refused, url};
+use crate::{refusal, sleep_ms, start_server, url};
 
 const PAGE: usize = 1000;
 
@@ -52,7 +52,7 @@
     /// Starts an empty log.
     pub async fn start() -> std::io::Result<Log> {
         let state = Rc::new(State::default());
-        let server = listen(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), answer).await?;
         Ok(Log { state, server })
     }
 
@@ -124,26 +124,26 @@
 }
 
 async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
-    pause(state.delay_ms.get()).await;
+    sleep_ms(state.delay_ms.get()).await;
     if state.down.get() {
-        return refused(503, "the log is down");
+        return refusal(503, "the log is down");
     }
     let segments = request.segments();
     match (request.method.as_str(), segments.as_slice()) {
         ("POST", ["v1", "streams", stream, "records"]) => append(&state, stream, &request).await,
         ("GET", ["v1", "streams", stream, "records"]) => read(&state, stream, &request).await,
-        _ => refused(404, "no such call"),
+        _ => refusal(404, "no such call"),
     }
 }
 
 async fn append(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let body = request.body.as_ref().ok();
     let Some(body) = body.and_then(|it| serde_json::from_slice::<Append>(it).ok()) else {
-        return refused(400, "no append");
+        return refusal(400, "no append");
     };
     let data: Result<Vec<Vec<u8>>, _> = body.records.iter().map(|it| STANDARD.decode(it)).collect();
     let Ok(data) = data else {
-        return refused(400, "no base64");
+        return refusal(400, "no base64");
     };
     let first_offset = state.append(stream, &data);
     state.appends.set(state.appends.get() + 1);
@@ -170,7 +170,7 @@
     }
     let _ = actix_rt::time::timeout(wait, appended).await;
     if state.down.get() {
-        return refused(503, "the log is down");
+        return refusal(503, "the log is down");
     }
     json(200, &state.page(stream, from))
 }
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -11,7 +11,7 @@
     server::Server,
 };
 
-use crate::{listen, pause, url};
+use crate::{sleep_ms, start_server, url};
 
 const REQUEST_ID: &str = "x-request-id";
 
@@ -44,7 +44,7 @@
     /// Starts one; any call to it answers with a receipt of what it got.
     pub async fn start() -> std::io::Result<Service> {
         let state = Rc::new(State::default());
-        let server = listen(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), answer).await?;
         Ok(Service { state, server })
     }
 
@@ -77,7 +77,7 @@
         String::from_utf8_lossy(&body)
     );
     state.running.set(state.running.get() + 1);
-    pause(state.delay_ms.get()).await;
+    sleep_ms(state.delay_ms.get()).await;
     state.running.set(state.running.get() - 1);
     *state
         .execution_counts
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -22,7 +22,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
 
-use crate::{link::Links, listen, refused, url};
+use crate::{link::Links, refusal, start_server, url};
 
 /// Weights of one version, made up from a seed.
 #[derive(Clone, Debug)]
@@ -117,7 +117,7 @@
     /// Starts an empty one.
     pub async fn start() -> std::io::Result<Weights> {
         let state = Rc::new(State::default());
-        let server = listen(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), answer).await?;
         Ok(Weights { state, server })
     }
 
@@ -158,17 +158,17 @@
 
 async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
-        return refused(503, "it is down");
+        return refusal(503, "it is down");
     }
     if state.rate_limited.get() {
-        return with_header(refused(429, "too many reads"), "retry-after", "0.2");
+        return with_header(refusal(429, "too many reads"), "retry-after", "0.2");
     }
     let segments = request.segments();
     let ["v1", "content", digest] = segments.as_slice() else {
-        return refused(404, "no such call");
+        return refusal(404, "no such call");
     };
     let Some(content) = state.content.borrow().get(*digest).cloned() else {
-        return refused(404, "no such content");
+        return refusal(404, "no such content");
     };
     if one_of(&state.stall) {
         std::future::pending::<()>().await;
