--- a/crates/gradeloft_daemon/tests/serving.rs
+++ b/crates/gradeloft_daemon/tests/serving.rs
@@ -226,7 +226,7 @@
 async fn mismatched_service_response_is_an_error() {
     let fleet = fleet(shape(1, 1, 1)).await;
     fleet.deploy(&version("v1")).await;
-    fleet.services[0].endpoint.state.wrong_echo.set(true);
+    fleet.services[0].endpoint.state.echo_wrong_id.set(true);
     assert_eq!(
         describe_call(&charge(&fleet, 0, "").await),
         "502 mismatch ran unknown retryable false"
--- a/crates/gradeloft_standin/src/crashing_replica.rs
+++ b/crates/gradeloft_standin/src/crashing_replica.rs
@@ -1,4 +1,4 @@
-//! A fake of a replica that ends when it begins a marked request, and starts again a moment later.
+//! A fake of a replica that crashes when it starts a marked request, and restarts after a delay.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,55 +16,55 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Time from the beginning of a marked request to the end of its replica, in which other requests that are
-/// in flight there can be observed.
-const WORK: Duration = Duration::from_millis(30);
-/// Time until it starts again.
-const AWAY: Duration = Duration::from_millis(60);
+/// Time from the start of a marked request to the crash, in which tests can observe other requests
+/// in flight at the replica.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
+/// Time from a crash to the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(60);
 
-/// What happened at a replica.
+/// Counters of a replica.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
-    /// Unix millisecond of its present start.
+    /// Start time of the current run, in Unix milliseconds.
     pub started_ms: u64,
-    /// How often it has ended.
+    /// Number of crashes.
     pub crashes: usize,
-    /// Requests that reached it.
+    /// Number of requests received.
     pub received: usize,
-    /// Marked ones among them.
+    /// Number of marked requests received.
     pub marked: usize,
-    /// Requests that it answered.
+    /// Number of requests answered.
     pub answered: usize,
 }
 
-/// How a replica behaves.
+/// Behavior of a replica.
 #[derive(Clone, Debug)]
 pub struct Behavior {
-    /// Requests that contain this end it.
+    /// Text in a request that crashes the replica.
     pub marker: String,
-    /// Name of the header that names a request, which answers repeat.
+    /// Name of the request id header, which responses echo.
     pub request_header: String,
-    /// Name of the header that marks its answers as its own.
+    /// Name of the response header that marks a response as sent by the replica.
     pub seal_header: String,
-    /// How long it works on other requests.
+    /// Time to process a request that is not marked.
     pub service_time: Duration,
 }
 
-/// A replica that ends when it begins a marked request.
+/// A replica that crashes when it starts a marked request.
 #[derive(Clone)]
 pub struct CrashingReplica {
-    /// Where it listens while it runs.
+    /// Listening address while the replica runs.
     pub address: SocketAddr,
     stats: Rc<RefCell<Stats>>,
-    /// The present start; cancelled when it crashes.
+    /// Token of the current run; a crash cancels it.
     running: Rc<RefCell<CancellationToken>>,
-    changed: Rc<Notify>,
-    held: Rc<Cell<bool>>,
-    released: Rc<Notify>,
+    restarted: Rc<Notify>,
+    restarts_held: Rc<Cell<bool>>,
+    hold_changed: Rc<Notify>,
 }
 
 impl CrashingReplica {
-    /// Listens on `address`.
+    /// Starts a replica on `address`.
     pub async fn start(address: SocketAddr, behavior: Behavior) -> io::Result<CrashingReplica> {
         let listener = TcpListener::bind(address).await?;
         let replica = CrashingReplica {
@@ -74,44 +74,44 @@
                 ..Stats::default()
             })),
             running: Rc::default(),
-            changed: Rc::default(),
-            held: Rc::default(),
-            released: Rc::default(),
+            restarted: Rc::default(),
+            restarts_held: Rc::default(),
+            hold_changed: Rc::default(),
         };
         actix_rt::spawn(replica.clone().run(listener, Rc::new(behavior)));
         Ok(replica)
     }
 
-    /// What happened so far.
+    /// Returns the current counters.
     pub fn stats(&self) -> Stats {
         self.stats.borrow().clone()
     }
 
-    /// Whether it runs now.
+    /// Returns whether the replica runs.
     pub fn is_running(&self) -> bool {
         !self.running.borrow().is_cancelled()
     }
 
-    /// Ends it, whatever runs there.
+    /// Crashes the replica, also while requests are in flight.
     pub fn crash(&self) {
         self.running.borrow().cancel();
     }
 
-    /// Whether it stays away once it has ended, until it is told otherwise.
-    pub fn hold_restarts(&self, away: bool) {
-        self.held.set(away);
-        self.released.notify_waiters();
+    /// Sets whether the replica stays down after a crash.
+    pub fn hold_restarts(&self, hold: bool) {
+        self.restarts_held.set(hold);
+        self.hold_changed.notify_waiters();
     }
 
-    /// Waits until it has started again more often than `ends` says.
+    /// Waits until the replica has restarted after more than `crashes` crashes.
     pub async fn wait_for_restart(&self, crashes: usize) -> Stats {
         loop {
-            let changed = self.changed.notified();
+            let restarted = self.restarted.notified();
             let stats = self.stats();
             if crashes < stats.crashes {
                 return stats;
             }
-            changed.await;
+            restarted.await;
         }
     }
 
@@ -133,20 +133,20 @@
                 }
             }
             drop(listener);
-            actix_rt::time::sleep(AWAY).await;
-            while self.held.get() {
-                self.released.notified().await;
+            actix_rt::time::sleep(RESTART_DELAY).await;
+            while self.restarts_held.get() {
+                self.hold_changed.notified().await;
             }
-            let Ok(again) = TcpListener::bind(self.address).await else {
+            let Ok(new_listener) = TcpListener::bind(self.address).await else {
                 return;
             };
-            listener = again;
+            listener = new_listener;
             *self.running.borrow_mut() = CancellationToken::new();
             let mut stats = self.stats.borrow_mut();
             stats.started_ms += 1_000;
             stats.crashes += 1;
             drop(stats);
-            self.changed.notify_waiters();
+            self.restarted.notify_waiters();
         }
     }
 }
@@ -161,30 +161,30 @@
     async fn serve(self, mut stream: TcpStream) {
         tokio::select! {
             () = self.running.cancelled() => {
-                // As a process that ends with unread bytes leaves its connections.
+                // A process that exits with unread bytes resets its connections.
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
-            _ = self.answers(&mut stream) => {}
+            _ = self.handle_requests(&mut stream) => {}
         }
     }
 
-    async fn answers(&self, stream: &mut TcpStream) -> io::Result<()> {
+    async fn handle_requests(&self, stream: &mut TcpStream) -> io::Result<()> {
         let mut buffer = Vec::new();
         loop {
-            let Some(request) = read(stream, &mut buffer).await? else {
+            let Some(request) = read_request(stream, &mut buffer).await? else {
                 return Ok(());
             };
             self.stats.borrow_mut().received += 1;
             if request.contains(&self.behavior.marker) {
                 self.stats.borrow_mut().marked += 1;
-                actix_rt::time::sleep(WORK).await;
+                actix_rt::time::sleep(CRASH_DELAY).await;
                 self.running.cancel();
                 std::future::pending::<()>().await;
             }
             actix_rt::time::sleep(self.behavior.service_time).await;
             self.stats.borrow_mut().answered += 1;
             let behavior = &self.behavior;
-            let id = field(&request, &behavior.request_header);
+            let id = header_value(&request, &behavior.request_header);
             let answer = format!(
                 "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nContent-Length: 2\r\n\r\nok",
                 behavior.request_header, behavior.seal_header
@@ -194,28 +194,30 @@
     }
 }
 
-/// The next request, whole; `None` at the end of the connection.
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<String>> {
+/// Reads the next request with its body; returns `None` at the end of the connection.
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<String>> {
     loop {
         let text = String::from_utf8_lossy(buffer).into_owned();
         if let Some(end) = text.find("\r\n\r\n") {
-            let length: usize = field(&text[..end], "content-length").parse().unwrap_or(0);
-            let whole = end + 4 + length;
-            if whole <= buffer.len() {
-                buffer.drain(..whole);
-                return Ok(Some(text[..whole].to_owned()));
+            let length: usize = header_value(&text[..end], "content-length")
+                .parse()
+                .unwrap_or(0);
+            let request_end = end + 4 + length;
+            if request_end <= buffer.len() {
+                buffer.drain(..request_end);
+                return Ok(Some(text[..request_end].to_owned()));
             }
         }
-        let mut piece = [0; 4096];
-        match stream.read(&mut piece).await? {
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk).await? {
             0 => return Ok(None),
-            count => buffer.extend_from_slice(&piece[..count]),
+            count => buffer.extend_from_slice(&chunk[..count]),
         }
     }
 }
 
-/// Value of a header field; empty without it.
-fn field<'a>(request: &'a str, name: &str) -> &'a str {
+/// Returns the value of a header field, or an empty string if it is absent.
+fn header_value<'a>(request: &'a str, name: &str) -> &'a str {
     let fields = request.lines().filter_map(|it| it.split_once(": "));
     let mut named = fields.filter(|(it, _)| it.eq_ignore_ascii_case(name));
     named.next().map_or("", |(_, value)| value.trim())
--- a/crates/gradeloft_standin/src/link.rs
+++ b/crates/gradeloft_standin/src/link.rs
@@ -1,8 +1,8 @@
-//! Fakes of links: every address has an egress and an ingress of a certain speed, and whatever
-//! crosses between two addresses waits for both.
+//! Fakes of network links. Each address has an egress and an ingress with limited bandwidth, and
+//! data between two addresses passes the egress of the sender and the ingress of the receiver.
 //!
-//! A [`Relay`] stands before a process's port. It knows where bytes come from and go to by the
-//! addresses of its connections, so processes have to connect from addresses of their own.
+//! A [`Relay`] proxies the port of a process. It identifies sender and receiver by the addresses of
+//! the connections, so each process must connect from its own address.
 
 use std::{
     collections::HashMap,
@@ -22,73 +22,73 @@
     task::JoinHandle,
 };
 
-/// Bytes that cross at once; what shares a link takes turns of this size.
+/// Unit of transfer, in bytes; connections that share a link alternate by slices.
 const SLICE: usize = 4 << 10;
-/// Small kernel buffers, so that a sender feels the link.
+/// Size of kernel socket buffers, in bytes; small, so that backpressure reaches the sender.
 const SOCKET_BUFFER: u32 = 16 << 10;
-/// Slices under way in one connection.
-const IN_FLIGHT: usize = 4;
+/// Maximum number of slices in flight in one direction of a connection.
+const MAX_IN_FLIGHT: usize = 4;
 
 #[derive(Clone, Copy)]
 enum Direction {
-    In,
-    Out,
+    Ingress,
+    Egress,
 }
 
 #[derive(Clone, Copy)]
 struct Link {
     bytes_per_s: f64,
-    out_free: Instant,
-    in_free: Instant,
+    egress_free: Instant,
+    ingress_free: Instant,
 }
 
-/// All links. Addresses without one are not limited.
+/// Links by address. Addresses without a link have unlimited bandwidth.
 #[derive(Default)]
 pub struct Links {
     links: Mutex<HashMap<IpAddr, Link>>,
-    /// One of so many slices gets a flipped byte; 0 for none.
+    /// Every n-th full slice gets a flipped bit; 0 disables corruption.
     pub corrupt_every: AtomicU64,
     slices: AtomicU64,
     bytes_sent: AtomicU64,
-    /// Slices that got one.
+    /// Number of corrupted slices.
     pub corrupted: AtomicU64,
 }
 
 impl Links {
-    /// Gives an address a link.
+    /// Limits the bandwidth of an address in each direction.
     pub fn set(&self, address: IpAddr, bytes_per_s: u64) {
         let now = Instant::now();
         let link = Link {
             bytes_per_s: bytes_per_s as f64,
-            out_free: now,
-            in_free: now,
+            egress_free: now,
+            ingress_free: now,
         };
         self.lock().insert(address, link);
     }
 
-    /// Waits until `bytes` have crossed from one address to another.
+    /// Waits until `bytes` have been transferred from one address to another.
     pub async fn transfer(&self, from: IpAddr, to: IpAddr, bytes: usize) {
-        self.pass(from, Direction::Out, bytes).await;
-        self.pass(to, Direction::In, bytes).await;
+        self.reserve(from, Direction::Egress, bytes).await;
+        self.reserve(to, Direction::Ingress, bytes).await;
     }
 
-    /// Bytes that have left any address so far.
+    /// Returns the number of bytes that all relays have sent.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.load(Ordering::Relaxed)
     }
 
-    async fn pass(&self, address: IpAddr, direction: Direction, bytes: usize) {
+    async fn reserve(&self, address: IpAddr, direction: Direction, bytes: usize) {
         let free = {
             let mut links = self.lock();
             let Some(link) = links.get_mut(&address) else {
                 return;
             };
-            let taken = Duration::from_secs_f64(bytes as f64 / link.bytes_per_s);
+            let transfer_time = Duration::from_secs_f64(bytes as f64 / link.bytes_per_s);
             let free = match direction {
-                Direction::In => &mut link.in_free,
-                Direction::Out => &mut link.out_free,
+                Direction::Ingress => &mut link.ingress_free,
+                Direction::Egress => &mut link.egress_free,
             };
-            *free = (*free).max(Instant::now()) + taken;
+            *free = (*free).max(Instant::now()) + transfer_time;
             *free
         };
         tokio::time::sleep_until(free.into()).await;
@@ -108,14 +108,15 @@
     }
 }
 
-/// Stands before a process's port; dropping it ends its connections.
+/// A proxy for the port of a process; drop closes its connections.
 pub struct Relay {
     address: SocketAddr,
     accepting: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Listens on `address` and passes everything on to `target`, a port of the same instance.
+    /// Listens on a free port of `address` and forwards connections to `target`, a port of the same
+    /// instance.
     pub async fn start(
         links: Arc<Links>,
         address: IpAddr,
@@ -124,7 +125,7 @@
         Relay::start_at(links, SocketAddr::new(address, 0), target)
     }
 
-    /// As [`Relay::start`], on a port that is known beforehand.
+    /// Like [`Relay::start`], but listens on a given port.
     pub fn start_at(
         links: Arc<Links>,
         address: SocketAddr,
@@ -140,7 +141,7 @@
         Ok(Relay { address, accepting })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -153,7 +154,7 @@
 }
 
 async fn accept(listener: TcpListener, links: Arc<Links>, target: SocketAddr) {
-    // Aborts all connections when this task is.
+    // Dropping the set aborts all connections when this task is aborted.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -165,16 +166,16 @@
 }
 
 async fn relay(stream: TcpStream, peer: IpAddr, target: SocketAddr, links: Arc<Links>) {
-    let Ok(inner) = connect(target).await else {
+    let Ok(target_stream) = connect(target).await else {
         return;
     };
     let _ = stream.set_nodelay(true);
-    let (outer_read, outer_write) = stream.into_split();
-    let (inner_read, inner_write) = inner.into_split();
+    let (client_read, client_write) = stream.into_split();
+    let (target_read, target_write) = target_stream.into_split();
     let own = target.ip();
     tokio::select! {
-        () = pump(outer_read, inner_write, peer, own, &links) => {}
-        () = pump(inner_read, outer_write, own, peer, &links) => {}
+        () = copy(client_read, target_write, peer, own, &links) => {}
+        () = copy(target_read, client_write, own, peer, &links) => {}
     }
 }
 
@@ -187,20 +188,20 @@
     Ok(stream)
 }
 
-/// Moves bytes slice by slice; a slice leaves one link while the one before it enters the other.
-async fn pump(
+/// Copies bytes in slices; a slice passes the egress while the previous one passes the ingress.
+async fn copy(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     from_address: IpAddr,
     to_address: IpAddr,
     links: &Links,
 ) {
-    let (send, mut receive) = mpsc::channel::<Bytes>(IN_FLIGHT);
-    let leave = async move {
+    let (send, mut receive) = mpsc::channel::<Bytes>(MAX_IN_FLIGHT);
+    let egress = async move {
         let mut slice = vec![0; SLICE];
         while let Ok(count @ 1..) = from.read(&mut slice).await {
             links.bytes_sent.fetch_add(count as u64, Ordering::Relaxed);
-            links.pass(from_address, Direction::Out, count).await;
+            links.reserve(from_address, Direction::Egress, count).await;
             if send
                 .send(Bytes::copy_from_slice(&slice[..count]))
                 .await
@@ -210,15 +211,17 @@
             }
         }
     };
-    let enter = async {
+    let ingress = async {
         while let Some(slice) = receive.recv().await {
-            links.pass(to_address, Direction::In, slice.len()).await;
+            links
+                .reserve(to_address, Direction::Ingress, slice.len())
+                .await;
             if to.write_all(&maybe_corrupt(links, slice)).await.is_err() {
                 return;
             }
         }
     };
-    tokio::join!(leave, enter);
+    tokio::join!(egress, ingress);
 }
 
 fn maybe_corrupt(links: &Links, slice: Bytes) -> Bytes {
--- a/crates/gradeloft_standin/src/list.rs
+++ b/crates/gradeloft_standin/src/list.rs
@@ -13,20 +13,20 @@
 
 use crate::{refusal, start_server, url};
 
-/// State and knobs of the list.
+/// State and fault settings of the list.
 #[derive(Default)]
 pub struct State {
-    live: RefCell<Vec<Instance>>,
-    shown: RefCell<Vec<Instance>>,
-    /// Refuses every call while set.
+    instances: RefCell<Vec<Instance>>,
+    last_response: RefCell<Vec<Instance>>,
+    /// Whether every call is refused.
     pub down: Cell<bool>,
-    /// Shows what it showed before while set: the lag.
+    /// Whether the list keeps returning its last response, which simulates lag.
     pub frozen: Cell<bool>,
 }
 
-/// A list that listens.
+/// A listening list.
 pub struct List {
-    /// State and knobs.
+    /// State and fault settings.
     pub state: Rc<State>,
     server: Server,
 }
@@ -35,7 +35,7 @@
     /// Starts an empty list.
     pub async fn start() -> std::io::Result<List> {
         let state = Rc::new(State::default());
-        let server = start_server(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), handle_request).await?;
         Ok(List { state, server })
     }
 
@@ -46,26 +46,26 @@
 }
 
 impl State {
-    /// An instance is there, or is at a new address.
+    /// Adds an instance, or replaces the one with the same id.
     pub fn add(&self, instance: Instance) {
-        let mut live = self.live.borrow_mut();
-        live.retain(|it| it.id != instance.id);
-        live.push(instance);
+        let mut instances = self.instances.borrow_mut();
+        instances.retain(|it| it.id != instance.id);
+        instances.push(instance);
     }
 
-    /// An instance is gone.
+    /// Removes an instance.
     pub fn remove(&self, id: &str) {
-        self.live.borrow_mut().retain(|it| it.id != id);
+        self.instances.borrow_mut().retain(|it| it.id != id);
     }
 
-    /// An instance is to leave.
-    pub fn leaving(&self, id: &str) {
+    /// Marks an instance as leaving.
+    pub fn mark_leaving(&self, id: &str) {
         self.change(id, |it| it.state = InstanceState::Leaving);
     }
 
-    /// Changes what is listed of an instance.
+    /// Changes the listed data of an instance.
     pub fn change(&self, id: &str, change: impl Fn(&mut Instance)) {
-        self.live
+        self.instances
             .borrow_mut()
             .iter_mut()
             .filter(|it| it.id == id)
@@ -73,7 +73,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
+async fn handle_request(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
         return refusal(503, "the list is down");
     }
@@ -81,12 +81,12 @@
         return refusal(404, "no such call");
     }
     if !state.frozen.get() {
-        *state.shown.borrow_mut() = state.live.borrow().clone();
+        *state.last_response.borrow_mut() = state.instances.borrow().clone();
     }
     json(
         200,
         &Instances {
-            instances: state.shown.borrow().clone(),
+            instances: state.last_response.borrow().clone(),
         },
     )
 }
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -17,33 +17,34 @@
 
 use crate::{refusal, sleep_ms, start_server, url};
 
-const PAGE: usize = 1000;
+/// Maximum number of records in a page.
+const PAGE_RECORDS: usize = 1000;
 
 #[derive(Default)]
 struct Stream {
     records: Vec<Record>,
-    /// Offset of the first record kept.
+    /// Offset of the oldest retained record.
     oldest: u64,
 }
 
-/// State and knobs of the log.
+/// State and fault settings of the log.
 #[derive(Default)]
 pub struct State {
     streams: RefCell<HashMap<String, Stream>>,
     appended: Notify,
-    /// Refuses every call while set.
+    /// Whether every call is refused.
     pub down: Cell<bool>,
-    /// So many next appends take effect, and their replies are lost.
+    /// Number of next appends that take effect but whose replies are lost.
     pub lose_replies: Cell<u32>,
-    /// Delay of every call, in milliseconds.
+    /// Delay of each call, in milliseconds.
     pub delay_ms: Cell<u64>,
-    /// Appends taken so far.
+    /// Number of append calls that took effect.
     pub appends: Cell<u64>,
 }
 
-/// A log that listens.
+/// A listening log.
 pub struct Log {
-    /// State and knobs.
+    /// State and fault settings.
     pub state: Rc<State>,
     server: Server,
 }
@@ -52,7 +53,7 @@
     /// Starts an empty log.
     pub async fn start() -> std::io::Result<Log> {
         let state = Rc::new(State::default());
-        let server = start_server(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), handle_request).await?;
         Ok(Log { state, server })
     }
 
@@ -63,7 +64,7 @@
 }
 
 impl State {
-    /// Appends records directly, as another writer would.
+    /// Appends records without a call, as another writer does, and returns the offset of the first.
     pub fn append(&self, stream: &str, data: &[Vec<u8>]) -> u64 {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(stream.to_owned()).or_default();
@@ -81,7 +82,7 @@
         first
     }
 
-    /// Drops the records below an offset, as retention does.
+    /// Deletes the records below an offset, as retention does.
     pub fn truncate_before(&self, stream: &str, oldest: u64) {
         let mut streams = self.streams.borrow_mut();
         let stream = streams.entry(stream.to_owned()).or_default();
@@ -89,7 +90,7 @@
         stream.oldest = stream.oldest.max(oldest);
     }
 
-    /// How many records a stream holds.
+    /// Returns the number of retained records of a stream.
     pub fn len(&self, stream: &str) -> usize {
         self.streams
             .borrow()
@@ -111,7 +112,7 @@
             .records
             .iter()
             .skip(skipped)
-            .take(PAGE)
+            .take(PAGE_RECORDS)
             .cloned()
             .collect();
         let next = stream.oldest + stream.records.len() as u64;
@@ -123,27 +124,31 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
+async fn handle_request(state: Rc<State>, request: Request) -> HttpResponse {
     sleep_ms(state.delay_ms.get()).await;
     if state.down.get() {
         return refusal(503, "the log is down");
     }
     let segments = request.segments();
     match (request.method.as_str(), segments.as_slice()) {
-        ("POST", ["v1", "streams", stream, "records"]) => append(&state, stream, &request).await,
-        ("GET", ["v1", "streams", stream, "records"]) => read(&state, stream, &request).await,
+        ("POST", ["v1", "streams", stream, "records"]) => {
+            handle_append(&state, stream, &request).await
+        }
+        ("GET", ["v1", "streams", stream, "records"]) => {
+            handle_read(&state, stream, &request).await
+        }
         _ => refusal(404, "no such call"),
     }
 }
 
-async fn append(state: &State, stream: &str, request: &Request) -> HttpResponse {
+async fn handle_append(state: &State, stream: &str, request: &Request) -> HttpResponse {
     let body = request.body.as_ref().ok();
     let Some(body) = body.and_then(|it| serde_json::from_slice::<Append>(it).ok()) else {
-        return refusal(400, "no append");
+        return refusal(400, "malformed append");
     };
     let data: Result<Vec<Vec<u8>>, _> = body.records.iter().map(|it| STANDARD.decode(it)).collect();
     let Ok(data) = data else {
-        return refusal(400, "no base64");
+        return refusal(400, "records are not base64");
     };
     let first_offset = state.append(stream, &data);
     state.appends.set(state.appends.get() + 1);
@@ -154,15 +159,15 @@
     json(200, &Appended { first_offset })
 }
 
-async fn read(state: &State, stream: &str, request: &Request) -> HttpResponse {
-    let number = |name| {
+async fn handle_read(state: &State, stream: &str, request: &Request) -> HttpResponse {
+    let integer_param = |name| {
         request
             .query_param(name)
             .and_then(|it| it.parse().ok())
             .unwrap_or(0)
     };
-    let from: u64 = number("from");
-    let wait = Duration::from_millis(number("wait_ms"));
+    let from: u64 = integer_param("from");
+    let wait = Duration::from_millis(integer_param("wait_ms"));
     let appended = state.appended.notified();
     let page = state.page(stream, from);
     if !page.records.is_empty() || wait.is_zero() {
--- a/crates/gradeloft_standin/src/scripted.rs
+++ b/crates/gradeloft_standin/src/scripted.rs
@@ -1,4 +1,4 @@
-//! A fake of a replica that plays a script on each connection, down to how the connection ends.
+//! A fake server that plays a script on each connection, including how the connection ends.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -8,50 +8,50 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Longest request that is read, in bytes.
+/// Maximum size of a request, in bytes.
 const MAX_REQUEST: usize = 1 << 20;
 
 /// One step of a script.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Ends the connection in order.
+    /// Closes the connection gracefully.
     Close,
-    /// Reads the next request, whole.
+    /// Reads the next request with its body.
     Read,
-    /// Reads the head of the next request, and leaves its body unread.
+    /// Reads the head of the next request and leaves its body unread.
     ReadHead,
     /// Resets the connection.
     Reset,
     /// Sends bytes.
     Send(String),
-    /// Waits until the caller has gone.
+    /// Waits until the client disconnects.
     WaitForDisconnect,
-    /// Waits.
+    /// Waits for a duration.
     Wait(Duration),
 }
 
-/// What happened at a replica.
+/// Events at a scripted server.
 #[derive(Debug, Default)]
 pub struct Recording {
-    /// Connections.
+    /// Number of accepted connections.
     pub connections: usize,
-    /// Requests that were read, whole or their heads.
+    /// Requests read so far, with or without bodies as the scripts say.
     pub requests: Vec<String>,
-    /// Connections on which the caller went away while it was waited for.
+    /// Number of [`Step::WaitForDisconnect`] steps that completed.
     pub disconnects: usize,
 }
 
-/// A replica that plays scripts.
+/// A server that plays scripts.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// What happened.
+    /// Events so far.
     pub recording: Rc<RefCell<Recording>>,
 }
 
 impl ScriptedServer {
-    /// Listens on `address`; the connection of number n, from 0, plays `scripts[n]`, and those after
-    /// the last script play the last one.
+    /// Starts a server on `address`. Connection n, counted from 0, plays `scripts[n]`; connections
+    /// beyond the last script play the last script.
     pub async fn start(address: &str, scripts: Vec<Vec<Step>>) -> io::Result<ScriptedServer> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -64,7 +64,7 @@
                 let script = scripts.get(number).or(scripts.last()).cloned();
                 let recording = Rc::clone(&serving);
                 actix_rt::spawn(async move {
-                    // A connection that breaks ends its script.
+                    // A connection error ends the script.
                     let _ = play(stream, script.unwrap_or_default(), &recording).await;
                 });
             }
@@ -72,7 +72,7 @@
         Ok(ScriptedServer { address, recording })
     }
 
-    /// Requests so far.
+    /// Returns the requests read so far.
     pub fn requests(&self) -> Vec<String> {
         self.recording.borrow().requests.clone()
     }
@@ -88,11 +88,11 @@
         match step {
             Step::Close => return Ok(()),
             Step::Read => {
-                let request = read(&mut stream, &mut buffer, Part::Whole).await?;
+                let request = read_request(&mut stream, &mut buffer, Extent::Full).await?;
                 recording.borrow_mut().requests.push(request);
             }
             Step::ReadHead => {
-                let request = read(&mut stream, &mut buffer, Part::Head).await?;
+                let request = read_request(&mut stream, &mut buffer, Extent::Head).await?;
                 recording.borrow_mut().requests.push(request);
             }
             Step::Reset => {
@@ -107,44 +107,48 @@
                 while matches!(stream.read(&mut [0; 1024]).await, Ok(1..)) {}
                 recording.borrow_mut().disconnects += 1;
             }
-            Step::Wait(time) => actix_rt::time::sleep(time).await,
+            Step::Wait(duration) => actix_rt::time::sleep(duration).await,
         }
     }
-    // Held open, as a replica does between requests.
+    // Keeps the connection open, as a server does between requests.
     while matches!(stream.read(&mut [0; 1024]).await, Ok(1..)) {}
     Ok(())
 }
 
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Part {
+enum Extent {
     Head,
-    Whole,
+    Full,
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, part: Part) -> io::Result<String> {
+async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    extent: Extent,
+) -> io::Result<String> {
     loop {
         let text = String::from_utf8_lossy(buffer).into_owned();
         if let Some(end) = text.find("\r\n\r\n") {
             let end = end + 4;
-            let length = match part {
-                Part::Head => 0,
-                Part::Whole => length(&text[..end]),
+            let length = match extent {
+                Extent::Head => 0,
+                Extent::Full => content_length(&text[..end]),
             };
             if end + length <= buffer.len() {
                 buffer.drain(..end + length);
                 return Ok(text[..end + length].to_owned());
             }
         }
-        let mut piece = [0; 4096];
-        let count = stream.read(&mut piece).await?;
+        let mut chunk = [0; 4096];
+        let count = stream.read(&mut chunk).await?;
         if count == 0 || MAX_REQUEST < buffer.len() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        buffer.extend_from_slice(&piece[..count]);
+        buffer.extend_from_slice(&chunk[..count]);
     }
 }
 
-fn length(head: &str) -> usize {
+fn content_length(head: &str) -> usize {
     let lines = head.lines();
     let value = lines
         .filter_map(|it| it.split_once(": "))
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A fake of a plain service some of whose calls may not be repeated.
+//! A fake of a service. It counts the executions of each call, so that tests detect repeated ones.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,36 +15,36 @@
 
 const REQUEST_ID: &str = "x-request-id";
 
-/// State and knobs of the service.
+/// State and fault settings of the service.
 #[derive(Default)]
 pub struct State {
-    /// How often each call ran, by method, path and body.
+    /// Number of executions by method, path and body of the call.
     pub execution_counts: RefCell<HashMap<String, u64>>,
-    /// So many next calls run, and their replies are lost.
+    /// Number of next calls that are executed but whose replies are lost.
     pub lose_replies: Cell<u32>,
-    /// One of so many calls runs, and its reply is lost; 0 for none.
+    /// The reply to every n-th call is lost after its execution; 0 loses no replies.
     pub lose_reply_every: Cell<u64>,
     calls: Cell<u64>,
-    /// Echoes a wrong request id while set.
-    pub wrong_echo: Cell<bool>,
-    /// Delay of every call, in milliseconds.
+    /// Whether replies echo a wrong request id.
+    pub echo_wrong_id: Cell<bool>,
+    /// Delay of each call, in milliseconds.
     pub delay_ms: Cell<u64>,
-    /// Calls running.
+    /// Number of calls in progress.
     pub running: Cell<u32>,
 }
 
-/// A service that listens.
+/// A listening service.
 pub struct Service {
-    /// State and knobs.
+    /// State and fault settings.
     pub state: Rc<State>,
     server: Server,
 }
 
 impl Service {
-    /// Starts one; any call to it answers with a receipt of what it got.
+    /// Starts a service that answers every call with its method, path and body.
     pub async fn start() -> std::io::Result<Service> {
         let state = Rc::new(State::default());
-        let server = start_server(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), handle_request).await?;
         Ok(Service { state, server })
     }
 
@@ -55,7 +55,7 @@
 }
 
 impl State {
-    /// How often a call ran.
+    /// Returns the number of executions of a call.
     pub fn executions(&self, call: &str) -> u64 {
         self.execution_counts
             .borrow()
@@ -65,7 +65,7 @@
     }
 }
 
-async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
+async fn handle_request(state: Rc<State>, request: Request) -> HttpResponse {
     if request.path == "/healthz" {
         return text(200, "ok\n");
     }
@@ -94,10 +94,14 @@
         state.lose_replies.set(state.lose_replies.get() - 1);
         return request.connection.abort().await;
     }
-    let echo = if state.wrong_echo.get() {
+    let request_id = if state.echo_wrong_id.get() {
         "0".repeat(32)
     } else {
         request.header(REQUEST_ID).unwrap_or_default().to_owned()
     };
-    with_header(text(200, &format!("done: {call}\n")), REQUEST_ID, &echo)
+    with_header(
+        text(200, &format!("done: {call}\n")),
+        REQUEST_ID,
+        &request_id,
+    )
 }
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's tables.
+//! A fake of the tables in the platform's store.
 
 use std::{cell::Cell, cell::RefCell, collections::HashMap, time::Duration};
 
@@ -12,29 +12,29 @@
 use gradeloft_wire::frame::Table;
 use tokio::{sync::Notify, time::timeout};
 
-/// What the store does with calls.
+/// Response of the store to calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreMode {
-    /// It answers nothing.
+    /// Calls get no answer.
     Silent,
-    /// It refuses every call.
+    /// Every call is refused.
     Refusing,
-    /// It serves.
+    /// Calls are served.
     #[default]
     Healthy,
 }
 
-/// Tables, with knobs.
+/// Tables with fault settings.
 #[derive(Default)]
 pub struct Tables {
     records: RefCell<HashMap<Table, Vec<Record>>>,
-    /// Records before these offsets were dropped.
-    dropped: RefCell<HashMap<Table, u64>>,
-    /// What it does with calls.
+    /// Offsets below which a table was compacted.
+    compacted: RefCell<HashMap<Table, u64>>,
+    /// Response to calls.
     pub mode: Cell<StoreMode>,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: Cell<u64>,
-    /// Of these, writes.
+    /// Number of write calls so far.
     pub writes: Cell<u64>,
     changed: Notify,
     aborted: Notify,
@@ -43,14 +43,14 @@
     snapshot_reads: RefCell<HashMap<Table, usize>>,
 }
 
-/// A read that waits for records.
+/// Counts a read that waits for records until drop.
 struct PendingRead<'a> {
     tables: &'a Tables,
     table: Table,
 }
 
 impl<'a> PendingRead<'a> {
-    fn begin(tables: &'a Tables, table: Table) -> PendingRead<'a> {
+    fn new(tables: &'a Tables, table: Table) -> PendingRead<'a> {
         *tables.pending_reads.borrow_mut().entry(table).or_default() += 1;
         PendingRead { tables, table }
     }
@@ -58,24 +58,24 @@
 
 impl Drop for PendingRead<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.tables.pending_reads.borrow_mut();
-        waiting.entry(self.table).and_modify(|it| *it -= 1);
+        let mut pending = self.tables.pending_reads.borrow_mut();
+        pending.entry(self.table).and_modify(|it| *it -= 1);
     }
 }
 
 impl Tables {
-    /// Breaks off the reads that wait now.
+    /// Fails all pending reads.
     pub fn abort_reads(&self) {
         self.aborted.notify_waiters();
     }
 
-    /// Makes the connections silent on which reads wait now: no answer comes on them any more, while new
-    /// calls are served.
+    /// Stalls the connections of all pending reads: those reads get no answer, while new calls are
+    /// served.
     pub fn stall_reads(&self) {
         self.stalled.notify_waiters();
     }
 
-    /// Reads of a table that wait now.
+    /// Returns the number of pending reads of a table.
     pub fn pending_reads(&self, table: Table) -> usize {
         self.pending_reads
             .borrow()
@@ -84,7 +84,7 @@
             .unwrap_or(0)
     }
 
-    /// Whole reads of a table so far.
+    /// Returns the number of snapshot reads of a table so far.
     pub fn snapshot_reads(&self, table: Table) -> usize {
         self.snapshot_reads
             .borrow()
@@ -93,12 +93,12 @@
             .unwrap_or(0)
     }
 
-    /// Adds a record.
+    /// Appends a record; `None` deletes the key.
     pub fn write(&self, table: Table, key: &str, value: Option<&str>) {
-        self.add(table, key, value.map(|it| Bytes::from(it.to_owned())));
+        self.append(table, key, value.map(|it| Bytes::from(it.to_owned())));
     }
 
-    fn add(&self, table: Table, key: &str, value: Option<Bytes>) {
+    fn append(&self, table: Table, key: &str, value: Option<Bytes>) {
         let mut tables = self.records.borrow_mut();
         let records = tables.entry(table).or_default();
         records.push(Record {
@@ -110,32 +110,33 @@
         self.changed.notify_waiters();
     }
 
-    /// Keys of a table that are not deleted.
+    /// Returns the keys of a table that are not deleted.
     pub fn keys(&self, table: Table) -> Vec<String> {
         let mut newest = HashMap::new();
-        for record in self.since(table, 0) {
+        for record in self.records_from(table, 0) {
             newest.insert(record.key, record.value.is_some());
         }
-        newest.retain(|_, there| *there);
+        newest.retain(|_, is_present| *is_present);
         newest.into_keys().collect()
     }
 
-    /// Drops the history of a table; the newest record of each key stays.
+    /// Compacts a table: reads from older offsets get [`TableRead::Truncated`], and snapshots still have
+    /// the newest record of each key.
     pub fn compact(&self, table: Table) {
         let end = self.records.borrow().get(&table).map_or(0, Vec::len);
-        self.dropped.borrow_mut().insert(table, end as u64);
+        self.compacted.borrow_mut().insert(table, end as u64);
     }
 
-    async fn called(&self) -> Result<(), Fault> {
+    async fn handle_call(&self) -> Result<(), Fault> {
         self.calls.set(self.calls.get() + 1);
         match self.mode.get() {
             StoreMode::Silent => std::future::pending().await,
-            StoreMode::Refusing => Err(Fault::Refused("out of order".to_owned())),
+            StoreMode::Refusing => Err(Fault::Refused("the store refuses calls".to_owned())),
             StoreMode::Healthy => Ok(()),
         }
     }
 
-    fn since(&self, table: Table, from: u64) -> Vec<Record> {
+    fn records_from(&self, table: Table, from: u64) -> Vec<Record> {
         let tables = self.records.borrow();
         let records = tables.get(&table).map_or(&[][..], Vec::as_slice);
         records.iter().skip(from as usize).cloned().collect()
@@ -145,35 +146,35 @@
 impl Store for Tables {
     fn follow(&self, table: Table, from: u64, wait_ms: u64) -> CallFuture<'_, TableRead> {
         async move {
-            self.called().await?;
-            if from < self.dropped.borrow().get(&table).copied().unwrap_or(0) {
+            self.handle_call().await?;
+            if from < self.compacted.borrow().get(&table).copied().unwrap_or(0) {
                 return Ok(TableRead::Truncated);
             }
             let wait = Duration::from_millis(wait_ms);
-            let overdue = tokio::time::sleep(wait + READ_GRACE);
-            let waiting = PendingRead::begin(self, table);
-            let waited = timeout(wait, async {
+            let read_timeout = tokio::time::sleep(wait + READ_GRACE);
+            let pending_read = PendingRead::new(self, table);
+            let records_ready = timeout(wait, async {
                 loop {
                     let changed = self.changed.notified();
-                    if !self.since(table, from).is_empty() {
+                    if !self.records_from(table, from).is_empty() {
                         return;
                     }
                     changed.await;
                 }
             });
             tokio::select! {
-                // What happens to the connection comes before what is written right after.
+                // A fault of the connection takes precedence over a write that follows it.
                 biased;
                 () = self.aborted.notified() => return Err(Fault::Lost),
                 () = self.stalled.notified() => {
-                    drop(waiting);
-                    overdue.await;
+                    drop(pending_read);
+                    read_timeout.await;
                     return Err(Fault::Lost);
                 }
-                // Time over or not, what is there is the answer.
-                _ = waited => {}
+                // After the wait, also after a timeout, the answer has the records present.
+                _ = records_ready => {}
             }
-            let records = self.since(table, from);
+            let records = self.records_from(table, from);
             let end = from + records.len() as u64;
             Ok(TableRead::Complete(Update {
                 snapshot: false,
@@ -187,8 +188,8 @@
     fn snapshot(&self, table: Table) -> CallFuture<'_, Update> {
         async move {
             *self.snapshot_reads.borrow_mut().entry(table).or_default() += 1;
-            self.called().await?;
-            let all = self.since(table, 0);
+            self.handle_call().await?;
+            let all = self.records_from(table, 0);
             let end = all.len() as u64;
             let newest: HashMap<String, Record> =
                 all.into_iter().map(|it| (it.key.clone(), it)).collect();
@@ -207,9 +208,9 @@
     fn write(&self, rows: Vec<Put>) -> CallFuture<'_, ()> {
         async move {
             self.writes.set(self.writes.get() + 1);
-            self.called().await?;
+            self.handle_call().await?;
             for Put { key, value } in rows {
-                self.add(Table::Entries, &key, value);
+                self.append(Table::Entries, &key, value);
             }
             Ok(())
         }
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! A fake of the weight store and of the origin, and weights to put there.
+//! A fake of the weight store and of the origin, and generated weights.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,21 +24,21 @@
 
 use crate::{link::Links, refusal, start_server, url};
 
-/// Weights of one version, made up from a seed.
+/// Generated weights of one version.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Name of the version.
     pub version: String,
-    /// The manifest's bytes.
+    /// Encoded manifest.
     pub manifest: Bytes,
-    /// Chunks in order.
+    /// Chunks in the order of the manifest.
     pub chunks: Vec<Bytes>,
 }
 
 impl Version {
-    /// Makes up `count` chunks of `chunk_bytes` each; the same for the same model and version.
+    /// Generates `count` chunks of `chunk_bytes` bytes each. Equal arguments give equal weights.
     pub fn new(model: &str, version: &str, count: usize, chunk_bytes: usize) -> Version {
         let seed = Digest::of(format!("{model}/{version}").as_bytes());
         let mut rng = ChaCha8Rng::from_seed(seed.0);
@@ -52,7 +52,7 @@
             model: model.to_owned(),
             version: version.to_owned(),
             size_bytes: (count * chunk_bytes) as u64,
-            chunks: chunks.iter().map(entry).collect(),
+            chunks: chunks.iter().map(manifest_entry).collect(),
         };
         let manifest = Bytes::from(serde_json::to_vec(&manifest).unwrap_or_default());
         Version {
@@ -63,61 +63,61 @@
         }
     }
 
-    /// Digest of the manifest, in hex, as bundles name it.
+    /// Returns the digest of the manifest in hexadecimal, as in bundles.
     pub fn digest(&self) -> String {
         Digest::of(&self.manifest).to_string()
     }
 
-    /// Sum of the chunks' sizes, in bytes.
+    /// Returns the total size of the chunks, in bytes.
     pub fn size_bytes(&self) -> u64 {
         self.chunks.iter().map(|it| it.len() as u64).sum()
     }
 }
 
-fn entry(chunk: &Bytes) -> Chunk {
+fn manifest_entry(chunk: &Bytes) -> Chunk {
     Chunk {
         digest: Digest::of(chunk).to_string(),
         size_bytes: chunk.len() as u64,
     }
 }
 
-/// State and knobs of a store or an origin.
+/// State and fault settings of a store or an origin.
 #[derive(Default)]
 pub struct State {
     content: RefCell<HashMap<String, Bytes>>,
-    /// Refuses every call while set.
+    /// Whether every call is refused.
     pub down: Cell<bool>,
-    /// Answers 429 while set.
+    /// Whether every call is answered with status 429.
     pub rate_limited: Cell<bool>,
-    /// Every so-many-th answer is corrupted; 0 for none.
+    /// Every n-th handle_request is corrupted; 0 disables corruption.
     pub corrupt_every: Cell<u64>,
-    /// Answers so far.
+    /// Number of answers with content so far.
     pub answers: Cell<u64>,
-    /// So many next answers stall for good.
+    /// Number of next reads that never get an handle_request.
     pub stall: Cell<u32>,
-    /// Speed of its link in bytes a second; 0 for no limit.
+    /// Bandwidth of the server's link, in bytes per second; 0 means unlimited.
     pub bytes_per_s: Cell<u64>,
-    /// The links that answers cross, and the own address on them.
+    /// Links that carry answers, and the server's address on them.
     pub links: RefCell<Option<(Arc<Links>, IpAddr)>>,
     link_free_at: Cell<Option<Instant>>,
-    /// Bytes of content read so far.
+    /// Size of the content sent so far, in bytes.
     pub bytes_read: Cell<u64>,
-    /// How often each content was read.
+    /// Number of reads by digest of the content.
     pub reads: RefCell<HashMap<String, u64>>,
 }
 
-/// A store or an origin that listens.
+/// A listening store or origin.
 pub struct Weights {
-    /// State and knobs.
+    /// State and fault settings.
     pub state: Rc<State>,
     server: Server,
 }
 
 impl Weights {
-    /// Starts an empty one.
+    /// Starts a server without content.
     pub async fn start() -> std::io::Result<Weights> {
         let state = Rc::new(State::default());
-        let server = start_server(Rc::clone(&state), answer).await?;
+        let server = start_server(Rc::clone(&state), handle_request).await?;
         Ok(Weights { state, server })
     }
 
@@ -128,7 +128,7 @@
 }
 
 impl State {
-    /// Puts a version there.
+    /// Stores the manifest and the chunks of a version.
     pub fn put(&self, version: &Version) {
         let mut content = self.content.borrow_mut();
         for bytes in version.chunks.iter().chain([&version.manifest]) {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Waits until the link has carried so many bytes more.
-    async fn carry(&self, bytes: u64) {
+    /// Waits until the link has transferred `bytes` more.
+    async fn wait_for_link(&self, bytes: u64) {
         let rate = self.bytes_per_s.get();
         if rate == 0 {
             return;
@@ -150,15 +150,16 @@
     }
 }
 
-fn one_of(knob: &Cell<u32>) -> bool {
-    let left = knob.get();
-    knob.set(left.saturating_sub(1));
+/// Decrements a counter and returns whether it was positive.
+fn take_one(counter: &Cell<u32>) -> bool {
+    let left = counter.get();
+    counter.set(left.saturating_sub(1));
     0 < left
 }
 
-async fn answer(state: Rc<State>, request: Request) -> HttpResponse {
+async fn handle_request(state: Rc<State>, request: Request) -> HttpResponse {
     if state.down.get() {
-        return refusal(503, "it is down");
+        return refusal(503, "the server is down");
     }
     if state.rate_limited.get() {
         return with_header(refusal(429, "too many reads"), "retry-after", "0.2");
@@ -170,10 +171,10 @@
     let Some(content) = state.content.borrow().get(*digest).cloned() else {
         return refusal(404, "no such content");
     };
-    if one_of(&state.stall) {
+    if take_one(&state.stall) {
         std::future::pending::<()>().await;
     }
-    state.carry(content.len() as u64).await;
+    state.wait_for_link(content.len() as u64).await;
     let links = state.links.borrow().clone();
     if let (Some((links, own)), Some(to)) = (links, request.peer) {
         links.transfer(own, to, content.len()).await;
@@ -190,9 +191,9 @@
     state.answers.set(answers);
     let every = state.corrupt_every.get();
     if 0 < every && answers.is_multiple_of(every) {
-        let mut broken = content.to_vec();
-        broken[0] ^= 1;
-        return bytes_of(200, "application/octet-stream", broken);
+        let mut corrupted = content.to_vec();
+        corrupted[0] ^= 1;
+        return bytes_of(200, "application/octet-stream", corrupted);
     }
     bytes_of(200, "application/octet-stream", content)
 }
