--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -13,7 +13,7 @@
 use gradeloft_wire::{
     border::platform::InstanceRole,
     error::Kind,
-    frame::{Call, Reply, TeamLeaseRequest, Units},
+    frame::{Call, MilliRates, Reply, TeamLeaseRequest},
 };
 use tokio::time::timeout;
 
@@ -113,7 +113,7 @@
             ];
             let held = team.borrowers.map(|it| it.held(now));
             if MIN_DEMAND < demand[0] {
-                let (demand, held) = (to_units(need), to_units(held));
+                let (demand, held) = (to_milli_rates(need), to_milli_rates(held));
                 lease_requests.push(TeamLeaseRequest {
                     team: name.clone(),
                     demand,
@@ -131,7 +131,7 @@
         lease_requests: &[TeamLeaseRequest],
         counts: EntryCounts,
         now: Time,
-    ) -> Vec<Units> {
+    ) -> Vec<MilliRates> {
         lease_requests
             .iter()
             .map(|it| self.grant_one(entry, it, counts, now))
@@ -144,9 +144,9 @@
         lease_request: &TeamLeaseRequest,
         counts: EntryCounts,
         now: Time,
-    ) -> Units {
+    ) -> MilliRates {
         let Some(team) = self.teams.get(&lease_request.team) else {
-            return Units::default();
+            return MilliRates::default();
         };
         let lenders = self.lenders.entry(lease_request.team.clone());
         let lenders = lenders.or_insert_with(|| [Lender::new(now), Lender::new(now)]);
@@ -166,7 +166,7 @@
             };
             granted[idx] = lenders[idx].grant(lease_request, fleet, now);
         }
-        to_units(granted)
+        to_milli_rates(granted)
     }
 
     fn record_request(&mut self, now: Time) {
@@ -177,7 +177,7 @@
         self.unanswered_since = None;
     }
 
-    fn record_grant(&mut self, team: &str, granted: Units, asked_at: Time) {
+    fn record_grant(&mut self, team: &str, granted: MilliRates, asked_at: Time) {
         if let Some(team) = self.teams.get_mut(team) {
             for (borrower, rate) in team.borrowers.iter_mut().zip(to_rates(granted)) {
                 borrower.granted(rate, asked_at);
@@ -305,17 +305,17 @@
     }
 }
 
-fn to_units([requests, tokens]: [f64; 2]) -> Units {
+fn to_milli_rates([requests, tokens]: [f64; 2]) -> MilliRates {
     let thousandths = |it: f64| (it * THOUSANDTHS_PER_UNIT) as u64;
-    Units {
+    MilliRates {
         requests: thousandths(requests),
         tokens: thousandths(tokens),
     }
 }
 
-fn to_rates(units: Units) -> [f64; 2] {
+fn to_rates(milli_rates: MilliRates) -> [f64; 2] {
     [
-        units.requests as f64 / THOUSANDTHS_PER_UNIT,
-        units.tokens as f64 / THOUSANDTHS_PER_UNIT,
+        milli_rates.requests as f64 / THOUSANDTHS_PER_UNIT,
+        milli_rates.tokens as f64 / THOUSANDTHS_PER_UNIT,
     ]
 }
--- a/crates/gradeloft_wire/src/frame.rs
+++ b/crates/gradeloft_wire/src/frame.rs
@@ -136,7 +136,7 @@
     /// Signed bundles, lowest number first.
     Bundles(Vec<SignedBundle>),
     /// Leased shares, in the order of the requests.
-    Leased(Vec<Units>),
+    Leased(Vec<MilliRates>),
     /// State of the server.
     Notice(Notice),
     /// Digests of a version's pieces, in order.
@@ -205,7 +205,7 @@
 
 /// Rates of requests and of tokens, in thousandths per second.
 #[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, PartialEq)]
-pub struct Units {
+pub struct MilliRates {
     /// Thousandths of requests per second.
     pub requests: u64,
     /// Thousandths of tokens per second.
@@ -218,9 +218,9 @@
     /// Team.
     pub team: String,
     /// Rate that the callers of the requesting entry demand.
-    pub demand: Units,
+    pub demand: MilliRates,
     /// Rate that the requesting entry holds by leases.
-    pub held: Units,
+    pub held: MilliRates,
 }
 
 /// Reason why a peer doesn't send the requested content.
