--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -178,8 +178,8 @@
             .collect()
     }
 
-    /// Replaces the weights in service without an order, as after an engine restart or an order from
-    /// a competing controller.
+    /// Replaces the weights in service without an order, as a restart or a competing controller
+    /// does.
     pub fn set_serving(&self, weights: Vec<Weights>) {
         *self.serving.borrow_mut() = weights;
     }
--- a/crates/gradeloft_standin/src/fleet.rs
+++ b/crates/gradeloft_standin/src/fleet.rs
@@ -365,7 +365,7 @@
             self.serving_count(version) == self.engines.len()
         })
         .await;
-        self.wait_until("every entry knows every replica", || {
+        self.wait_until("every entry can route to every replica", || {
             self.is_routable(version)
         })
         .await;
--- a/crates/gradeloft_standin/src/lib.rs
+++ b/crates/gradeloft_standin/src/lib.rs
@@ -38,16 +38,16 @@
 
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Starts a server on a free loopback port; `answer` receives `state` with each request.
+/// Starts a server on a free loopback port; `handler` receives `state` with each request.
 async fn start_server<S, F>(
     state: Rc<S>,
-    answer: fn(Rc<S>, Request) -> F,
+    handler: fn(Rc<S>, Request) -> F,
 ) -> std::io::Result<Server>
 where
     S: 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
-    let handler: Handler = Rc::new(move |it| Box::pin(answer(Rc::clone(&state), it)));
+    let handler: Handler = Rc::new(move |it| Box::pin(handler(Rc::clone(&state), it)));
     Server::start(LOOPBACK, Limits::default(), handler).await
 }
 
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -15,7 +15,7 @@
 /// Response of the store to calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreMode {
-    /// Calls get no answer.
+    /// Calls get no response.
     Silent,
     /// Every call is refused.
     Refusing,
@@ -69,7 +69,7 @@
         self.aborted.notify_waiters();
     }
 
-    /// Stalls the connections of all pending reads: those reads get no answer, while new calls are
+    /// Stalls the connections of all pending reads: those reads get no response, while new calls are
     /// served.
     pub fn stall_reads(&self) {
         self.stalled.notify_waiters();
@@ -120,8 +120,8 @@
         newest.into_keys().collect()
     }
 
-    /// Compacts a table: reads from older offsets get [`TableRead::Truncated`], and snapshots still have
-    /// the newest record of each key.
+    /// Compacts a table: reads from older offsets get [`TableRead::Truncated`], and snapshots still
+    /// have the newest record of each key.
     pub fn compact(&self, table: Table) {
         let end = self.records.borrow().get(&table).map_or(0, Vec::len);
         self.compacted.borrow_mut().insert(table, end as u64);
@@ -171,7 +171,7 @@
                     read_timeout.await;
                     return Err(Fault::Lost);
                 }
-                // After the wait, also after a timeout, the answer has the records present.
+                // After the wait, also after a timeout, the response contains the available records.
                 _ = records_ready => {}
             }
             let records = self.records_from(table, from);
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -87,17 +87,17 @@
     content: RefCell<HashMap<String, Bytes>>,
     /// Whether every call is refused.
     pub down: Cell<bool>,
-    /// Whether every call is answered with status 429.
+    /// Whether every call gets a response with status 429.
     pub rate_limited: Cell<bool>,
     /// Every n-th handle_request is corrupted; 0 disables corruption.
     pub corrupt_every: Cell<u64>,
-    /// Number of answers with content so far.
-    pub answers: Cell<u64>,
+    /// Number of responses with content so far.
+    pub responses: Cell<u64>,
     /// Number of next reads that never get an handle_request.
     pub stall: Cell<u32>,
     /// Bandwidth of the server's link, in bytes per second; 0 means unlimited.
     pub bytes_per_s: Cell<u64>,
-    /// Links that carry answers, and the server's address on them.
+    /// Links that carry responses, and the server's address on them.
     pub links: RefCell<Option<(Arc<Links>, IpAddr)>>,
     link_free_at: Cell<Option<Instant>>,
     /// Size of the content sent so far, in bytes.
@@ -187,10 +187,10 @@
         .borrow_mut()
         .entry((*digest).to_owned())
         .or_default() += 1;
-    let answers = state.answers.get() + 1;
-    state.answers.set(answers);
+    let responses = state.responses.get() + 1;
+    state.responses.set(responses);
     let every = state.corrupt_every.get();
-    if 0 < every && answers.is_multiple_of(every) {
+    if 0 < every && responses.is_multiple_of(every) {
         let mut corrupted = content.to_vec();
         corrupted[0] ^= 1;
         return bytes_of(200, "application/octet-stream", corrupted);
