--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -473,7 +473,12 @@
                 Upstream::Owner(_) | Upstream::Source(_) => "peer",
             },
         };
-        self.agent.node.metrics.pieces.get_or_create(&label).inc();
+        self.agent
+            .node
+            .metrics
+            .fetched_chunks
+            .get_or_create(&label)
+            .inc();
         let near = self.is_near(request.from);
         let reach = Reach::of(near);
         self.agent.node.count(Purpose::Pieces, reach, content.len());
--- a/crates/gradeloft_gateway/src/metrics.rs
+++ b/crates/gradeloft_gateway/src/metrics.rs
@@ -92,8 +92,8 @@
     pub evacuated: Gauge,
     /// Version of the weights loaded by the replica beside an agent.
     pub weights: Gauge,
-    /// Pieces of weights fetched, by source.
-    pub pieces: Family<Reason, Counter>,
+    /// Chunks of weights fetched, by source.
+    pub fetched_chunks: Family<Reason, Counter>,
 }
 
 impl Metrics {
@@ -123,7 +123,7 @@
             cold: Gauge::default(),
             evacuated: Gauge::default(),
             weights: Gauge::default(),
-            pieces: Family::default(),
+            fetched_chunks: Family::default(),
         };
         it.register();
         Rc::new(it)
@@ -241,7 +241,11 @@
             "Version of the weights loaded by the replica",
             self.weights.clone(),
         );
-        it.register("pieces", "Pieces of weights fetched", self.pieces.clone());
+        it.register(
+            "pieces",
+            "Chunks of weights fetched",
+            self.fetched_chunks.clone(),
+        );
     }
 }
 
--- a/crates/gradeloft_gateway/src/traffic.rs
+++ b/crates/gradeloft_gateway/src/traffic.rs
@@ -1,5 +1,5 @@
 //! Traffic accounting of a process, by purpose. Messages, requests and records for peers are
-//! counted by the sender; responses, pieces and records of the store by the receiver.
+//! counted by the sender; responses, chunks and records of the store by the receiver.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,7 +29,7 @@
     Loads,
     /// Membership of entries.
     Members,
-    /// Pieces of weights.
+    /// Chunks of weights.
     Pieces,
     /// Records of the platform's tables.
     Records,
--- a/crates/gradeloft_policy/src/connection/mod.rs
+++ b/crates/gradeloft_policy/src/connection/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`health`]: whether a peer is usable.
 //! - [`pace`]: transfer rate of weights beside live requests.
-//! - [`window`]: number of concurrent requests for pieces of weights.
+//! - [`window`]: number of concurrent requests for chunks of weights.
 
 pub mod health;
 pub mod pace;
--- a/crates/gradeloft_policy/src/connection/window.rs
+++ b/crates/gradeloft_policy/src/connection/window.rs
@@ -1,19 +1,19 @@
-//! Adaptive number of concurrent requests for pieces of weights by one agent.
+//! Adaptive number of concurrent requests for chunks of weights by one agent.
 //!
-//! A piece that takes much longer than its transfer time on the agent's own link was queued, ahead
-//! of live requests to the replica on the same instance, so the window shrinks. Pieces that arrive
+//! A chunk that takes much longer than its transfer time on the agent's own link was queued, ahead
+//! of live requests to the replica on the same instance, so the window shrinks. Chunks that arrive
 //! quickly let it grow again.
 
 use std::time::Duration;
 
 /// Largest window.
 const MAX_SIZE: f64 = 6.0;
-/// Multiple of the nominal transfer time beyond which a piece is slow.
+/// Multiple of the nominal transfer time beyond which a chunk is slow.
 const SLOW_FACTOR: u32 = 8;
-/// Growth of the window for each piece that arrives quickly.
+/// Growth of the window for each chunk that arrives quickly.
 const GROWTH: f64 = 0.5;
 
-/// Window of concurrent piece requests.
+/// Window of concurrent chunk requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,12 +26,12 @@
 pub struct Window {
     /// Window size, from 1 to [`MAX_SIZE`].
     size: f64,
-    /// Transfer time of a piece on the agent's link.
+    /// Transfer time of a chunk on the agent's link.
     nominal: Duration,
 }
 
 impl Window {
-    /// Creates a window for pieces that take `nominal` on the agent's link.
+    /// Creates a window for chunks that take `nominal` on the agent's link.
     pub fn new(nominal: Duration) -> Window {
         Window {
             size: MAX_SIZE / 2.0,
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Returns the number of pieces that may be requested concurrently.
+    /// Returns the number of chunks that may be requested concurrently.
     pub fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// Returns whether recent pieces were so slow that only one is requested at a time.
+    /// Returns whether recent chunks were so slow that only one is requested at a time.
     pub fn is_congested(&self) -> bool {
         self.size < 2.0
     }
 
-    /// Records a piece that arrived after `took`.
+    /// Records a chunk that arrived after `took`.
     pub fn record_arrival(&mut self, took: Duration) {
         self.size = if self.nominal * SLOW_FACTOR < took {
             (self.size / 2.0).max(1.0)
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -28,7 +28,7 @@
 /// second including its preparation, so a tenth of the replicas is closed at once.
 const MAX_SPREAD: Duration = Duration::from_secs(5);
 /// Fraction of a version's rollout time over which the replicas of a fleet load a superseded version, one after the
-/// other. Each stages the newer version once it has started to load the superseded one, and fetching the pieces of the
+/// other. Each stages the newer version once it has started to load the superseded one, and fetching the chunks of the
 /// newer one takes a third of its time. In waves of a quarter each, closed for another 0.7 s, up to three quarters of a
 /// fleet are closed at once; if the loads are spread over 1.6 s of 9.7 s, up to two fifths.
 const SUPERSEDED_FRACTION: f64 = 0.3;
--- a/crates/gradeloft_policy/tests/versions.rs
+++ b/crates/gradeloft_policy/tests/versions.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn slow_pieces_shrink_the_window_and_fast_ones_grow_it() {
+fn slow_chunks_shrink_the_window_and_fast_ones_grow_it() {
     let mut window = Window::new(Duration::from_millis(40));
     for _ in 0..20 {
         window.record_arrival(Duration::from_millis(50));
