--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -278,7 +278,7 @@
     /// Returns the number of requests that are still running then.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> u32 {
         let agent = &self.agent;
-        agent.node.leave();
+        agent.node.start_drain();
         info!(agent.node.log, "leaving"; "running" => agent.running.get());
         let limit = Duration::from_millis(agent.node.limits.drain_ms);
         let ended = async {
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -50,7 +50,7 @@
         arrivals.borrow_and_update();
         let positions = agent.chunks.borrow().arrived(manifest, seen).to_vec();
         seen += positions.len();
-        if agent.node.leaving() || !outgoing.send(&Reply::Have(positions)).await {
+        if agent.node.is_draining() || !outgoing.send(&Reply::Have(positions)).await {
             return;
         }
         tokio::select! {
@@ -89,7 +89,7 @@
 impl Agent {
     /// Returns content for a peer, or the reason why it can't be sent.
     fn held_content(&self, digest: Digest) -> Result<bytes::Bytes, Absence> {
-        if self.node.leaving() {
+        if self.node.is_draining() {
             return Err(Absence::Leaving);
         }
         if let Some(content) = self.chunks.borrow().get(digest) {
--- a/crates/gradeloft_daemon/src/agent/work.rs
+++ b/crates/gradeloft_daemon/src/agent/work.rs
@@ -80,7 +80,7 @@
 
 impl Agent {
     fn admit(self: &Rc<Agent>, work: &Work) -> Result<RunningGuard, Kind> {
-        if self.node.leaving() {
+        if self.node.is_draining() {
             return Err(Kind::Leaving);
         }
         if work.deadline_ms == 0 {
--- a/crates/gradeloft_daemon/src/entry/addresses.rs
+++ b/crates/gradeloft_daemon/src/entry/addresses.rs
@@ -58,7 +58,7 @@
                 })
             })
             .collect();
-        if !self.node.leaving() {
+        if !self.node.is_draining() {
             entries.extend(self.own_address());
         }
         entries
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -160,7 +160,7 @@
     /// because the drain timeout passed or `forced` became true.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> usize {
         let node = &self.entry.node;
-        node.leave();
+        node.start_drain();
         info!(node.log, "leaving"; "running" => self.entry.in_flight.get());
         let drain_timeout = Duration::from_millis(node.limits.drain_ms);
         node.shutdown_deadline
@@ -192,7 +192,7 @@
 
 impl admin::Report for Entry {
     fn ready(&self) -> Result<(), &'static str> {
-        if self.node.leaving() {
+        if self.node.is_draining() {
             return Err("leaving");
         }
         match self.node.chain.borrow().head() {
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -83,7 +83,7 @@
         },
         zone: settings.zone.clone(),
         ready: report.ready().is_ok(),
-        leaving: node.leaving(),
+        leaving: node.is_draining(),
         bundle,
         source: node.bundle_source.get().name().to_owned(),
         versions: report.versions(),
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -176,12 +176,12 @@
     }
 
     /// Returns whether the process is draining and accepts no new work.
-    pub fn leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.notice.borrow().leaving
     }
 
-    /// Marks the process as leaving, and notifies the peers that watch it.
-    pub fn leave(&self) {
+    /// Marks the process as draining, and notifies the peers that watch it.
+    pub fn start_drain(&self) {
         self.notice.send_modify(|it| it.leaving = true);
     }
 
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -122,7 +122,7 @@
     transcript.add(format!("zone-0 by entry-0: {}", ask(0, "zone-0").await));
     transcript.add(format!("zone-0 by entry-3: {}", ask(3, "zone-0").await));
     transcript.add(format!("zone-1 by entry-0: {}", ask(0, "zone-1").await));
-    fleet.entries[1].as_ref().unwrap().node().leave();
+    fleet.entries[1].as_ref().unwrap().node().start_drain();
     let leaving_known = || {
         let membership = fleet.entries[0]
             .as_ref()
--- a/crates/gradeloft_emulator/src/load.rs
+++ b/crates/gradeloft_emulator/src/load.rs
@@ -89,7 +89,7 @@
                 steps: 6,
                 read_per_ms: 30.0,
                 usual_prompt: 950.0,
-                usual_answer: 120.0,
+                usual_response: 120.0,
             },
             kinds: vec![
                 kind(0.4, 1_300.0, 144.0, 400),
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -128,7 +128,7 @@
                     && self.node.catch_up_from(from, &datagram.zone, datagram.ends)
                 {
                     let mut refresh = self.refresh.get();
-                    refresh.asked(received_at);
+                    refresh.record_read(received_at);
                     self.refresh.set(refresh);
                 }
                 if is_new {
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -131,7 +131,7 @@
         let Some(entry) = agent.random_entry() else {
             break;
         };
-        let records = agent.node.ask_records(entry, Table::Replicas);
+        let records = agent.node.fetch_records(entry, Table::Replicas);
         let received = timeout(REQUEST_TIMEOUT, records).await == Ok(true);
         if agent.node.loaded(Table::Replicas) && (received || 0 < attempt) {
             return;
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -140,8 +140,8 @@
 /// Returns the time until which a connection may stay idle.
 fn idle_deadline(entry: &Entry, since: Time, limits: CallerLimits) -> Time {
     let until = since.after_ms(limits.idle_ms);
-    let leave = entry.drain.get();
-    leave.map_or(until, |it| until.min(it.idle_until(since)))
+    let drain = entry.drain.get();
+    drain.map_or(until, |it| until.min(it.idle_until(since)))
 }
 
 /// Reads the next request head; returns `None` if the connection closes instead.
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -124,7 +124,7 @@
         Ok(job) => job,
         Err(refused) => {
             let (refusal, received) = *refused;
-            let close = !keep_alive || entry.node.leaving.get() || refusal.requires_reconnect();
+            let close = !keep_alive || entry.node.draining.get() || refusal.requires_reconnect();
             count(entry, "-", refusal.error_response().name);
             log_refusal(entry, &received, refusal);
             let sent = refuse(entry, caller, refusal, Some(&received.head), close).await;
@@ -151,7 +151,7 @@
             let allowed_regions = config.allowed_regions(&route, team.as_deref());
             let job = new_job(entry, route, team, allowed_regions, received, keep_alive);
             match entry.drain.get() {
-                Some(leave) if entry.others_accept_callers() || !leave.accepts(job.deadline) => {
+                Some(drain) if entry.others_accept_callers() || !drain.accepts(job.deadline) => {
                     Err(Box::new((Refusal::Leaving, job.received)))
                 }
                 _ => Ok(job),
@@ -399,7 +399,7 @@
 
     /// Returns whether a request's connection closes after its response.
     pub(super) fn closes_after(&self, job: &Job) -> bool {
-        !job.keep_alive || self.node.leaving.get()
+        !job.keep_alive || self.node.draining.get()
     }
 }
 
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -257,7 +257,7 @@
 
     /// Returns whether this entry accepts callers.
     pub fn presence(&self) -> Presence {
-        if self.node.leaving.get() {
+        if self.node.draining.get() {
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
@@ -515,15 +515,15 @@
 impl Handle {
     /// Drains the entry: lookups no longer return it, new requests are still answered, and running requests
     /// finish. Returns the number of connections that were cut off.
-    pub async fn leave(self) -> usize {
+    pub async fn drain(self) -> usize {
         let entry = &self.entry;
         let node = &entry.node;
-        node.leaving.set(true);
-        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
-        entry.drain.set(Some(leave));
+        node.draining.set(true);
+        let drain = Drain::begin(node.clock.now(), node.settings().grace_ms);
+        entry.drain.set(Some(drain));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.drain_started.notify_waiters();
-        while !leave.finished(entry.open_connections.get(), node.clock.now()) {
+        while !drain.finished(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(DRAIN_POLL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -119,7 +119,7 @@
     /// Connections to peers.
     pub peers: Pool,
     /// Set once the process received SIGTERM.
-    pub leaving: Cell<bool>,
+    pub draining: Cell<bool>,
     /// Copies of the tables.
     copies: RefCell<[Mirror; 3]>,
     /// Updates of each table that are being fetched from peers.
@@ -184,7 +184,7 @@
             timers: Timers::new(clock),
             scope: Rc::default(),
             peers: Pool::new(clock, MAX_FRAME, PEER_CONNECT, None),
-            leaving: Cell::new(false),
+            draining: Cell::new(false),
             copies: RefCell::default(),
             inboxes: RefCell::default(),
             uploads: RefCell::default(),
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -167,7 +167,7 @@
 
     /// Fetches parts from a peer while it sends them and they are needed.
     async fn fetch_from(self: &Rc<Node>, peer: Ipv4Addr, table: Table) {
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         let (reason, refusal) = match self.receive_parts(peer, table).await {
             Ok(()) => return,
             Err(failure) => failure,
@@ -180,7 +180,7 @@
                 }
             });
         });
-        self.fetch_failed(peer, table, asked, reason);
+        self.fetch_failed(peer, table, requested_at, reason);
     }
 
     /// Calls a peer for parts, and receives them.
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -49,7 +49,7 @@
 #[derive(Default)]
 pub(super) struct Inbox {
     /// Whether a peer is being asked for records.
-    asking: bool,
+    requesting: bool,
     /// Time since which a peer of another region has been ahead.
     behind_since: Option<Time>,
     /// Peers that hold records of the table.
@@ -70,7 +70,7 @@
     /// Whether the peer trusts the removals in it.
     sound: bool,
     /// Time of the call.
-    asked: Time,
+    requested_at: Time,
     /// Source of its last value.
     pub(super) source: Source,
 }
@@ -187,30 +187,30 @@
     /// any. Peers of other regions are asked only after a moment, within which near peers most likely have the
     /// records too, and at first only by a few processes of this region.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
-        let mut asked = false;
+        let mut requested = false;
         let near = self.near(zone);
         for table in Table::ALL {
-            let asking = self.with_inbox(table, |it| it.asking);
-            if asking || !self.follows(table) {
+            let requesting = self.with_inbox(table, |it| it.requesting);
+            if requesting || !self.follows(table) {
                 continue;
             }
             let behind = self.announced_end(table) < ends[index(table)];
-            let waits = !near && !self.may_ask_far(table);
+            let waits = !near && !self.may_request_far(table);
             if !behind || waits {
                 continue;
             }
-            asked = true;
+            requested = true;
             self.with_inbox(table, |it| {
                 it.behind_since = None;
-                it.asking = true;
+                it.requesting = true;
             });
             let node = Rc::clone(self);
             self.scope.spawn(async move {
-                node.ask_records(peer, table).await;
-                node.with_inbox(table, |it| it.asking = false);
+                node.fetch_records(peer, table).await;
+                node.with_inbox(table, |it| it.requesting = false);
             });
         }
-        asked
+        requested
     }
 
     /// Runs a function with the state of fetching a table.
@@ -225,7 +225,7 @@
     }
 
     /// Returns whether this process may ask a peer of another region that is ahead with a table.
-    fn may_ask_far(&self, table: Table) -> bool {
+    fn may_request_far(&self, table: Table) -> bool {
         let caller = self.fetcher();
         if caller.role == Role::Agent && !self.loaded(table) {
             return true;
@@ -263,20 +263,20 @@
 
     /// Fetches the records of a table that this process lacks from a peer; returns whether the peer replied. Large
     /// values follow later, from any peer that sends them.
-    pub async fn ask_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
+    pub async fn fetch_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
         let address = self.peer_address(peer);
         let from = self.end(table);
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         let abridged = self.wants_abridged();
         let call = Call::Records {
             table,
             from,
             abridged,
         };
-        let asking = self
+        let reply = self
             .peers
             .call_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
-        let reply = asking.await;
+        let reply = reply.await;
         let (snapshot, rows, end, sound) = match reply {
             Ok(Ok(Reply::Records {
                 snapshot,
@@ -287,25 +287,25 @@
             Ok(Ok(Reply::Absent(Absence::Busy))) => {
                 let pause = self.with_rng(|it| it.random_range(BUSY_MS));
                 actix_rt::time::sleep(Duration::from_millis(pause)).await;
-                return self.fetch_failed(peer, table, asked, "busy");
+                return self.fetch_failed(peer, table, requested_at, "busy");
             }
-            Ok(Ok(_)) => return self.fetch_failed(peer, table, asked, "unexpected"),
-            Ok(Err(fault)) => return self.fetch_failed(peer, table, asked, reason(fault)),
-            Err(_) => return self.fetch_failed(peer, table, asked, "late"),
+            Ok(Ok(_)) => return self.fetch_failed(peer, table, requested_at, "unexpected"),
+            Ok(Err(fault)) => return self.fetch_failed(peer, table, requested_at, reason(fault)),
+            Err(_) => return self.fetch_failed(peer, table, requested_at, "late"),
         };
-        self.note_received_rows(table, &rows, asked);
+        self.note_received_rows(table, &rows, requested_at);
         let rows: Vec<pending_update::Row> = rows.into_iter().map(row).collect();
         let pending = PendingUpdate::new(snapshot, rows, end);
         if pending.oversized() {
-            return self.fetch_failed(peer, table, asked, "too large");
+            return self.fetch_failed(peer, table, requested_at, "too large");
         }
         let announced = Announced {
             pending,
             sound,
-            asked,
+            requested_at,
             source: Source::Peer(peer),
         };
-        self.with_inbox(table, |it| it.holders.note(peer, None, end, asked));
+        self.with_inbox(table, |it| it.holders.note(peer, None, end, requested_at));
         self.announce(table, announced);
         self.apply_complete(table);
         self.start_fetch(table);
@@ -351,7 +351,8 @@
             .fill(|want| self.value_at(table, want.offset));
         let update = announced.pending.take_ready(end);
         let ahead = announced.pending.usable_ahead();
-        let (sound, asked, source) = (announced.sound, announced.asked, announced.source);
+        let (sound, requested_at, source) =
+            (announced.sound, announced.requested_at, announced.source);
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
         }
@@ -362,7 +363,7 @@
                 self.peer_doubt_until
                     .set(self.clock.now().after_ms(RESTORED_MS));
             }
-            self.apply_update(table, update, source, asked);
+            self.apply_update(table, update, source, requested_at);
         }
         let seen = ahead.iter().map(|it| it.offset + 1).max();
         self.apply_ahead(table, ahead, source);
@@ -375,7 +376,7 @@
         &self,
         peer: impl fmt::Display,
         table: Table,
-        asked: Time,
+        requested_at: Time,
         reason: &'static str,
     ) -> bool {
         let label = Reason { reason };
@@ -387,7 +388,7 @@
             warn!(log, "record fetch failed"; "table" => ?table, "peer" => %peer, "reason" => reason,
                 "end" => self.end(table),
                 "behind_ms" => self.behind(table).map_or(-1, |it| it.as_millis() as i64),
-                "ms" => self.clock.now().since(asked).as_millis() as u64);
+                "ms" => self.clock.now().since(requested_at).as_millis() as u64);
         }
         false
     }
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -177,7 +177,13 @@
     }
 
     /// Applies an update, and logs it if it may affect requests.
-    pub(super) fn apply_update(&self, table: Table, update: Update, source: Source, asked: Time) {
+    pub(super) fn apply_update(
+        &self,
+        table: Table,
+        update: Update,
+        source: Source,
+        requested_at: Time,
+    ) {
         let bytes = update.bytes();
         let purpose = match source {
             Source::Store => Purpose::Store,
@@ -200,7 +206,7 @@
                 "snapshot" => update.snapshot, "rows" => update.records.len(),
                 "bytes" => bytes, "end" => update.end, "before" => self.end(table),
                 "behind_ms" => self.behind(table).map_or(-1, |it| it.as_millis() as i64),
-                "ms" => self.clock.now().since(asked).as_millis() as u64);
+                "ms" => self.clock.now().since(requested_at).as_millis() as u64);
         }
         self.source.set(source);
         self.apply_to_copy(table, update);
@@ -329,13 +335,13 @@
     /// Reads a table once: a snapshot first, then changes.
     async fn read(&self, table: Table, fresh: &mut bool, wait: Duration) -> Result<(), Fault> {
         let store = &self.platform.store;
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         if !*fresh {
             let update = store.snapshot(table).await?;
             *fresh = true;
-            self.note_read(table, &update, asked, Duration::ZERO);
-            self.apply_update(table, update, Source::Store, asked);
-            self.confirm(table, asked);
+            self.note_read(table, &update, requested_at, Duration::ZERO);
+            self.apply_update(table, update, Source::Store, requested_at);
+            self.confirm(table, requested_at);
             return Ok(());
         }
         let wait_ms = wait.as_millis() as u64;
@@ -343,19 +349,19 @@
             TableRead::Truncated => *fresh = false,
             TableRead::Partial(update) => {
                 // The response broke off, so it confirms nothing about the time after the request.
-                self.note_read(table, &update, asked, Duration::ZERO);
-                self.apply_update(table, update, Source::Store, asked);
+                self.note_read(table, &update, requested_at, Duration::ZERO);
+                self.apply_update(table, update, Source::Store, requested_at);
             }
             TableRead::Complete(update) => {
                 let waited_in_full = update.records.is_empty();
-                self.note_read(table, &update, asked, wait);
+                self.note_read(table, &update, requested_at, wait);
                 // Applied before the copy is confirmed: records of an interruption are doubtful.
-                self.apply_update(table, update, Source::Store, asked);
+                self.apply_update(table, update, Source::Store, requested_at);
                 // A response without records was sent after the whole wait.
                 let complete_at = if waited_in_full {
-                    asked.after(wait)
+                    requested_at.after(wait)
                 } else {
-                    asked
+                    requested_at
                 };
                 self.confirm(table, complete_at);
             }
@@ -366,12 +372,12 @@
     /// Reads a snapshot of a table from the store, once.
     pub async fn read_snapshot(&self, table: Table) {
         self.count_store_call(table);
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         match self.platform.store.snapshot(table).await {
             Ok(update) => {
-                self.note_read(table, &update, asked, Duration::ZERO);
-                self.apply_update(table, update, Source::Store, asked);
-                self.confirm(table, asked);
+                self.note_read(table, &update, requested_at, Duration::ZERO);
+                self.apply_update(table, update, Source::Store, requested_at);
+                self.confirm(table, requested_at);
             }
             Err(fault) => self.note_store_fault(table, &fault),
         }
--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -139,29 +139,35 @@
         saturate(self.clock.now().since(written).as_millis() as u64)
     }
 
-    /// Notes the ages of records that a peer sent on a call made at `asked`.
-    pub(super) fn note_received_rows(&self, table: Table, rows: &[Row], asked: Time) {
+    /// Notes the ages of records that a peer sent on a call made at `requested_at`.
+    pub(super) fn note_received_rows(&self, table: Table, rows: &[Row], requested_at: Time) {
         let ages = &mut self.write_times.borrow_mut()[index(table)];
         for row in rows {
-            ages.note_received(row.offset, u64::from(row.age_ms), asked);
+            ages.note_received(row.offset, u64::from(row.age_ms), requested_at);
         }
     }
 
     /// Notes a successful read of the store, which waited there for up to `wait`, before it is applied.
-    pub(super) fn note_read(&self, table: Table, update: &Update, asked: Time, wait: Duration) {
-        let answered = self.clock.now();
+    pub(super) fn note_read(
+        &self,
+        table: Table,
+        update: &Update,
+        requested_at: Time,
+        wait: Duration,
+    ) {
+        let received_at = self.clock.now();
         let interrupted = self.read_states.borrow()[index(table)] == ReadState::Interrupted;
         self.set_after_interruption(table, interrupted);
         let activity_gaps = self.activity_gaps.borrow();
-        let gap = |it: &Gaps| it.gap_since(asked, answered);
+        let gap = |it: &Gaps| it.gap_since(requested_at, received_at);
         let disturbed = interrupted || gap(&activity_gaps.ticks) || gap(&activity_gaps.datagrams);
         if !disturbed {
-            self.informed_at.set(Some(answered));
+            self.informed_at.set(Some(received_at));
         }
         let read = Read {
-            asked,
+            requested_at,
             wait,
-            answered,
+            received_at,
             bytes: update.bytes(),
             disturbed,
         };
--- a/crates/gradeloft_gateway/tests/entry/draining.rs
+++ b/crates/gradeloft_gateway/tests/entry/draining.rs
@@ -60,9 +60,9 @@
 /// Starts the drain of the entry and waits until it is in progress.
 async fn start_drain(harness: Harness) -> Rc<gradeloft_gateway::entry::Entry> {
     let entry = Rc::clone(harness.entry.entry());
-    actix_rt::spawn(harness.entry.leave());
+    actix_rt::spawn(harness.entry.drain());
     let draining = Rc::clone(&entry);
-    wait_until(|| async { draining.node.leaving.get() }).await;
+    wait_until(|| async { draining.node.draining.get() }).await;
     entry
 }
 
@@ -233,7 +233,7 @@
         let harness = start(RouteKind::Once, vec![ok_script()]).await;
         let mut caller = connect().await;
         let entry = Rc::clone(harness.entry.entry());
-        let drain = actix_rt::spawn(harness.entry.leave());
+        let drain = actix_rt::spawn(harness.entry.drain());
         let (response, closed_cleanly) = read_all(&mut caller).await;
         assert!(closed_cleanly && response.is_empty(), "{response}");
         assert_eq!(drain.await.unwrap(), 0);
--- a/crates/gradeloft_gateway/tests/entry/forward.rs
+++ b/crates/gradeloft_gateway/tests/entry/forward.rs
@@ -438,7 +438,7 @@
             .await
             .unwrap();
         wait_until(|| async { harness.request_count() == 1 }).await;
-        let drain = actix_rt::spawn(harness.entry.leave());
+        let drain = actix_rt::spawn(harness.entry.drain());
         wait_until(|| async { get(1, 8002, "/ready").await.starts_with("HTTP/1.1 503") }).await;
         assert!(get(1, 8009, "/where").await.starts_with("HTTP/1.1 503"));
         let mut response = Vec::new();
--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -56,7 +56,7 @@
         });
         let node = &harness.entry.entry().node;
         for attempt in 1..=2 {
-            assert!(!node.ask_records(address(9), Table::Replicas).await);
+            assert!(!node.fetch_records(address(9), Table::Replicas).await);
             assert_eq!(connections.get(), attempt);
         }
     });
--- a/crates/gradeloft_gateway/tests/entry/support/mod.rs
+++ b/crates/gradeloft_gateway/tests/entry/support/mod.rs
@@ -205,7 +205,7 @@
     steps: 1,
     read_per_ms: 1_000.0,
     usual_prompt: 10.0,
-    usual_answer: 1.0,
+    usual_response: 1.0,
 };
 
 /// An entry with its scripted replicas and the tables of its store.
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -108,7 +108,7 @@
     /// Tokens of a typical prompt.
     pub usual_prompt: f64,
     /// Tokens of a typical answer.
-    pub usual_answer: f64,
+    pub usual_response: f64,
 }
 
 /// Load that a replica of a service tolerates while it is cold.
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -53,12 +53,12 @@
         self.last = Some(now);
     }
 
-    /// Whether a gap ended at or after `asked`, or is in progress and was first recognised after
-    /// `asked`. A gap that was recognised earlier and still lasts does not count: a process without
+    /// Whether a gap ended at or after `requested_at`, or is in progress and was first recognised
+    /// after it. A gap that was recognised earlier and still lasts does not count: a process without
     /// peers receives nothing.
-    pub fn gap_since(&self, asked: Time, now: Time) -> bool {
-        let goes_on = |it: Time| asked < it && it < now;
-        self.ended.is_some_and(|it| asked <= it) || self.gap_start().is_some_and(goes_on)
+    pub fn gap_since(&self, requested_at: Time, now: Time) -> bool {
+        let goes_on = |it: Time| requested_at < it && it < now;
+        self.ended.is_some_and(|it| requested_at <= it) || self.gap_start().is_some_and(goes_on)
     }
 
     /// Returns when the last gap ended, which is `now` while a gap is in progress.
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -118,12 +118,12 @@
 }
 
 impl Borrower {
-    /// Applies a rate that the home granted in answer to a request made at `asked`. The lease
+    /// Applies a rate that the home granted in answer to a request made at `requested_at`. The lease
     /// counts from then, so it never outlasts the lease at the home.
-    pub fn granted(&mut self, rate: f64, asked: Time) {
+    pub fn granted(&mut self, rate: f64, requested_at: Time) {
         self.lease = Lease {
             rate,
-            until: asked.after_ms(LEASE_MS),
+            until: requested_at.after_ms(LEASE_MS),
         };
     }
 
--- a/crates/gradeloft_policy/src/process/refresh.rs
+++ b/crates/gradeloft_policy/src/process/refresh.rs
@@ -18,7 +18,7 @@
 /// Times of the last and the next read of an agent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refresh {
-    asked: Option<Time>,
+    last_read_at: Option<Time>,
     /// Time of the next read, drawn when there is first something new to read.
     due: Option<Time>,
 }
@@ -27,7 +27,7 @@
     /// Whether to read from an entry with new records now.
     pub fn due(&mut self, now: Time, rng: &mut impl Rng) -> bool {
         let due = *self.due.get_or_insert_with(|| {
-            let earliest = self.asked.map_or(now, |it| it.after_ms(REFRESH_MS));
+            let earliest = self.last_read_at.map_or(now, |it| it.after_ms(REFRESH_MS));
             let spread = rng.random_range(0..=SPREAD_MS);
             earliest.max(now).after_ms(spread)
         });
@@ -35,8 +35,8 @@
     }
 
     /// Records a read.
-    pub fn asked(&mut self, now: Time) {
-        self.asked = Some(now);
+    pub fn record_read(&mut self, now: Time) {
+        self.last_read_at = Some(now);
         self.due = None;
     }
 }
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -26,11 +26,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Read {
     /// When the read was requested.
-    pub asked: Time,
+    pub requested_at: Time,
     /// Longest time that the store waits for new records.
     pub wait: Duration,
     /// When the answer arrived.
-    pub answered: Time,
+    pub received_at: Time,
     /// Size of the records in the answer, in bytes.
     pub bytes: usize,
     /// Whether the previous read failed, or this process was suspended or cut off in the meantime.
@@ -40,7 +40,7 @@
 impl Read {
     /// Whether the store may have begun the answer long before it arrived.
     fn is_delayed(self) -> bool {
-        let late = self.asked.after(self.wait).after_ms(DELAYED_MS) < self.answered;
+        let late = self.requested_at.after(self.wait).after_ms(DELAYED_MS) < self.received_at;
         late || LARGE_BYTES <= self.bytes
     }
 }
@@ -76,9 +76,10 @@
     }
 
     /// Records that a peer sent a record that it has known for `age_ms`, in answer to a call made
-    /// at `asked`.
-    pub fn note_received(&mut self, offset: u64, age_ms: u64, asked: Time) {
-        self.effective.note(offset + 1, asked.before_ms(age_ms));
+    /// at `requested_at`.
+    pub fn note_received(&mut self, offset: u64, age_ms: u64, requested_at: Time) {
+        self.effective
+            .note(offset + 1, requested_at.before_ms(age_ms));
     }
 
     /// Records that a read brought the records at `offsets`.
@@ -88,11 +89,11 @@
             let earliest = self
                 .earliest
                 .unwritten_until(offset)
-                .unwrap_or(read.answered);
-            let written = earliest.max(bound).min(read.answered);
+                .unwrap_or(read.received_at);
+            let written = earliest.max(bound).min(read.received_at);
             self.effective.note(offset + 1, written);
         }
-        self.read_at = Some(read.answered);
+        self.read_at = Some(read.received_at);
         self.read_delayed = read.is_delayed();
     }
 
@@ -102,14 +103,14 @@
         if read.disturbed || read.is_delayed() {
             return Time::ZERO;
         }
-        let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
+        let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.requested_at;
         let reading_steadily = !self.read_at.is_none_or(paused) && !self.read_delayed;
-        let waited = read.asked.after_ms(DELAYED_MS) < read.answered;
+        let waited = read.requested_at.after_ms(DELAYED_MS) < read.received_at;
         match (reading_steadily, waited) {
-            (true, _) => read.answered,
+            (true, _) => read.received_at,
             // The store would have answered at once if the records had been there at the start of
             // the read.
-            (false, true) => read.asked,
+            (false, true) => read.requested_at,
             (false, false) => Time::ZERO,
         }
     }
--- a/crates/gradeloft_policy/src/request/forecast.rs
+++ b/crates/gradeloft_policy/src/request/forecast.rs
@@ -40,7 +40,7 @@
 ///     steps: 6,
 ///     read_per_ms: 30.0,
 ///     usual_prompt: 900.0,
-///     usual_answer: 120.0,
+///     usual_response: 120.0,
 /// };
 /// let idle = Queue { slots: 16, begun: 0, waiting: 0, waiting_tokens: 0.0 };
 /// // Its own prompt, and one pass.
@@ -64,8 +64,8 @@
         return 0.0;
     }
     let ahead = f64::from(taken - queue.slots + 1);
-    let answer_ms = speed.usual_answer * step_ms;
-    ahead * answer_ms / f64::from(queue.slots.max(1))
+    let response_ms = speed.usual_response * step_ms;
+    ahead * response_ms / f64::from(queue.slots.max(1))
 }
 
 /// Ratio of observed to forecast time to first token of a replica; 1 means as published.
--- a/crates/gradeloft_policy/tests/admission.rs
+++ b/crates/gradeloft_policy/tests/admission.rs
@@ -31,7 +31,7 @@
     steps: 6,
     read_per_ms: 30.0,
     usual_prompt: 900.0,
-    usual_answer: 120.0,
+    usual_response: 120.0,
 };
 
 const CERTAIN: Uncertainty = Uncertainty {
--- a/crates/gradeloft_policy/tests/refresh.rs
+++ b/crates/gradeloft_policy/tests/refresh.rs
@@ -24,7 +24,7 @@
             (turn % ENTRIES, Time::ZERO.after_ms(from_ms + delay_ms))
         });
         let (entry, at) = announcements.find(|(_, at)| refresh.due(*at, rng)).unwrap();
-        refresh.asked(at);
+        refresh.record_read(at);
         *requests.entry(entry).or_default() += 1;
     }
     requests
@@ -50,7 +50,7 @@
     refresh.due(announced_at, &mut rng);
     let at = announced_at.after_ms(500);
     assert!(refresh.due(at, &mut rng));
-    refresh.asked(at);
+    refresh.record_read(at);
     assert!(!refresh.due(at.after_ms(1_999), &mut rng));
     assert!(refresh.due(at.after_ms(2_500), &mut rng));
 }
--- a/crates/gradeloft_policy/tests/write_times.rs
+++ b/crates/gradeloft_policy/tests/write_times.rs
@@ -21,9 +21,9 @@
 /// Returns a read that waits for up to two seconds.
 fn read(asked: u64, answered: u64) -> Read {
     Read {
-        asked: at(asked),
+        requested_at: at(asked),
         wait: Duration::from_secs(2),
-        answered: at(answered),
+        received_at: at(answered),
         bytes: 20,
         disturbed: false,
     }
