--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -336,7 +336,7 @@
                 Call::Work(work) => work::handle(agent, work, outgoing).await,
                 Call::Chunk { digest } => share::send_chunk(agent, digest, outgoing).await,
                 Call::Follow { manifest } => share::send_holdings(agent, manifest, outgoing).await,
-                other => calls::answer(Rc::clone(&agent.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&agent.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/entry/addresses.rs
+++ b/crates/gradeloft_daemon/src/entry/addresses.rs
@@ -1,4 +1,4 @@
-//! Answers to address queries.
+//! Responses to address queries.
 
 use gradeloft_http::message::{HttpResponse, Request, json};
 use gradeloft_policy::process::address;
@@ -12,8 +12,8 @@
 
 use super::{Entry, api::Failure};
 
-/// Answers an address query for a team and, if given, the caller's availability zone.
-pub fn answer(entry: &Entry, request: &Request) -> Result<HttpResponse, Failure> {
+/// Responds to an address query for a team and, if given, the caller's availability zone.
+pub fn respond(entry: &Entry, request: &Request) -> Result<HttpResponse, Failure> {
     let missing = || Failure::with_detail(Kind::BadRequest, "team: missing in the query");
     let team = request.query_param("team").ok_or_else(missing)?;
     let own_zone = &entry.node.settings.node.zone;
@@ -42,7 +42,7 @@
 }
 
 impl Entry {
-    /// Returns the entries that accept new requests, including this one unless it is leaving.
+    /// Returns the entries that accept new requests, including this one unless it is draining.
     fn available_entries(&self) -> Vec<address::Entry> {
         let membership = self.node.membership.borrow();
         let now = self.node.clock.now();
--- a/crates/gradeloft_daemon/src/entry/api.rs
+++ b/crates/gradeloft_daemon/src/entry/api.rs
@@ -170,11 +170,11 @@
 pub fn error_response(entry: &Entry, failure: &Failure, id: &str) -> HttpResponse {
     record_failure(entry, failure, id);
     let row = failure.kind.row();
-    let answer = json(row.status, &error_body(failure, id));
-    let answer = with_header(answer, REQUEST_ID, id);
+    let response = json(row.status, &error_body(failure, id));
+    let response = with_header(response, REQUEST_ID, id);
     match row.retry_after_s {
-        Some(seconds) => with_header(answer, "retry-after", &seconds.to_string()),
-        None => answer,
+        Some(seconds) => with_header(response, "retry-after", &seconds.to_string()),
+        None => response,
     }
 }
 
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -27,7 +27,7 @@
     transport::client::{CallError, Incoming, Lane},
 };
 
-/// What a request needs an agent to serve.
+/// Requirement of a request on the agent that serves it.
 #[derive(Clone, Debug)]
 pub enum Target {
     /// Weights, and the hash of the prompt's prefix.
@@ -368,7 +368,7 @@
 }
 
 impl Context {
-    /// Whether the bundle allows the team to be served from an availability zone.
+    /// Returns whether the bundle allows the team to be served from an availability zone.
     pub fn may_use_zone(&self, zone: &str) -> bool {
         self.team.zones.is_empty() || self.team.zones.iter().any(|it| it == zone)
     }
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -32,8 +32,8 @@
 const BYTES_PER_TOKEN: f64 = 4.0;
 const MAX_TOKENS: u32 = 1_000_000;
 
-/// Answers a generate request with server-sent events: `token`s, then `end` or `error`.
-pub async fn answer(
+/// Responds to a generate request with server-sent events: `token`s, then `end` or `error`.
+pub async fn respond(
     entry: &Rc<Entry>,
     request: &Request,
     id: &str,
@@ -70,8 +70,8 @@
         Some(relay),
         |relay| async move { relay?.next_event().await },
     );
-    let answer = streamed(200, "text/event-stream", body);
-    Ok(with_header(answer, api::REQUEST_ID, id))
+    let response = streamed(200, "text/event-stream", body);
+    Ok(with_header(response, api::REQUEST_ID, id))
 }
 
 fn parse(
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -41,7 +41,7 @@
     teams: HashMap<String, TeamState>,
     /// Lenders by team, for the teams of which other entries have requested leases.
     lenders: HashMap<String, [Lender; 2]>,
-    /// Time of the first lease request since the last answer.
+    /// Time of the first lease request since the last reply.
     unanswered_since: Option<Time>,
 }
 
@@ -173,14 +173,14 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    fn record_answer(&mut self) {
+    fn record_reply(&mut self) {
         self.unanswered_since = None;
     }
 
-    fn record_grant(&mut self, team: &str, granted: MilliRates, asked_at: Time) {
+    fn record_grant(&mut self, team: &str, granted: MilliRates, requested_at: Time) {
         if let Some(team) = self.teams.get_mut(team) {
             for (borrower, rate) in team.borrowers.iter_mut().zip(to_rates(granted)) {
-                borrower.granted(rate, asked_at);
+                borrower.granted(rate, requested_at);
             }
         }
     }
@@ -217,7 +217,7 @@
 }
 
 impl Entry {
-    /// Answers the lease requests of another entry.
+    /// Replies to the lease requests of another entry.
     pub(super) fn grant(&self, node: &str, lease_requests: &[TeamLeaseRequest]) -> Reply {
         let now = self.node.clock.now();
         let entry = rendezvous::hash(node.as_bytes());
@@ -272,11 +272,11 @@
     }
 
     async fn request_leases(&self, home: Option<String>, lease_requests: Vec<TeamLeaseRequest>) {
-        let asked_at = self.node.clock.now();
+        let requested_at = self.node.clock.now();
         let own = self.node.settings.node.id.clone();
-        self.limits.borrow_mut().record_request(asked_at);
+        self.limits.borrow_mut().record_request(requested_at);
         let reply = match &home {
-            // Without a majority, this entry is no home, and its own answer does not show that
+            // Without a majority, this entry is no home, and its own reply does not show that
             // homes can be reached.
             None if !self.entry_counts().has_majority() => return,
             None => self.grant(&own, &lease_requests),
@@ -297,9 +297,9 @@
         };
         let entries = self.entry_counts().entries;
         let mut limits = self.limits.borrow_mut();
-        limits.record_answer();
+        limits.record_reply();
         for (lease_request, granted) in lease_requests.iter().zip(granted) {
-            limits.record_grant(&lease_request.team, granted, asked_at);
+            limits.record_grant(&lease_request.team, granted, requested_at);
         }
         limits.apply(entries, self.node.clock.now());
     }
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! The entry: answers address queries, and admits, routes and relays callers' requests.
+//! The entry: responds to address queries, and admits, routes and relays callers' requests.
 //!
-//! - [`addresses`]: answers to address queries.
+//! - [`addresses`]: responses to address queries.
 //! - [`api`]: parsing of callers' requests, and error responses.
 //! - [`dispatch`]: attempts at agents until one responds.
 //! - [`generate`]: streamed generate requests.
@@ -235,12 +235,12 @@
     let path = request.path.clone();
     let segments: Vec<&str> = path.split('/').filter(|it| !it.is_empty()).collect();
     match (request.method.as_str(), segments.as_slice()) {
-        ("GET", ["v1", "addresses"]) => addresses::answer(entry, &request),
+        ("GET", ["v1", "addresses"]) => addresses::respond(entry, &request),
         ("POST", ["v1", "teams", team, "models", model, "generate"]) => {
-            generate::answer(entry, &request, id, team, model).await
+            generate::respond(entry, &request, id, team, model).await
         }
         (_, ["v1", "teams", team, "services", service, rest @ ..]) => {
-            service::answer(entry, &request, id, team, service, rest).await
+            service::respond(entry, &request, id, team, service, rest).await
         }
         _ => Err(Failure::with_detail(Kind::NotFound, "no such route")),
     }
@@ -274,7 +274,7 @@
                     let granted = entry.grant(&node, &requests);
                     outgoing.finish(&granted).await;
                 }
-                other => calls::answer(Rc::clone(&entry.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&entry.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/entry/service.rs
+++ b/crates/gradeloft_daemon/src/entry/service.rs
@@ -26,8 +26,8 @@
 const REPEATABLE: &str = "x-repeatable";
 const MAX_KEY_BYTES: usize = 256;
 
-/// Answers a call with the response of the service.
-pub async fn answer(
+/// Responds to a call with the response of the service.
+pub async fn respond(
     entry: &Rc<Entry>,
     request: &Request,
     id: &str,
@@ -71,8 +71,8 @@
         Some(relay),
         |relay| async move { relay?.next_chunk().await },
     );
-    let answer = streamed(status, &content_type, body);
-    Ok(with_header(answer, api::REQUEST_ID, id))
+    let response = streamed(status, &content_type, body);
+    Ok(with_header(response, api::REQUEST_ID, id))
 }
 
 fn parse(
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -36,13 +36,13 @@
         idle: node.idle_timeout(),
     };
     let handler: Handler = Rc::new(move |request| {
-        let res = answer(&node, &*report, &request);
+        let res = respond(&node, &*report, &request);
         async { res }.boxed_local()
     });
     Server::start(&address, limits, handler).await
 }
 
-fn answer(node: &Node, report: &dyn Report, request: &Request) -> HttpResponse {
+fn respond(node: &Node, report: &dyn Report, request: &Request) -> HttpResponse {
     if request.method != "GET" {
         return text(405, "only GET\n");
     }
--- a/crates/gradeloft_daemon/src/node/calls.rs
+++ b/crates/gradeloft_daemon/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! The listener for peers, and the calls that both roles answer in the same way.
+//! The listener for peers, and the calls that both roles serve in the same way.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -19,8 +19,8 @@
     Ok(server.address())
 }
 
-/// Answers the calls that both roles answer in the same way. Other calls end without a reply.
-pub async fn answer(node: Rc<Node>, call: Call, outgoing: Outgoing) {
+/// Serves the calls that both roles serve in the same way. Other calls end without a reply.
+pub async fn serve(node: Rc<Node>, call: Call, outgoing: Outgoing) {
     match call {
         Call::Watch => peers::serve_watch(node, outgoing).await,
         Call::Sync { number } => {
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -1,6 +1,6 @@
 //! Synchronization of the bundle in force, from the log and from peers.
 //!
-//! Entries follow the log. In addition, every node periodically asks a random peer for a newer
+//! Entries follow the log. In addition, every node periodically requests from a random peer a newer
 //! bundle, pushes each bundle that it accepts to its peers, and compares bundle numbers in the
 //! notices of the peers that it watches. An outage of the log therefore stops new bundles, but
 //! neither the spread of the accepted one nor the start of new nodes. Agents read the log
@@ -57,7 +57,7 @@
     record_verdict(node, signed, &verdict, BundleSource::Peer);
 }
 
-/// Asks a peer for a newer bundle and adopts it. Returns whether the peer answered.
+/// Requests a newer bundle from a peer and adopts it. Returns whether the peer replied.
 pub async fn sync(node: &Node, address: &str) -> bool {
     let number = node.chain.borrow().number();
     let call = Call::Sync { number };
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! State and tasks of both roles: the bundle in force, the peers and the admin port.
 //!
 //! - [`admin`]: health, metrics and status.
-//! - [`calls`]: calls of peers that both roles answer in the same way.
+//! - [`calls`]: calls of peers that both roles serve in the same way.
 //! - [`config`]: synchronization of the bundle in force.
 //! - [`peers`]: the list of instances, connections to peers, and notices.
 
--- a/crates/gradeloft_daemon/src/transport/server.rs
+++ b/crates/gradeloft_daemon/src/transport/server.rs
@@ -36,7 +36,7 @@
 
 /// Handler of received calls.
 pub trait Handler {
-    /// Starts to answer a call. Must not block.
+    /// Starts to serve a call. Must not block.
     fn call(&self, call: Call, outgoing: Outgoing);
     /// Called when a connection was dropped because the peer sent malformed data.
     fn malformed(&self);
--- a/crates/gradeloft_gateway/src/agent/deploy.rs
+++ b/crates/gradeloft_gateway/src/agent/deploy.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Returns the target version, if the replica answers and does not serve it or a newer one.
+    /// Returns the target version, if the replica responds and does not serve it or a newer one.
     fn pending_version(&self) -> Option<Version> {
         let target = self.target()?;
         let state = self.state.get()?;
@@ -295,7 +295,7 @@
                 Some(state) if state.born.is_some() && born.is_some() && state.born != born => {
                     return Err(DeployError::ReplicaExited("the replica restarted"));
                 }
-                None => return Err(DeployError::ReplicaExited("the replica does not answer")),
+                None => return Err(DeployError::ReplicaExited("the replica does not respond")),
                 Some(_) => {}
             }
             // The order fixed the chunks to load, so the chunks of the next version can be staged
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -129,14 +129,14 @@
     pub upload_pacer: RefCell<Pacer>,
     /// Number of current uploads to peers.
     pub uploads: Cell<usize>,
-    /// State of the replica at the last poll; `None` if it did not answer.
+    /// State of the replica at the last poll; `None` if it did not respond.
     state: Cell<Option<State>>,
     /// Whether the replica is being ordered to load a version, or is loading it.
     loading: Cell<bool>,
     /// Progress of the switch to a new version by hash of the model, as last reported by an entry.
     switch_progress: RefCell<HashMap<u64, SwitchProgress>>,
-    /// Time of the replica's first answer.
-    first_answer_at: Cell<Option<Time>>,
+    /// Time of the replica's first response.
+    first_response_at: Cell<Option<Time>>,
     /// Fraction of the spread of first store reads after which this agent reads, from 0 to 1.
     first_read_fraction: Cell<Option<f64>>,
     /// Schedule of requests to entries for the operator's records.
@@ -193,7 +193,7 @@
             state: Cell::default(),
             loading: Cell::default(),
             switch_progress: RefCell::default(),
-            first_answer_at: Cell::default(),
+            first_response_at: Cell::default(),
             refresh: Cell::default(),
             resumable: Cell::default(),
             recovering: Cell::default(),
@@ -289,7 +289,7 @@
         services.find(|it| it.origin.is_some()).map(get)
     }
 
-    /// Returns the state of the replica at the last poll; `None` if it did not answer.
+    /// Returns the state of the replica at the last poll; `None` if it did not respond.
     pub fn state(&self) -> Option<State> {
         self.state.get()
     }
@@ -380,8 +380,8 @@
                 None
             }
         };
-        if state.is_some() && self.first_answer_at.get().is_none() {
-            self.first_answer_at.set(Some(self.node.clock.now()));
+        if state.is_some() && self.first_response_at.get().is_none() {
+            self.first_response_at.set(Some(self.node.clock.now()));
         }
         let born = |it: Option<State>| it.and_then(|it| it.born);
         if born(before).is_some()
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -18,12 +18,12 @@
 /// Silence of all entries with access to the store after which an agent reads the operator's table
 /// from the store itself, in milliseconds: three intervals between datagrams of an entry.
 const SERVED_ENTRY_TIMEOUT_MS: u64 = 1_600;
-/// Time after a replica's first answer within which an entry may send the agent its first datagram,
+/// Time after a replica's first response within which an entry may send the agent its first datagram,
 /// in milliseconds. Without one the agent has nothing to do, so a longer time would leave an added
 /// replica empty.
 const FIRST_DATAGRAM_MS: u64 = 250;
 /// Time after its start at which an agent reads the store itself even if its replica does not
-/// answer, in milliseconds.
+/// respond, in milliseconds.
 const LATEST_FIRST_READ_MS: u64 = 3_000;
 /// Time over which agents that start together and know no entry spread their first store reads, in
 /// milliseconds.
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether to read the operator's table from the store although no entry has sent it
-    /// yet. `served` tells whether an entry with access to the store is known.
+    /// yet. `served` is whether an entry with access to the store is known.
     fn first_read_due(&self, served: bool, now: Time) -> bool {
         let fraction = self.first_read_fraction.get();
         let fraction = fraction.unwrap_or_else(|| self.node.with_rng(Rng::random));
@@ -92,9 +92,9 @@
             return Time::ZERO.after_ms(LATEST_FIRST_READ_MS + spread_ms) <= now;
         }
         let spread_ms = (fraction * FIRST_READ_SPREAD_MS) as u64;
-        let first_answer = self.first_answer_at.get();
+        let first_response = self.first_response_at.get();
         let replica_waited =
-            first_answer.is_some_and(|it| it.after_ms(FIRST_DATAGRAM_MS + spread_ms) <= now);
+            first_response.is_some_and(|it| it.after_ms(FIRST_DATAGRAM_MS + spread_ms) <= now);
         replica_waited || Time::ZERO.after_ms(LATEST_FIRST_READ_MS + spread_ms) <= now
     }
 
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -16,21 +16,21 @@
 use super::{Agent, StagedChunks, Version, deploy::DeployError, fetch};
 use crate::logs::Topic;
 
-/// Number of peers that are asked for a manifest if the origin is unreachable.
+/// Number of peers from which a manifest is requested if the origin is unreachable.
 const MANIFEST_PEERS: usize = 4;
-/// Number of entries that are asked for the replicas before the store is read.
+/// Number of entries from which the replicas are requested before the store is read.
 const REPLICAS_ATTEMPTS: u32 = 4;
-/// Maximum pause before another entry is asked, in milliseconds; doubles with each attempt.
+/// Maximum pause before the request to another entry, in milliseconds; doubles with each attempt.
 const REPLICAS_BACKOFF_MS: u64 = 100;
 /// Timeout of requests for a manifest or for the list of replicas.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for which readers are asked for a manifest before the origin is asked, in milliseconds:
+/// Time for which a manifest is requested from readers only, before the origin, in milliseconds:
 /// several times what a reader needs to get the list of members and to read the manifest.
 const READERS_TIMEOUT_MS: u64 = 900;
-/// Time for the origin to send a manifest before other readers are asked for it as well: an idle
+/// Time for the origin to send a manifest before it is requested from other readers as well: an idle
 /// origin needs a few milliseconds per reader.
 const ORIGIN_HEAD_START: Duration = Duration::from_millis(80);
-/// Pause before another reader is asked.
+/// Pause before the request to another reader.
 const READER_PAUSE: Duration = Duration::from_millis(50);
 
 /// An agent of the service, which can hold chunks.
@@ -38,7 +38,7 @@
 pub struct Member {
     /// Hash of the address of the agent's instance.
     pub node: u64,
-    /// Address at which the agent answers peers.
+    /// Address at which the agent serves peers.
     pub address: SocketAddr,
     /// Region of the agent's instance.
     pub region: String,
@@ -194,7 +194,7 @@
 }
 
 /// Returns the digests of a version's chunks. Readers get them from the origin, all other agents
-/// from the readers. Other peers are asked too if the origin is unreachable, and the origin if the
+/// from the readers. Other peers get requests too if the origin is unreachable, and the origin if the
 /// readers are.
 async fn manifest(
     agent: &Agent,
@@ -235,9 +235,9 @@
     Err(format!("failed to get the manifest: {last_error}"))
 }
 
-/// Returns the manifest from the origin or another reader, whichever answers first. If a reader
+/// Returns the manifest from the origin or another reader, whichever responds first. If a reader
 /// learns of a version slightly late, chunks already saturate the origin's link, which delays the
-/// origin's answer by a second.
+/// origin's response by a second.
 async fn manifest_for_reader(
     agent: &Agent,
     version: &Version,
@@ -282,7 +282,7 @@
     let origin = &agent.node.platform.origin;
     let read = origin.manifest(address, &version.model, version.number);
     let read = timeout(REQUEST_TIMEOUT, read).await;
-    read.map_err(|_| "the origin did not answer in time")?
+    read.map_err(|_| "the origin did not respond in time")?
         .map_err(|it| it.to_string())
 }
 
@@ -303,11 +303,11 @@
     }
 }
 
-fn describe_failure<T, E: std::fmt::Debug, F>(answer: &Result<Result<T, E>, F>) -> String {
-    match answer {
+fn describe_failure<T, E: std::fmt::Debug, F>(reply: &Result<Result<T, E>, F>) -> String {
+    match reply {
         Ok(Ok(_)) => "the manifest is not available".to_owned(),
         Ok(Err(fault)) => format!("{fault:?}"),
-        Err(_) => "no answer in time".to_owned(),
+        Err(_) => "no reply in time".to_owned(),
     }
 }
 
--- a/crates/gradeloft_gateway/src/agent/upload.rs
+++ b/crates/gradeloft_gateway/src/agent/upload.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Acquires an upload slot, if one is free now. A refused peer asks another holder, which is faster
+/// Acquires an upload slot, if one is free now. A refused peer tries another holder, which is faster
 /// than queueing here, and the transfer times that it observes then reflect the link and not a
 /// queue.
 fn acquire_slot(agent: &Rc<Agent>) -> Option<UploadSlot> {
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -284,7 +284,7 @@
                 if (100..200).contains(&head.status) {
                     continue;
                 }
-                if answers_request(entry, job, &head) {
+                if belongs_to_request(entry, job, &head) {
                     return Ok(head);
                 }
                 awaiting.stale_responses += 1;
@@ -405,7 +405,7 @@
 }
 
 /// Returns whether a response belongs to this request. A response without a request id is assumed to.
-fn answers_request(entry: &Entry, job: &Job, head: &Response) -> bool {
+fn belongs_to_request(entry: &Entry, job: &Job, head: &Response) -> bool {
     let name = entry.node.platform.headers.attempt_id;
     let echoed = head.fields.get(name);
     echoed.is_none() || echoed == job.received.head.fields.get(name)
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -76,7 +76,7 @@
 };
 /// Rounds between requests to entries of which only the address is known.
 const UNIDENTIFIED_ROUNDS: u32 = 4;
-/// Rounds after a start in which such entries are asked every time, as seeds from the settings may start later.
+/// Rounds after a start in which such entries get a request every time, as seeds from the settings may start later.
 const FIRST_ROUNDS: u32 = 24;
 /// Rounds between messages to one random entry of each other region, by which knowledge of a region survives the loss
 /// of all its delegates, and of the links between them.
@@ -85,8 +85,8 @@
 const ROSTER_ROUNDS: u32 = 8;
 /// Most entries that one message lists.
 const MAX_LISTED: usize = 60;
-/// Most entries of which only the address is known that are asked for their state in one round.
-const MAX_ASKED: usize = 8;
+/// Most entries known only by address from which the state is requested in one round.
+const MAX_STATE_REQUESTS: usize = 8;
 /// Most loads in one datagram.
 const MAX_LOADS: usize = 150;
 /// Largest encoding of a load, in bytes.
@@ -108,7 +108,7 @@
         let mut round = 0;
         loop {
             self.send_to_entries(round);
-            self.ask_unidentified(round);
+            self.request_unidentified_state(round);
             self.send_to_regions(round);
             self.send_due_to_agents(round);
             self.send_suspects();
@@ -162,8 +162,8 @@
         self.node.with_rng(drawn)
     }
 
-    /// Asks entries of which only the address is known for their state.
-    fn ask_unidentified(&self, round: u32) {
+    /// Requests the state of entries of which only the address is known.
+    fn request_unidentified_state(&self, round: u32) {
         if FIRST_ROUNDS < round && !round.is_multiple_of(UNIDENTIFIED_ROUNDS) {
             return;
         }
@@ -171,7 +171,7 @@
             self.roster
                 .borrow()
                 .unidentified()
-                .choose_multiple(rng, MAX_ASKED)
+                .choose_multiple(rng, MAX_STATE_REQUESTS)
         };
         let unidentified = self.node.with_rng(unidentified);
         if !unidentified.is_empty() {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Answers an entry that asked for this entry's state, and lists entries of the asker's region.
+    /// Replies to an entry that requested this entry's state, and lists entries of the requester's region.
     pub(super) fn introduce(&self, asker: Ipv4Addr, zone: &str) {
         let settings = self.node.settings();
         let region = settings.region(zone);
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -39,10 +39,10 @@
         return Ok(Vec::new());
     };
     let mut servers = vec![serve_metrics(&entry.node).await?];
-    let asked = Rc::clone(entry);
-    servers.push(listen(directory, move |request| lookup(&asked, request)).await?);
-    let asked = Rc::clone(entry);
-    servers.push(listen(readiness, move |request| ready(&asked, request)).await?);
+    let shared = Rc::clone(entry);
+    servers.push(listen(directory, move |request| lookup(&shared, request)).await?);
+    let shared = Rc::clone(entry);
+    servers.push(listen(readiness, move |request| ready(&shared, request)).await?);
     Ok(servers)
 }
 
@@ -56,11 +56,11 @@
 
 async fn listen(
     address: SocketAddr,
-    answer: impl Fn(&Request) -> HttpResponse + 'static,
+    respond: impl Fn(&Request) -> HttpResponse + 'static,
 ) -> io::Result<Server> {
     let handler: Handler = Rc::new(move |request| {
-        let answer = answer(&request);
-        Box::pin(async move { answer })
+        let response = respond(&request);
+        Box::pin(async move { response })
     });
     Server::start(&address.to_string(), LIMITS, handler).await
 }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -302,12 +302,12 @@
     /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a host that is bound
     /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
-        let homes = match self.config.borrow().as_ref() {
+        let allowed_regions = match self.config.borrow().as_ref() {
             Some(config) => config.allowed_regions_of_host(&lookup.host),
             None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
-            homes.allows(region) || lookup.region.as_deref() == Some(region)
+            allowed_regions.allows(region) || lookup.region.as_deref() == Some(region)
         });
         match bound.is_empty() {
             true => self.ready_addresses(|_| true),
@@ -388,7 +388,7 @@
         self.config.borrow().as_ref()?.service(service)?.speed
     }
 
-    /// Records the time that a replica took to begin an answer.
+    /// Records the time that a replica took to begin a response.
     pub fn record_response_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
@@ -476,14 +476,14 @@
     PeerServer::start(&address, PEER_LIMITS, Rc::clone(&node.scope), handler).await
 }
 
-/// Answers calls of peers.
+/// Serves calls of peers.
 struct PeerCalls(Rc<Node>);
 
 impl PeerHandler for PeerCalls {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let node = Rc::clone(&self.0);
         let scope = Rc::clone(&node.scope);
-        // A call that only agents serve gets no answer, which tells the caller that it failed.
+        // A call that only agents serve gets no reply, so that it fails at the peer.
         scope.spawn(async move { node.serve_call(call, outgoing).await });
     }
 
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -65,7 +65,7 @@
 /// Guard of an exclusive attempt: while it exists, this entry sends no other copy of the suspect
 /// request.
 ///
-/// It is held until the outcome of the attempt is certain.
+/// The guard is held until the outcome of the attempt is certain.
 pub(super) struct ExclusiveAttempt {
     entry: Weak<Entry>,
     request: Fingerprint,
@@ -186,9 +186,9 @@
                 let wait = self
                     .node
                     .with_rng(|it| it.random_range(0..MAX_REPLY_DELAY_MS));
-                announcements.schedule_answer(suspect.request, now.after_ms(wait));
+                announcements.schedule_reply(suspect.request, now.after_ms(wait));
             } else if !merged.changed {
-                announcements.cancel_answer(suspect.request);
+                announcements.cancel_reply(suspect.request);
             }
         }
     }
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -178,7 +178,7 @@
         let settings = self.node.settings();
         let roster = self.roster.borrow();
         let near = roster.served(|zone| self.node.near(zone), now);
-        // Seeds are entries of this region, and answer within a moment.
+        // Seeds are entries of this region, and reply within a moment.
         let listed = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -145,7 +145,7 @@
 }
 
 impl Relay {
-    /// Begins to relay a response after its head; `fully_sent` tells whether the request was sent
+    /// Begins to relay a response after its head; `fully_sent` is whether the request was sent
     /// completely.
     pub(super) fn of(job: &Job, head: Response, fully_sent: bool) -> Result<Relay, AttemptOutcome> {
         let framing = Framing::of_response(&head, &job.received.head.method)
--- a/crates/gradeloft_gateway/src/entry/uncertainty.rs
+++ b/crates/gradeloft_gateway/src/entry/uncertainty.rs
@@ -36,9 +36,9 @@
 /// Uncertainty about the load of a service's replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadUncertainty {
-    /// Of the entry's own region.
+    /// Uncertainty about requests from the entry's own region.
     pub near: Uncertainty,
-    /// Of other regions.
+    /// Uncertainty about requests from other regions.
     pub far: Uncertainty,
 }
 
--- a/crates/gradeloft_gateway/src/h1/wire.rs
+++ b/crates/gradeloft_gateway/src/h1/wire.rs
@@ -15,8 +15,9 @@
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
 /// Time after which a connection to a replica fails if its instance does not acknowledge sent data.
 const REPLICA_ACK_TIMEOUT: Duration = Duration::from_secs(4);
-/// The same for callers, longer than any request lasts: a paused caller does not acknowledge data
-/// either, and reads its response when it resumes. The request's deadline bounds that wait.
+/// Time after which a connection to a caller fails if the caller does not acknowledge sent data. It
+/// is longer than any request lasts: a paused caller does not acknowledge data either, and reads its
+/// response when it resumes. The request's deadline bounds that wait.
 const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A connection and its read buffer.
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -27,7 +27,7 @@
 }
 
 impl Node {
-    /// Returns whether this process asks for abridged records.
+    /// Returns whether this process requests abridged records.
     pub(super) fn wants_abridged(&self) -> bool {
         matches!(self.settings.borrow().role, Role::Agent { .. })
     }
@@ -87,7 +87,7 @@
     }
 
     /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up to `seen`. They
-    /// may be abridged if this process asks for that.
+    /// may be abridged if this process requests that.
     pub(super) fn note_peer_update(&self, table: Table, seen: Option<u64>) {
         if table == Table::Operator && self.wants_abridged() {
             let end = self.end(table).max(seen.unwrap_or(0));
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -48,7 +48,7 @@
     pub(super) caller: Role,
 }
 
-/// Why a peer sent no further parts: the metric label, and the kind that decides which peer is next.
+/// Reason why a peer sent no further parts: the metric label, and the kind that decides which peer is next.
 type FetchFailure = (&'static str, Refusal);
 
 impl Node {
@@ -107,7 +107,7 @@
     async fn fetch_all(self: &Rc<Node>, table: Table) {
         while self.ensure_transfer(table) {
             match self.choose_peer(table) {
-                Choice::Ask(peer) => self.fetch_from(peer, table).await,
+                Choice::Request(peer) => self.fetch_from(peer, table).await,
                 Choice::Wait(time) => actix_rt::time::sleep(time).await,
                 Choice::NoHolder | Choice::Retry(_) if self.superseded(table) => {
                     // A superseded value is fetched only while some peer sends it.
@@ -115,7 +115,7 @@
                 }
                 Choice::Retry(time) => actix_rt::time::sleep(time).await,
                 Choice::NoHolder => {
-                    // The next peer that sends a datagram is asked for records; received parts are kept.
+                    // The next peer that sends a datagram gets a request for records; received parts are kept.
                     self.with_inbox(table, |it| it.pending = None);
                     self.fetch_failed("none", table, self.clock.now(), "nobody");
                     return;
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Returns whether a peer sends slowly while another could be asked. Parts within their time limit only show that
+    /// Returns whether a peer sends slowly while another is available. Parts within their time limit only show that
     /// the peer is alive: a slow link would delay a value that another peer holds.
     fn should_switch_peer(&self, peer: Ipv4Addr, table: Table, pace: Pace) -> bool {
         let now = self.clock.now();
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -41,14 +41,14 @@
 const REPLY_BYTES: usize = MAX_FRAME / 4 * 3;
 /// Pause after a peer that is busy with other uploads, in milliseconds.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 20..=120;
-/// Time for which a peer of another region has to be ahead before it is asked for records, in
+/// Time for which a peer of another region has to be ahead before records are requested from it, in
 /// milliseconds: two intervals between near entries' datagrams, and a reply.
 const FAR_DELAY_MS: u64 = 300;
 
 /// State of fetching one table from peers.
 #[derive(Default)]
 pub(super) struct Inbox {
-    /// Whether a peer is being asked for records.
+    /// Whether a request for records is in progress.
     requesting: bool,
     /// Time since which a peer of another region has been ahead.
     behind_since: Option<Time>,
@@ -77,7 +77,7 @@
 
 impl Node {
     /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of process: their
-    /// stream is dropped, which tells the caller.
+    /// stream is dropped, so that they fail at the peer.
     pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
@@ -116,7 +116,7 @@
         let Some(update) = self.update_for_peer(table, from, abridged) else {
             return;
         };
-        // When many peers ask at once, as after a start, serving few at a time completes the first copies sooner, and
+        // When many peers send requests at once, as after a start, serving few at a time completes the first copies sooner, and
         // those peers then serve the others.
         let caller = if abridged { Role::Agent } else { Role::Entry };
         let _slot = match update.bytes() {
@@ -184,7 +184,7 @@
     }
 
     /// Fetches the records that this process lacks from a peer whose copies go up to `ends`; returns whether it lacks
-    /// any. Peers of other regions are asked only after a moment, within which near peers most likely have the
+    /// any. Peers of other regions get requests only after a moment, within which near peers most likely have the
     /// records too, and at first only by a few processes of this region.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
         let mut requested = false;
@@ -224,7 +224,7 @@
         self.end(table).max(announced.unwrap_or(0))
     }
 
-    /// Returns whether this process may ask a peer of another region that is ahead with a table.
+    /// Returns whether this process may request records of a table from a peer of another region that is ahead.
     fn may_request_far(&self, table: Table) -> bool {
         let caller = self.fetcher();
         if caller.role == Role::Agent && !self.loaded(table) {
@@ -273,10 +273,10 @@
             from,
             abridged,
         };
-        let reply = self
+        let request = self
             .peers
             .call_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
-        let reply = reply.await;
+        let reply = request.await;
         let (snapshot, rows, end, sound) = match reply {
             Ok(Ok(Reply::Records {
                 snapshot,
--- a/crates/gradeloft_policy/src/lib.rs
+++ b/crates/gradeloft_policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! Functions take a state, an event, the time and a random generator, and return actions, which the
 //! daemon carries out. Modules are grouped by the lifetime of the state they handle:
 //!
-//! - [`request`]: one request: admission, routing, retries, at-most-once execution, answers.
+//! - [`request`]: one request: admission, routing, retries, at-most-once execution, responses.
 //! - [`connection`]: one connection: health, pacing.
 //! - [`version`]: one bundle or version: acceptance, placement, distribution.
 //! - [`process`]: one process: membership, gossip, replicas, rate leases, table copies.
--- a/crates/gradeloft_policy/src/process/announcements.rs
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -52,7 +52,7 @@
 
     /// Schedules a single reply to an entry with outdated information at `at`, unless an
     /// announcement of the request is already scheduled.
-    pub fn schedule_answer(&mut self, request: Fingerprint, at: Time) {
+    pub fn schedule_reply(&mut self, request: Fingerprint, at: Time) {
         // One reply is enough, since each further outdated message gets another one.
         let item = Item {
             since: at,
@@ -63,9 +63,9 @@
     }
 
     /// Cancels a reply that another entry has already sent.
-    pub fn cancel_answer(&mut self, request: Fingerprint) {
-        let answer = |it: &Item| it.times == 1;
-        if self.items.get(&request).is_some_and(answer) {
+    pub fn cancel_reply(&mut self, request: Fingerprint) {
+        let is_reply = |it: &Item| it.times == 1;
+        if self.items.get(&request).is_some_and(is_reply) {
             self.items.remove(&request);
         }
     }
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -6,7 +6,7 @@
 
 use super::allowed_regions::AllowedRegions;
 
-/// Whether a request may run more than once, and the form of its answer.
+/// Whether a request may run more than once, and the form of its response.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RouteKind {
     /// May be run again after any failure.
@@ -25,7 +25,7 @@
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Whether the answer is an event stream.
+    /// Whether the response is an event stream.
     pub fn streams(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
@@ -49,13 +49,13 @@
     pub host: String,
     /// Prefix of the request path; ends with a slash.
     pub prefix: String,
-    /// Whether its requests may be repeated, and the form of their answers.
+    /// Whether its requests may be repeated, and the form of their responses.
     pub kind: RouteKind,
     /// Services; at least one.
     pub targets: Vec<Target>,
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer has its full value, in milliseconds.
+    /// Time within which a response has its full value, in milliseconds.
     pub goal_ms: u64,
     /// Highest number of replicas that one request is sent to; at least 1.
     pub max_attempts: u32,
@@ -107,7 +107,7 @@
     pub read_per_ms: f64,
     /// Tokens of a typical prompt.
     pub usual_prompt: f64,
-    /// Tokens of a typical answer.
+    /// Tokens of a typical response.
     pub usual_response: f64,
 }
 
--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -3,7 +3,7 @@
 //! Callers keep an entry's address for seconds after its shutdown began, and connections for
 //! longer. The entry refuses their new requests without running them, so that they go to another
 //! entry at once: the other entries own the slots by then, and a refusal costs milliseconds. If no
-//! other entry accepts callers, the entry answers a request as long as the answer is sure to be
+//! other entry accepts callers, the entry serves a request as long as the response is sure to be
 //! complete before the process ends, since a stream that breaks off costs its caller the whole time
 //! waited.
 
@@ -22,7 +22,7 @@
 /// Shutdown of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Drain {
-    /// When the shutdown began.
+    /// Time at which the shutdown began.
     pub since: Time,
     /// Latest time at which the process ends; not before `since`.
     pub end: Time,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether a request with this deadline is sure to be answered before the process ends.
+    /// Whether a request with this deadline is sure to be served before the process ends.
     pub fn accepts(self, deadline: Time) -> bool {
         deadline <= self.end
     }
 
-    /// Returns until when a connection that has been idle since `idle_since` may wait for a request.
+    /// Returns the time until which a connection that is idle since `idle_since` may wait for a request.
     pub fn idle_until(self, idle_since: Time) -> Time {
         self.lingers_until()
             .max(idle_since.after_ms(FIRST_REQUEST_MS))
--- a/crates/gradeloft_policy/src/process/freshness.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -1,11 +1,11 @@
 //! Rates an entry by the operator's records that it lacks and others hold.
 //!
 //! A final "no such route" is wrong if a newer configuration allows the request, while "not run,
-//! ask again" costs little. An entry that lacks records therefore denies no request. An entry that
+//! retry" costs little. An entry that lacks records therefore denies no request. An entry that
 //! has lacked them for long handles requests by outdated rules, so it leaves callers to entries
 //! with newer records, as long as these can handle the load. An entry does not act on missing
 //! records that it doesn't know of: one that is cut off from the store and from all peers continues
-//! to serve. Only the silence of both would show this: no datagram from any peer and no answer from
+//! to serve. Only the silence of both would show this: no datagram from any peer and no response from
 //! the store for longer than the limit for applying changes.
 
 use std::time::Duration;
@@ -17,14 +17,14 @@
 /// large one over slow links, so entries seldom stop accepting callers.
 const STALE_AFTER: f64 = 0.8;
 
-/// How current the operator's records of an entry are.
+/// Freshness of an entry's copy of the operator's records.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Freshness {
-    /// It has lacked records for long, and leaves callers to other entries.
+    /// The entry has lacked records for long, and leaves callers to other entries.
     Stale,
-    /// It accepts callers but denies no request, since others hold newer records.
+    /// The entry accepts callers but denies no request, since others hold newer records.
     Behind,
-    /// It lacks no record that it knows of.
+    /// The entry lacks no record that it knows of.
     #[default]
     Current,
 }
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -1,8 +1,8 @@
 //! Detects gaps between recurring events, such as the ticks of a process or the datagrams of its
 //! peers.
 //!
-//! What is read right after a gap can be old, since the process was suspended or nothing reached
-//! it.
+//! Data that is read right after a gap can be old, since the process was suspended or nothing
+//! reached it.
 
 use crate::clock::Time;
 
@@ -30,7 +30,7 @@
     /// Longest pause between events that is not a gap, in milliseconds.
     limit_ms: u64,
     last: Option<Time>,
-    /// When the last gap ended.
+    /// Time at which the last gap ended.
     ended: Option<Time>,
 }
 
@@ -61,7 +61,7 @@
         self.ended.is_some_and(|it| requested_at <= it) || self.gap_start().is_some_and(goes_on)
     }
 
-    /// Returns when the last gap ended, which is `now` while a gap is in progress.
+    /// Returns the time at which the last gap ended, which is `now` while a gap is in progress.
     pub fn last_end(&self, now: Time) -> Option<Time> {
         let goes_on = self.gap_start().is_some_and(|it| it < now);
         if goes_on { Some(now) } else { self.ended }
--- a/crates/gradeloft_policy/src/process/gossip.rs
+++ b/crates/gradeloft_policy/src/process/gossip.rs
@@ -1,4 +1,4 @@
-//! Selects the peers that a node asks for the bundle in force.
+//! Selects the peers from which a node requests the bundle in force.
 
 use gradeloft_wire::border::platform::InstanceRole;
 
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -40,11 +40,11 @@
     pub listed: bool,
     /// Its last notice; `None` until it is connected.
     pub notice: Option<Notice>,
-    /// When the notice was received.
+    /// Time at which the notice was received.
     pub noticed_at: Time,
     /// Whether its connection is up.
     pub connected: bool,
-    /// Health by its connection and its answers.
+    /// Health by its connection and its replies.
     pub health: Health,
     /// Requests of this process that run there.
     pub own_requests: u32,
--- a/crates/gradeloft_policy/src/process/mod.rs
+++ b/crates/gradeloft_policy/src/process/mod.rs
@@ -10,7 +10,7 @@
 //! - [`earliest_writes`]: lower bounds for the times at which records of a table were written.
 //! - [`freshness`]: rates an entry by the operator's records that it lacks.
 //! - [`gaps`]: detects gaps between recurring events.
-//! - [`gossip`]: selects the peers that a node asks for the bundle in force.
+//! - [`gossip`]: selects the peers from which a node requests the bundle in force.
 //! - [`latest_writes`]: upper bounds for the times at which records of a table were written.
 //! - [`membership`]: the peers, by the platform's list and by the state of connections.
 //! - [`mirror`]: a copy of a table of the platform's store.
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -29,7 +29,7 @@
 pub const IDLE_FRACTION: f64 = 0.05;
 /// Fraction of an equal share of the rate that an entry may use while it is cut off.
 pub const CUT_OFF_FRACTION: f64 = 0.3;
-/// Time without an answer from any home after which an entry counts as cut off, in milliseconds. By
+/// Time without a reply from any home after which an entry counts as cut off, in milliseconds. By
 /// then its lease has expired and the homes have missed its heartbeats.
 pub const CUT_OFF_MS: u64 = 5_000;
 /// Least ratio of a granted rate to the need while the total rate is not exhausted, which lets
@@ -64,7 +64,7 @@
 pub struct Lease {
     /// Units per second.
     pub rate: f64,
-    /// When the lease expires.
+    /// Time at which the lease expires.
     pub until: Time,
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl Borrower {
-    /// Applies a rate that the home granted in answer to a request made at `requested_at`. The lease
+    /// Applies a rate that the home granted in reply to a request made at `requested_at`. The lease
     /// counts from then, so it never outlasts the lease at the home.
     pub fn granted(&mut self, rate: f64, requested_at: Time) {
         self.lease = Lease {
@@ -151,9 +151,9 @@
 /// Whether an entry reaches the homes of its teams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HomeReach {
-    /// No home has answered for [`CUT_OFF_MS`].
+    /// No home has replied for [`CUT_OFF_MS`].
     CutOff,
-    /// The homes answer, or have not been asked.
+    /// The homes reply, or have received no request.
     Home,
 }
 
@@ -174,7 +174,7 @@
 pub struct Lender {
     /// Entries that requested a lease within the duration of a lease.
     holders: HashMap<u64, Holder>,
-    /// When this entry became home.
+    /// Time at which this entry became home.
     since: Time,
 }
 
@@ -210,7 +210,7 @@
     }
 
     /// Grants a rate for the duration of a lease and returns it.
-    pub fn grant(&mut self, ask: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
+    pub fn grant(&mut self, request: LeaseRequest, fleet: FleetView, now: Time) -> f64 {
         let FleetView {
             allowed,
             entries,
@@ -223,28 +223,28 @@
         self.holders.retain(|_, it| now < it.lease.until);
         let known = self
             .holders
-            .get(&ask.entry)
-            .map_or(ask.held, |it| it.lease.rate);
+            .get(&request.entry)
+            .map_or(request.held, |it| it.lease.rate);
         let lease = Lease {
             rate: known,
             until: now.after_ms(LEASE_MS),
         };
         self.holders.insert(
-            ask.entry,
+            request.entry,
             Holder {
                 lease,
-                demand: ask.demand.max(least),
+                demand: request.demand.max(least),
             },
         );
         let lendable = allowed - self.reserved(fleet);
-        let others = self.holders.iter().filter(|(it, _)| **it != ask.entry);
+        let others = self.holders.iter().filter(|(it, _)| **it != request.entry);
         let lent: f64 = others.map(|(_, it)| it.lease.rate).sum();
-        let mut rate = self.target(ask.entry, lendable).min(lendable - lent);
+        let mut rate = self.target(request.entry, lendable).min(lendable - lent);
         if 1 < entries && now < self.since.after_ms(LEASE_MS) {
             rate = rate.min(known);
         }
         let rate = rate.max(least);
-        if let Some(holder) = self.holders.get_mut(&ask.entry) {
+        if let Some(holder) = self.holders.get_mut(&request.entry) {
             holder.lease.rate = rate;
         }
         rate
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -15,14 +15,14 @@
     pub replica: u32,
     /// Requests in progress.
     pub running: u32,
-    /// Of these, requests whose answer has not begun.
+    /// Number of these requests whose response has not begun.
     pub waiting: u32,
 }
 
 /// One part of a report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
-    /// When it was received.
+    /// Time at which the part was received.
     pub at: Time,
     /// Number of the part, counted from 0.
     pub part: u16,
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -55,7 +55,7 @@
     pub slots: u32,
     /// Whether it is being drained.
     pub draining: bool,
-    /// Whether it runs a model, and therefore needs weights to answer.
+    /// Whether it runs a model, and therefore needs weights to serve requests.
     pub has_model: bool,
     /// Version of the weights that it holds in full; `None` without weights.
     pub version: Option<u64>,
@@ -74,7 +74,7 @@
     pub loading: bool,
     /// Whether the link of its instance is saturated.
     pub congested: bool,
-    /// When the report was received.
+    /// Time at which the report was received.
     pub at: Time,
 }
 
@@ -110,24 +110,24 @@
     pub report: Option<Report>,
     /// Requests of this entry in progress there.
     pub own_requests: u32,
-    /// Of these, requests whose answer has not begun.
+    /// Number of these requests whose response has not begun.
     pub own_waiting: u32,
     /// Prompt tokens of the requests in `own_waiting`.
     pub own_waiting_tokens: f64,
     /// Requests of other entries in progress there, by their last reports.
     pub other_requests: u32,
-    /// Of these, requests whose answer has not begun.
+    /// Number of these requests whose response has not begun.
     pub others_waiting: u32,
     /// Slots assigned to this entry, which it fills without regard to other entries.
     pub own_slots: u32,
     /// Whether it is in this entry's region.
     pub near: bool,
-    /// Delay of the start of its answers beyond the speed that the operator publishes.
+    /// Delay of the start of its responses beyond the speed that the operator publishes.
     pub slowness: Slowness,
-    /// When data was last received from it, or when this entry's only request in progress was sent
-    /// to it.
+    /// Time at which data was last received from it, or at which this entry's only request in
+    /// progress was sent to it.
     pub silent_since: Time,
-    /// When data was last received from it.
+    /// Time at which data was last received from it.
     pub last_received: Time,
     /// Whether its availability zone is evacuated.
     pub evacuated: bool,
@@ -136,7 +136,7 @@
     pub cold_pause: Option<Duration>,
     /// End of its warm-up.
     cold_until: Time,
-    /// When this entry last sent it a request.
+    /// Time at which this entry last sent it a request.
     sent: Option<Time>,
     failures: u32,
     paused_until: Time,
@@ -250,7 +250,7 @@
         self.own_requests + self.other_requests
     }
 
-    /// Returns the number of requests whose answer has not begun, as far as this entry knows.
+    /// Returns the number of requests whose response has not begun, as far as this entry knows.
     pub fn waiting(&self) -> u32 {
         self.own_waiting + self.others_waiting
     }
@@ -448,7 +448,7 @@
     }
 
     /// Sets the requests of other entries at each replica, as a pair of those in progress and those
-    /// of them whose answer has not begun.
+    /// of them whose response has not begun.
     pub fn set_others(&mut self, others: impl Fn(&Replica) -> (u32, u32)) {
         for replica in self.arena.values_mut() {
             (replica.other_requests, replica.others_waiting) = others(replica);
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -9,12 +9,12 @@
 
 /// Silence after which an entry is no longer offered to callers, in milliseconds.
 const SILENCE_MS: u64 = 1_300;
-/// The same for entries whose status is relayed by others, in milliseconds: three intervals between
+/// Silence after which an entry known only by relayed status is no longer offered, in milliseconds: three intervals between
 /// the member lists of a region, plus the silence after which another entry sends them.
 const RELAYED_SILENCE_MS: u64 = 4_000;
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
-/// Most entries in one answer; the platform reads no more.
+/// Most entries in one lookup response; the platform reads no more.
 const MAX_OFFERED: usize = 64;
 /// Number of entries in the caller's availability zone that are enough to offer few others. Callers
 /// choose at random among the offered entries, so each of these gets its share of the zone's
@@ -24,26 +24,26 @@
 /// once if the whole zone fails.
 const FALLBACKS: usize = 2;
 
-/// How many of the other entries an entry knows.
+/// Extent to which an entry knows the other entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Discovery {
-    /// It has not read the table of entries yet.
+    /// The entry has not read the table of entries yet.
     None,
-    /// It has read the table, but started less than a window ago: it knows many entries only by
+    /// The entry has read the table, but started less than a window ago: it knows many entries only by
     /// their listing.
     Listed,
-    /// It has met the entries that exist.
+    /// The entry has received messages from the entries that exist.
     Complete,
 }
 
-/// Whether an entry accepts callers.
+/// State of an entry towards callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It finishes the requests in progress and accepts no new ones.
+    /// The entry finishes the requests in progress and accepts no new ones.
     Leaving,
-    /// It accepts callers.
+    /// The entry accepts callers.
     Ready,
-    /// It lacks state that it needs, or that others have.
+    /// The entry lacks state that it needs, or that others have.
     Starting,
 }
 
@@ -56,7 +56,7 @@
     served: bool,
     /// End of its copy of the operator's table, by its last status.
     end: u64,
-    /// When it was last known to be alive.
+    /// Time at which it was last known to be alive.
     seen: Option<Time>,
     /// Time until which it counts as alive.
     alive_until: Time,
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -84,7 +84,7 @@
 /// let area = |demand| RegionSlots { entries: 2, demand, slots: vec![8, 8] };
 /// let balanced = [area(10.0), area(10.0)];
 /// assert_eq!(parts_by_region(&balanced, 0, 0), [[4, 4], [0, 0]]);
-/// // The second region asks for three times as much, and gets half of the first one's slots.
+/// // The second region requests three times as much, and gets half of the first one's slots.
 /// let short = [area(10.0), area(30.0)];
 /// assert_eq!(parts_by_region(&short, 0, 0), [[2, 2], [0, 0]]);
 /// assert_eq!(parts_by_region(&short, 1, 0), [[2, 2], [4, 4]]);
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -38,10 +38,10 @@
 const FAR_POLL: Duration = Duration::from_millis(50);
 /// Peers remembered for each table: more than the entries of a region.
 const HOLDERS: usize = 64;
-/// Silence after which a peer is not asked, in milliseconds. Agents and peers of other regions send
+/// Silence after which a peer gets no requests, in milliseconds. Agents and peers of other regions send
 /// once a second.
 const SILENCE_MS: u64 = 5_000;
-/// Pause before a busy peer is asked again, in milliseconds. Within it, 0.2 to 1.2 MB cross a link
+/// Pause before the next request to a busy peer, in milliseconds. Within it, 0.2 to 1.2 MB cross a link
 /// of 40 Mbit/s.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
 /// Time after which the rate of a transfer can be judged, in milliseconds.
@@ -51,7 +51,7 @@
 /// it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a second after 7 s
 /// instead of 5.7 s.
 const SLOW_REST_MS: u64 = 3_000;
-/// Pause before a peer that failed to answer in time is asked again, in milliseconds.
+/// Pause before the next request to a peer that did not reply in time, in milliseconds.
 const FAULTY_MS: u64 = 1_000;
 
 /// A process that fetches a value.
@@ -86,7 +86,7 @@
 }
 
 impl UploadSlots {
-    /// Takes a slot; returns `false` if none is free. A process that gets no slot asks another
+    /// Takes a slot; returns `false` if none is free. A process that gets no slot tries another
     /// peer, which is faster than waiting.
     pub fn take(&mut self, caller: Role) -> bool {
         let (used, most) = self.of(caller);
@@ -234,11 +234,11 @@
 /// Reason why a peer sent no more of a value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// It has no free upload slot.
+    /// The peer has no free upload slot.
     Busy,
-    /// It did not answer, or the connection broke.
+    /// The peer did not reply, or the connection broke.
     Faulty,
-    /// It does not hold the record as announced.
+    /// The peer does not hold the record as announced.
     NotHeld,
 }
 
@@ -262,13 +262,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
     /// Request the value from this peer.
-    Ask(Ipv4Addr),
+    Request(Ipv4Addr),
     /// No peer that has been heard from recently holds it.
     NoHolder,
     /// Choose again after this time; the peers that hold it are busy, or it is not this process's
     /// turn.
     Wait(Duration),
-    /// Choose again after this time; the peers that hold it did not answer.
+    /// Choose again after this time; the peers that hold it did not reply.
     Retry(Duration),
 }
 
@@ -363,7 +363,7 @@
             these.filter(|it| until(it).is_none())
         };
         if let Some(holder) = free(true).choose(rng) {
-            return Choice::Ask(holder.peer);
+            return Choice::Request(holder.peer);
         }
         let busy = |it: &&&Holder| it.near && matches!(exclusion(it), Some(Exclusion::Busy(_)));
         if let Some(soonest) = candidates
@@ -378,7 +378,7 @@
             let wait_ms = holders.far_wait_ms(self.want.offset, fetcher, now);
             let turn = self.begun.after_ms(wait_ms);
             if turn <= now {
-                return Choice::Ask(holder.peer);
+                return Choice::Request(holder.peer);
             }
             return Choice::Wait(turn.since(now).min(FAR_POLL));
         }
@@ -407,7 +407,7 @@
         let others = Holders {
             known: others.copied().collect(),
         };
-        matches!(self.choose(&others, fetcher, now, rng), Choice::Ask(_))
+        matches!(self.choose(&others, fetcher, now, rng), Choice::Request(_))
     }
 
     /// Records that a peer sent no more of the value.
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -14,31 +14,31 @@
 /// the pause between reads of the operator's table is 50 ms, and at most 150 ms after a single
 /// failure.
 const STEADY_PAUSE_MS: u64 = 300;
-/// Time after the end of its wait within which an undelayed read is answered, in milliseconds.
+/// Time after the end of its wait within which an undelayed read is complete, in milliseconds.
 /// Entries require new weights early enough to allow for records that they learn of this late.
 const DELAYED_MS: u64 = 300;
 
-/// Size from which the transfer time of an answer is significant, in bytes: 0.2 s on a link of 1.2
+/// Size from which the transfer time of a response is significant, in bytes: 0.2 s on a link of 1.2
 /// MB a second, such as that of a store.
 const LARGE_BYTES: usize = 256 << 10;
 
 /// Timing and size of a read from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Read {
-    /// When the read was requested.
+    /// Time at which the read was requested.
     pub requested_at: Time,
     /// Longest time that the store waits for new records.
     pub wait: Duration,
-    /// When the answer arrived.
+    /// Time at which the response was received.
     pub received_at: Time,
-    /// Size of the records in the answer, in bytes.
+    /// Size of the records in the response, in bytes.
     pub bytes: usize,
     /// Whether the previous read failed, or this process was suspended or cut off in the meantime.
     pub disturbed: bool,
 }
 
 impl Read {
-    /// Whether the store may have begun the answer long before it arrived.
+    /// Whether the store may have begun the response long before it arrived.
     fn is_delayed(self) -> bool {
         let late = self.requested_at.after(self.wait).after_ms(DELAYED_MS) < self.received_at;
         late || LARGE_BYTES <= self.bytes
@@ -56,9 +56,9 @@
     earliest: EarliestWrites,
     /// Latest time at which this process's own reads showed the copy to be complete.
     confirmed: Option<Time>,
-    /// When the last successful read ended.
+    /// Time at which the last successful read ended.
     read_at: Option<Time>,
-    /// Whether the answer to the last read was delayed, so that the store went unobserved
+    /// Whether the response to the last read was delayed, so that the store went unobserved
     /// meanwhile.
     read_delayed: bool,
 }
@@ -75,7 +75,7 @@
         self.earliest.note(end, now.before_ms(age_ms));
     }
 
-    /// Records that a peer sent a record that it has known for `age_ms`, in answer to a call made
+    /// Records that a peer sent a record that it has known for `age_ms`, in reply to a call made
     /// at `requested_at`.
     pub fn note_received(&mut self, offset: u64, age_ms: u64, requested_at: Time) {
         self.effective
@@ -108,7 +108,7 @@
         let waited = read.requested_at.after_ms(DELAYED_MS) < read.received_at;
         match (reading_steadily, waited) {
             (true, _) => read.received_at,
-            // The store would have answered at once if the records had been there at the start of
+            // The store would have responded at once if the records had been there at the start of
             // the read.
             (false, true) => read.requested_at,
             (false, false) => Time::ZERO,
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of poison requests ("queries of death"): requests that crash each replica that starts
 //! them.
 //!
-//! Such a request returns at any entry when its caller retries or asks again. The state of an
+//! Such a request returns at any entry when its caller retries or sends it anew. The state of an
 //! attempt ends with its response, and each attempt alone looks like an unrelated replica failure.
 //! This module therefore keeps, by the request's [`Fingerprint`], the starts of the replicas that
 //! crashed while they had it.
@@ -33,7 +33,7 @@
 /// caller of the quarantined request never had a response, so minutes of delay do no harm.
 const FIRST_PERIOD: Duration = Duration::from_secs(600);
 const MAX_PERIOD: Duration = Duration::from_secs(24 * 3_600);
-/// Time for which a request with fewer crashes is kept. Callers ask again within minutes, and the
+/// Time for which a request with fewer crashes is kept. Callers retry within minutes, and the
 /// diagnosis must survive entries and replicas that come and go.
 const RETENTION: Duration = Duration::from_secs(900);
 /// Delay before a retry if an attempt at the same request is running: as long as callers wait for a
@@ -193,7 +193,7 @@
         })
     }
 
-    /// Returns whether a request may be sent to a replica. `is_retry_owner` tells whether this
+    /// Returns whether a request may be sent to a replica. `is_retry_owner` is whether this
     /// entry is the only one in the fleet that retries the request after its quarantine period.
     pub fn verdict(&self, request: Fingerprint, is_retry_owner: bool, now: Time) -> Verdict {
         let Some(suspect) = self.suspects.get(&request) else {
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -1,4 +1,4 @@
-//! When callers retry that were refused for lack of capacity.
+//! Retry times for callers that were refused for lack of capacity.
 
 use std::time::Duration;
 
--- a/crates/gradeloft_policy/src/request/wait.rs
+++ b/crates/gradeloft_policy/src/request/wait.rs
@@ -1,4 +1,4 @@
-//! How long a request waits at its entry for a replica with room.
+//! Time for which a request waits at its entry for a replica with room.
 //!
 //! A replica typically completes a request every 125 ms, and an entry has slots on twenty replicas.
 //! Room that was lost is thus often available again while the request can still be in time. Callers
--- a/crates/gradeloft_policy/src/version/bundle.rs
+++ b/crates/gradeloft_policy/src/version/bundle.rs
@@ -121,7 +121,7 @@
     /// Index of the model in the bundle.
     pub model: usize,
     /// Weights to which requests are pinned. The version of an adapter includes that of its model
-    /// (`v1+a1`), because the answer depends on both.
+    /// (`v1+a1`), because the response depends on both.
     pub pin: Pin,
     /// Digest of the manifest.
     pub manifest: Digest,
--- a/crates/gradeloft_policy/src/version/chain.rs
+++ b/crates/gradeloft_policy/src/version/chain.rs
@@ -31,7 +31,7 @@
     Refused(Refusal),
 }
 
-/// Why a bundle was refused.
+/// Reason why a bundle was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
     /// The bundle is invalid or not in canonical form.
--- a/crates/gradeloft_policy/src/version/fetch/item.rs
+++ b/crates/gradeloft_policy/src/version/fetch/item.rs
@@ -29,7 +29,7 @@
     pub(super) waiting_since: Time,
     /// Better-ranked owners that are known not to be reading the chunk.
     pub(super) absent: HashSet<u64>,
-    /// Number of times that the current owner has answered that the chunk is pending.
+    /// Number of times that the current owner has replied that the chunk is pending.
     pub(super) announcements: u64,
 }
 
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -283,7 +283,7 @@
             Upstream::Origin | Upstream::Store => {
                 self.tuning.stall_ms + queued * self.tuning.chunk_ms
             }
-            // An owner either holds the chunk or answers immediately that it is pending.
+            // An owner either holds the chunk or replies immediately that it is pending.
             Upstream::Owner(_) => self
                 .tuning
                 .stall_ms
@@ -297,11 +297,11 @@
         match from {
             Upstream::Origin => {
                 self.counts.origin += 1;
-                self.outside.answered(from);
+                self.outside.succeeded(from);
             }
             Upstream::Store => {
                 self.counts.store += 1;
-                self.outside.answered(from);
+                self.outside.succeeded(from);
             }
             Upstream::Owner(_) | Upstream::Source(_) => self.counts.peers += 1,
         }
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -38,7 +38,7 @@
     /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by the square of
     /// the rank.
     pub takeover_ms: u64,
-    /// Number of times that an owner may answer that a chunk is pending before another agent reads it, in
+    /// Number of times that an owner may reply that a chunk is pending before another agent reads it, in
     /// addition to one for each `takeover_ms` of the whole version's transfer time.
     pub max_announcements: u64,
     /// Objective of the rollout: time or bytes from the origin.
--- a/crates/gradeloft_policy/src/version/outside_sources.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records that a source delivered a valid chunk.
-    pub fn answered(&mut self, from: Upstream) {
+    pub fn succeeded(&mut self, from: Upstream) {
         *self.backoff(from) = SourceBackoff::default();
         self.origin_sent += u64::from(from == Upstream::Origin);
     }
--- a/crates/gradeloft_policy/tests/records.rs
+++ b/crates/gradeloft_policy/tests/records.rs
@@ -236,12 +236,13 @@
     let mut transfer = Transfer::new(missing("config", "large", 3), Time::ZERO);
     let mut rng = rng();
     let far_only = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
-    assert_eq!(far_only, Choice::Ask(peer(1)));
+    assert_eq!(far_only, Choice::Request(peer(1)));
     holders.note(peer(2), None, 4, Time::ZERO);
     holders.note(peer(3), Some(true), 4, Time::ZERO);
     let mut choices = [0; 4];
     for _ in 0..40 {
-        let Choice::Ask(peer) = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng) else {
+        let Choice::Request(peer) = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng)
+        else {
             panic!("no holder was chosen");
         };
         choices[usize::from(peer.octets()[3])] += 1;
@@ -254,12 +255,12 @@
     assert!(matches!(queued, Choice::Wait(_)), "{queued:?}");
     transfer.refused(peer(3), Refusal::Faulty, Time::ZERO, &mut rng);
     let far = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
-    assert_eq!(far, Choice::Ask(peer(1)));
+    assert_eq!(far, Choice::Request(peer(1)));
     transfer.refused(peer(1), Refusal::Faulty, Time::ZERO, &mut rng);
     let retried = transfer.choose(&holders, entry(9), Time::ZERO, &mut rng);
     assert!(matches!(retried, Choice::Retry(_)), "{retried:?}");
     let later = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(4_000), &mut rng);
-    assert_eq!(later, Choice::Ask(peer(3)));
+    assert_eq!(later, Choice::Request(peer(3)));
     let silent = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(6_000), &mut rng);
     assert_eq!(silent, Choice::NoHolder);
 }
@@ -273,7 +274,7 @@
     }
     let transfer = Transfer::new(missing("config", "large", 3), Time::ZERO);
     let choice = transfer.choose(&holders, entry(9), Time::ZERO.after_ms(2), &mut rng());
-    assert_eq!(choice, Choice::Ask(peer(0)));
+    assert_eq!(choice, Choice::Request(peer(0)));
 }
 
 #[test]
@@ -287,7 +288,7 @@
             }
             holders.note(peer(100), Some(false), 4, at);
             let transfer = Transfer::new(missing("config", "large", 3), now);
-            transfer.choose(&holders, entry(own), at, &mut rng()) == Choice::Ask(peer(100))
+            transfer.choose(&holders, entry(own), at, &mut rng()) == Choice::Request(peer(100))
         };
         (0..14).filter(|it| fetches(*it)).count()
     };
@@ -399,7 +400,7 @@
                 .transfer
                 .choose(&asker.holders, caller, self.now, &mut self.rng)
             {
-                Choice::Ask(peer) => self.request_from(idx, peer),
+                Choice::Request(peer) => self.request_from(idx, peer),
                 Choice::Wait(time) | Choice::Retry(time) => asker.retry_at = self.now.after(time),
                 Choice::NoHolder => {}
             }
