--- a/crates/gradeloft_gateway/tests/entry/store_outage.rs
+++ b/crates/gradeloft_gateway/tests/entry/store_outage.rs
@@ -126,9 +126,8 @@
     run(async {
         let harness = Harness::start(TestConfig::of(RouteKind::Once), vec![ok_script("a")]).await;
         let entry = harness.entry.entry();
-        let wait_for_reader = async || {
-            wait_until(|| async { harness.tables.pending_reads(Table::Operator) == 1 }).await
-        };
+        let wait_for_reader =
+            async || wait_until(|| async { harness.tables.readers(Table::Operator) == 1 }).await;
         wait_for_reader().await;
         harness.tables.write(Table::Operator, "config", Some("2"));
         wait_until(|| async { entry.config_version() == 2 }).await;
--- a/crates/gradeloft_standin/src/tables.rs
+++ b/crates/gradeloft_standin/src/tables.rs
@@ -75,8 +75,8 @@
         self.stalled.notify_waiters();
     }
 
-    /// Returns the number of pending reads of a table.
-    pub fn pending_reads(&self, table: Table) -> usize {
+    /// Returns the number of readers of a table that wait for records.
+    pub fn readers(&self, table: Table) -> usize {
         self.pending_reads
             .borrow()
             .get(&table)
