--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -1,8 +1,8 @@
 //! Reconciles the versions that the engine serves with the bundle.
 //!
-//! A version is deployed in phases: its chunks are fetched and staged, the engine is ordered to load
-//! it, and the engine's state is read back. Entries are notified only of versions that were read back.
-//! A newer bundle cancels the deployment of an older one in any phase.
+//! A version is deployed in phases: its chunks are fetched and staged, the engine is ordered to
+//! load it, and the engine's state is read back. Entries are notified only of versions that were
+//! read back. A newer bundle cancels the deployment of an older one in any phase.
 
 use std::{rc::Rc, time::Duration};
 
@@ -90,8 +90,8 @@
 }
 
 /// Records in the log that this replica serves the targets, so that the next availability zones can
-/// continue. This includes versions that the engine served before the agent started. Without an order
-/// of the zones nothing is recorded. Returns whether all are recorded.
+/// continue. This includes versions that the engine served before the agent started. Without an
+/// order of the zones nothing is recorded. Returns whether all are recorded.
 async fn report_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
     let mut reported = agent.has_zone_order();
     for (target, _) in targets.iter().zip(failed).filter(|(_, failed)| !**failed) {
@@ -341,8 +341,8 @@
             .collect()
     }
 
-    /// Returns the instance of every engine (name, availability zone, peer address) and the index of
-    /// the model placed there.
+    /// Returns the instance of every engine (name, availability zone, peer address) and the index
+    /// of the model placed there.
     fn placements(&self, bundle: &Bundle) -> Vec<((String, String, String), Option<usize>)> {
         let settings = &self.node.settings;
         let membership = self.node.membership.borrow();
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -39,10 +39,11 @@
 const MAX_PER_SOURCE: u32 = 3;
 /// Minimum timeout after which a request counts as stalled, in milliseconds.
 const MIN_STALL_MS: u64 = 1_500;
-/// Number of chunks that may be queued ahead of a requested one at a peer; extends the stall timeout.
+/// Number of chunks that may be queued ahead of a requested one at a peer; extends the stall
+/// timeout.
 const QUEUED_CHUNKS: u64 = 24;
-/// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by the
-/// square of the rank.
+/// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by
+/// the square of the rank.
 const TAKEOVER_MS: u64 = 600;
 /// Number of times that an owner may reply that a chunk is pending before another agent reads it,
 /// in addition to those during the transfer time of the whole version.
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -96,9 +96,9 @@
     }
 }
 
-/// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the store
-/// or the origin. Other agents query owners and partners first, so that it spreads over the partners
-/// and the owners are not overloaded.
+/// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the
+/// store or the origin. Other agents query owners and partners first, so that it spreads over the
+/// partners and the owners are not overloaded.
 pub async fn manifest(
     agent: &Rc<Agent>,
     digest: Digest,
--- a/crates/gradeloft_daemon/src/agent/service.rs
+++ b/crates/gradeloft_daemon/src/agent/service.rs
@@ -200,8 +200,8 @@
         .await;
 }
 
-/// Runs a keyed call at most once for its key, or returns the outcome of the call that ran. The call
-/// continues if its caller disconnects, so that the next call with the key gets the outcome.
+/// Runs a keyed call at most once for its key, or returns the outcome of the call that ran. The
+/// call continues if its caller disconnects, so that the next call with the key gets the outcome.
 async fn call_once(
     agent: &Rc<Agent>,
     service: &Rc<dyn Service>,
--- a/crates/gradeloft_daemon/src/agent/turn.rs
+++ b/crates/gradeloft_daemon/src/agent/turn.rs
@@ -93,8 +93,8 @@
 }
 
 impl Turn {
-    /// Records the outcome of the switch, with retries until the log accepts it. The turn stays held
-    /// until then.
+    /// Records the outcome of the switch, with retries until the log accepts it. The turn stays
+    /// held until then.
     pub async fn end(self, step: Step) {
         while append(&self.agent, &self.version, step).await.is_err() {
             actix_rt::time::sleep(Duration::from_millis(WAIT_MS)).await;
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -18,9 +18,9 @@
 /// Silence of all entries with access to the store after which an agent reads the operator's table
 /// from the store itself, in milliseconds: three intervals between datagrams of an entry.
 const SERVED_ENTRY_TIMEOUT_MS: u64 = 1_600;
-/// Time after a replica's first response within which an entry may send the agent its first datagram,
-/// in milliseconds. Without one the agent has nothing to do, so a longer time would leave an added
-/// replica empty.
+/// Time after a replica's first response within which an entry may send the agent its first
+/// datagram, in milliseconds. Without one the agent has nothing to do, so a longer time would leave
+/// an added replica empty.
 const FIRST_DATAGRAM_MS: u64 = 250;
 /// Time after its start at which an agent reads the store itself even if its replica does not
 /// respond, in milliseconds.
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -27,8 +27,8 @@
 /// Time for which a manifest is requested from readers only, before the origin, in milliseconds:
 /// several times what a reader needs to get the list of members and to read the manifest.
 const READERS_TIMEOUT_MS: u64 = 900;
-/// Time for the origin to send a manifest before it is requested from other readers as well: an idle
-/// origin needs a few milliseconds per reader.
+/// Time for the origin to send a manifest before it is requested from other readers as well: an
+/// idle origin needs a few milliseconds per reader.
 const ORIGIN_HEAD_START: Duration = Duration::from_millis(80);
 /// Pause before the request to another reader.
 const READER_PAUSE: Duration = Duration::from_millis(50);
@@ -194,8 +194,8 @@
 }
 
 /// Returns the digests of a version's chunks. Readers get them from the origin, all other agents
-/// from the readers. Other peers get requests too if the origin is unreachable, and the origin if the
-/// readers are.
+/// from the readers. Other peers get requests too if the origin is unreachable, and the origin if
+/// the readers are.
 async fn manifest(
     agent: &Agent,
     version: &Version,
--- a/crates/gradeloft_gateway/src/agent/upload.rs
+++ b/crates/gradeloft_gateway/src/agent/upload.rs
@@ -95,9 +95,9 @@
     }
 }
 
-/// Acquires an upload slot, if one is free now. A refused peer tries another holder, which is faster
-/// than queueing here, and the transfer times that it observes then reflect the link and not a
-/// queue.
+/// Acquires an upload slot, if one is free now. A refused peer tries another holder, which is
+/// faster than queueing here, and the transfer times that it observes then reflect the link and not
+/// a queue.
 fn acquire_slot(agent: &Rc<Agent>) -> Option<UploadSlot> {
     let used = agent.uploads.get();
     (used < MAX_UPLOADS).then(|| {
--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a request sent to one replica, from the connection to the last byte of the response.
+//! One attempt: a request sent to one replica, from the connection to the last byte of the
+//! response.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -107,7 +108,8 @@
         let Some((address, id)) = entry.replica_address(replica) else {
             return Err(AttemptOutcome::Failed(Failure::Unsent, None));
         };
-        // The caller may have disconnected before its request was read, or during an earlier attempt.
+        // The caller may have disconnected before its request was read, or during an earlier
+        // attempt.
         if caller.is_closed() {
             return Err(AttemptOutcome::Aborted(AbortReason::CallerLeft));
         }
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Returns the time without data after which the request is hedged; `None` if no other replica
-    /// could take over, so that silence must not end the response.
+    /// Returns the time without data after which the request is hedged; `None` if silence must not
+    /// end the response, as no other replica could take over.
     fn silence_timeout(&self, job: &Job) -> Option<Duration> {
         let used = job.progress.attempts + u32::from(!self.silence_counted);
         let may_retry = job.route.kind.repeatable() && used < job.progress.max_attempts;
@@ -404,7 +406,8 @@
     time.filter(|_| job.route.kind.repeatable())
 }
 
-/// Returns whether a response belongs to this request. A response without a request id is assumed to.
+/// Returns whether a response belongs to this request. A response without a request id is assumed
+/// to.
 fn belongs_to_request(entry: &Entry, job: &Job, head: &Response) -> bool {
     let name = entry.node.platform.headers.attempt_id;
     let echoed = head.fields.get(name);
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -73,7 +73,7 @@
     pub first_byte: Option<Time>,
     /// Time at which response data was last received from the current replica.
     pub last_data_at: Option<Time>,
-    /// Whether the caller asked to keep its connection open.
+    /// Whether the caller requested to keep its connection open.
     pub keep_alive: bool,
     /// Whether the response head announced that the connection closes after the response.
     pub close_after_response: bool,
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -1,8 +1,9 @@
 //! Datagrams that an entry sends, and their intervals.
 //!
-//! Entries of one region send each other their state. A few entries of a region ([`delegates`]) send it to other regions,
-//! each time through one entry, which relays it within its own region. Each kind of message has a bandwidth budget, so
-//! that an entry's traffic does not grow with the fleet.
+//! Entries of one region send each other their state. A few entries of a region ([`delegates`])
+//! send it to other regions, each time through one entry, which relays it within its own region.
+//! Each kind of message has a bandwidth budget, so that an entry's traffic does not grow with the
+//! fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -35,8 +36,9 @@
 
 /// Gossip interval, and the shortest pause between messages of one kind.
 const ROUND: Duration = Duration::from_millis(125);
-/// Budget for state sent to the entries of the same region. Five entries send every eighth of a second, and thirty every
-/// 0.6 s; an entry fills its own share of the slots whatever others have sent.
+/// Budget for state sent to the entries of the same region. Five entries send every eighth of a
+/// second, and thirty every 0.6 s; an entry fills its own share of the slots whatever others have
+/// sent.
 const NEAR_BUDGET: Budget = Budget {
     bytes_per_s: 6_000,
     shortest: ROUND,
@@ -52,23 +54,24 @@
 const NEAR_BYTES: usize = 130;
 /// Assumed size of the state for agents, in bytes.
 const AGENT_BYTES: usize = 90;
-/// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in each of five
-/// regions, each delegate sends them every 0.5 s; with 330 in each of seven, every 5 s. A region of that size needs
-/// little capacity of others beyond the slots that they lend.
+/// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in
+/// each of five regions, each delegate sends them every 0.5 s; with 330 in each of seven, every
+/// 5 s. A region of that size needs little capacity of others beyond the slots that they lend.
 const FAR_LOADS_BUDGET: Budget = Budget {
     bytes_per_s: 5_000,
     shortest: Duration::from_millis(500),
     longest: Duration::from_millis(5_000),
 };
-/// Budget for the lists of entries that an entry receives from all other regions. The longest pause is such that both
-/// delegates send before they count as silent.
+/// Budget for the lists of entries that an entry receives from all other regions. The longest pause
+/// is such that both delegates send before they count as silent.
 const FAR_MEMBERS_BUDGET: Budget = Budget {
     bytes_per_s: 3_000,
     shortest: Duration::from_millis(1_000),
     longest: Duration::from_millis(2_500),
 };
-/// Budget for the engine states that an entry receives from all other regions. All engines are sent only while that is
-/// cheap: those that close or reopen are sent in the next round, and the rest is in the platform's table.
+/// Budget for the engine states that an entry receives from all other regions. All engines are sent
+/// only while that is cheap: those that close or reopen are sent in the next round, and the rest is
+/// in the platform's table.
 const FAR_ENGINES_BUDGET: Budget = Budget {
     bytes_per_s: 8_000,
     shortest: Duration::from_millis(1_000),
@@ -76,10 +79,11 @@
 };
 /// Rounds between requests to entries of which only the address is known.
 const UNIDENTIFIED_ROUNDS: u32 = 4;
-/// Rounds after a start in which such entries get a request every time, as seeds from the settings may start later.
+/// Rounds after a start in which such entries get a request every time, as seeds from the settings
+/// may start later.
 const FIRST_ROUNDS: u32 = 24;
-/// Rounds between messages to one random entry of each other region, by which knowledge of a region survives the loss
-/// of all its delegates, and of the links between them.
+/// Rounds between messages to one random entry of each other region, by which knowledge of a region
+/// survives the loss of all its delegates, and of the links between them.
 const RANDOM_ROUNDS: u32 = 16;
 /// Rounds between messages that list other entries.
 const ROSTER_ROUNDS: u32 = 8;
@@ -185,7 +189,8 @@
         }
     }
 
-    /// Replies to an entry that requested this entry's state, and lists entries of the requester's region.
+    /// Replies to an entry that requested this entry's state, and lists entries of the requester's
+    /// region.
     pub(super) fn introduce(&self, asker: Ipv4Addr, zone: &str) {
         let settings = self.node.settings();
         let region = settings.region(zone);
@@ -201,7 +206,8 @@
         self.send_suspects_to(asker);
     }
 
-    /// Sends the state of this region to other regions, if this entry is one of the region's delegates.
+    /// Sends the state of this region to other regions, if this entry is one of the region's
+    /// delegates.
     fn send_to_regions(&self, round: u32) {
         let now = self.node.clock.now();
         let changed = self.changed_engines.take();
@@ -266,7 +272,8 @@
         messages
     }
 
-    /// Returns for each other region the entry that relays messages there in a round, and a random entry.
+    /// Returns for each other region the entry that relays messages there in a round, and a random
+    /// entry.
     pub(super) fn relays(
         &self,
         round: usize,
@@ -392,8 +399,9 @@
             .send_state(Purpose::Agents, Reach::Near, sender, agents);
     }
 
-    /// Returns the addresses of the agents to which this entry sends: those of this region's replicas with a model, and
-    /// those for which it stands in because their region has no live entry.
+    /// Returns the addresses of the agents to which this entry sends: those of this region's
+    /// replicas with a model, and those for which it is the fallback sender because their region
+    /// has no live entry.
     fn agents(&self) -> Vec<Ipv4Addr> {
         let settings = self.node.settings();
         let now = self.node.clock.now();
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -16,8 +16,9 @@
 use super::Entry;
 use crate::logs::Topic;
 
-/// Age from which load reports of other regions are ignored, in milliseconds: twice the longest pause between
-/// reports. Older reports have less weight before that (`slot_split::unseen_requests`).
+/// Age from which load reports of other regions are ignored, in milliseconds: twice the longest
+/// pause between reports. Older reports have less weight before that
+/// (`slot_split::unseen_requests`).
 const FAR_LOADS_MAX_AGE_MS: u64 = 10_000;
 
 /// Replicas and slots of one region for a service.
@@ -71,8 +72,9 @@
         let far_loads = self.far_loads.borrow();
         let others = |replica: &Replica| {
             let region = settings.region(&replica.listing.zone);
-            // The load of a silent region is unknown. Its replicas of models count as full except for the slots that it
-            // lends, or all entries that are short of slots would send their overflow there.
+            // The load of a silent region is unknown. Its replicas of models count as full except
+            // for the slots that it lends, or all entries that are short of slots would send their
+            // overflow there.
             if replica.listing.has_model && !replica.near && !far_loads.has(region) {
                 return (replica.listing.slots, 0);
             }
@@ -84,8 +86,9 @@
         replicas.set_others(others);
     }
 
-    /// Sets the pause between this entry's requests to each cold replica. The entries of the replica's region share the
-    /// rate that it sustains, or all entries do if none of that region accepts callers.
+    /// Sets the pause between this entry's requests to each cold replica. The entries of the
+    /// replica's region share the rate that it sustains, or all entries do if none of that region
+    /// accepts callers.
     fn pace_cold_replicas(&self, now: Time) {
         let settings = self.node.settings();
         let config = self.config.borrow();
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -83,25 +83,27 @@
     traffic::Purpose,
 };
 
-/// Longest wait of one long poll of the operator's table. A connection to the store may go silent for good,
-/// which shows only when a wait ends, and the operator's writes have to be in force within two seconds: see
-/// [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a reader makes 0.84 calls a second with
-/// this wait, and 0.25 with a wait of 4 s; each region has two readers.
+/// Longest wait of one long poll of the operator's table. A connection to the store may go silent
+/// for good, which shows only when a wait ends, and the operator's writes have to be in force
+/// within two seconds: see [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a
+/// reader makes 0.84 calls a second with this wait, and 0.25 with a wait of 4 s; each region has
+/// two readers.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1_300);
 /// Longest wait of one long poll of the replicas' table.
 const REPLICAS_WAIT: Duration = Duration::from_secs(2);
 /// Longest wait of one long poll of the table of entries.
 const ENTRIES_WAIT: Duration = Duration::from_secs(8);
-/// Pause between reads of the operator's table: well below the two seconds within which its records have to
-/// be in force, and long enough to batch several records into a read, as each read is billed.
+/// Pause between reads of the operator's table: well below the two seconds within which its records
+/// have to be in force, and long enough to batch several records into a read, as each read is
+/// billed.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(50);
 /// Pause between reads of the replicas' table, which is limited in the same way.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(150);
 /// Pause between reads of the table of entries, which is limited in the same way.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(1);
-/// Window of the request rate by which slots are split among entries, in seconds. Each entry computes the
-/// split by itself, and less random variation makes them agree better: 200 requests a second vary by 4 %
-/// over this window.
+/// Window of the request rate by which slots are split among entries, in seconds. Each entry
+/// computes the split by itself, and less random variation makes them agree better: 200 requests a
+/// second vary by 4 % over this window.
 const RATE_WINDOW_S: f64 = 3.0;
 /// Share of a replica's connection limit that all entries together use.
 const CONNECTIONS_SHARE: f64 = 0.85;
@@ -155,13 +157,16 @@
     near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests that entries of other regions have at replicas, by region.
     far_loads: RefCell<RemoteLoads<String>>,
-    /// Replicas of this region whose reported state changed since the last message to other regions.
+    /// Replicas of this region whose reported state changed since the last message to other
+    /// regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
-    /// State sent to agents last: replicas that switched versions, and the end of the operator's table.
+    /// State sent to agents last: replicas that switched versions, and the end of the operator's
+    /// table.
     sent_to_agents: RefCell<(Vec<SwitchedReplicas>, u64)>,
     /// Time of the first datagram from another entry.
     first_contact: Cell<Option<Time>>,
-    /// Whether this entry brought operator records into its region that the other entries there may lack.
+    /// Whether this entry brought operator records into its region that the other entries there may
+    /// lack.
     announce_pending: Cell<bool>,
     /// Number of rounds so far in which messages went to other regions.
     sent_to_regions: Cell<usize>,
@@ -268,9 +273,11 @@
         }
     }
 
-    /// Decides how this entry treats callers, given the operator's records that peers have and it lacks.
+    /// Decides how this entry treats callers, given the operator's records that peers have and it
+    /// lacks.
     pub fn freshness(&self) -> Freshness {
-        // Keys may have been revoked and routes moved during the stall; other entries have the changes.
+        // Keys may have been revoked and routes moved during the stall; other entries have the
+        // changes.
         if self.node.stale_after_stall() {
             return Freshness::Stale;
         }
@@ -299,8 +306,9 @@
         }
     }
 
-    /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a host that is bound
-    /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
+    /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a
+    /// host that is bound to some regions, these are entries of those regions and of the caller's,
+    /// unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let allowed_regions = match self.config.borrow().as_ref() {
             Some(config) => config.allowed_regions_of_host(&lookup.host),
@@ -418,7 +426,7 @@
         self.model_request_rate.borrow().rate(self.node.clock.now())
     }
 
-    /// Returns how complete this entry's knowledge of other entries is.
+    /// Returns the extent to which this entry knows the other entries.
     fn discovery(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
@@ -513,8 +521,8 @@
 }
 
 impl Handle {
-    /// Drains the entry: lookups no longer return it, new requests are still answered, and running requests
-    /// finish. Returns the number of connections that were cut off.
+    /// Drains the entry: lookups no longer return it, new requests are still answered, and running
+    /// requests finish. Returns the number of connections that were cut off.
     pub async fn drain(self) -> usize {
         let entry = &self.entry;
         let node = &entry.node;
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -102,7 +102,8 @@
 }
 
 impl Entry {
-    /// Returns all suspect requests with their number of crashes that count, for tests and operators.
+    /// Returns all suspect requests with their number of crashes that count, for tests and
+    /// operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
         let known = self.quarantine.known.borrow();
         let all = known.fingerprints();
@@ -116,7 +117,8 @@
         lost.values().map(|it| it.requests.len()).sum()
     }
 
-    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if not.
+    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if
+    /// not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
         job.exclusive_attempt = None;
         let known = self.quarantine.known.borrow();
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -49,8 +49,8 @@
             }
             _ => false,
         };
-        // State that lay in the socket during a stall is outdated, and each sender sends again within a second. The ends
-        // of copies, and crashes, stay true whenever they are received.
+        // State that lay in the socket during a stall is outdated, and each sender sends again
+        // within a second. The ends of copies, and crashes, stay true whenever they are received.
         let current = self.node.datagrams_are_current();
         match &datagram.sender {
             Sender::Agent { .. } | Sender::Entry { .. } | Sender::Region { .. } if !current => {}
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Returns the rank of this entry among the known entries of its region for the first read of a table after a start.
+    /// Returns the rank of this entry among the known entries of its region for the first read of a
+    /// table after a start.
     fn startup_rank(&self, table: Table) -> usize {
         let now = self.node.clock.now();
         let settings = self.node.settings();
@@ -303,7 +304,7 @@
     }
 }
 
-/// Pause between reads of the replicas' table, per replica: all replicas change during a version switch, and
-/// each call to the store is billed. With 120 replicas it is 0.36 s, of the four seconds within which requests
-/// to a draining replica have to stop.
+/// Pause between reads of the replicas' table, per replica: all replicas change during a version
+/// switch, and each call to the store is billed. With 120 replicas it is 0.36 s, of the four
+/// seconds within which requests to a draining replica have to stop.
 const PAUSE_PER_REPLICA: Duration = Duration::from_millis(3);
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -1,7 +1,8 @@
 //! Registration of entries in the table of entries, by which later entries find their peers.
 //!
-//! All entries write to one partition of the store, which applies writes one at a time. So one entry of each region
-//! writes the rows of all entries there in one batch, and the others write their own row only if it stays missing.
+//! All entries write to one partition of the store, which applies writes one at a time. So one
+//! entry of each region writes the rows of all entries there in one batch, and the others write
+//! their own row only if it stays missing.
 
 use std::{collections::HashSet, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -17,16 +18,18 @@
 
 /// Pause between checks for entries without a row.
 const CHECK_PAUSE: Duration = Duration::from_millis(500);
-/// Time after its first contact before which an entry writes no rows of others, in milliseconds: until then it
-/// knows only a few entries of its region, and often ranks first among these.
+/// Time after its first contact before which an entry writes no rows of others, in milliseconds:
+/// until then it knows only a few entries of its region, and often ranks first among these.
 const SETTLE_MS: u64 = 1_000;
-/// Shortest time after which an entry writes its own row, in milliseconds. It doubles with each failed write.
+/// Shortest time after which an entry writes its own row, in milliseconds. It doubles with each
+/// failed write.
 const FIRST_PAUSE_MS: u64 = 4_000;
 /// Longest such time, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 16_000;
 
 impl Entry {
-    /// Keeps this entry in the table of entries, and all entries of its region while it is the region's writer.
+    /// Keeps this entry in the table of entries, and all entries of its region while it is the
+    /// region's writer.
     pub(super) async fn register(self: Rc<Entry>) {
         let mut pause_ms = FIRST_PAUSE_MS;
         let mut own_due = self.jittered_deadline(pause_ms);
@@ -57,7 +60,8 @@
         }
     }
 
-    /// Returns whether this entry writes the rows of its whole region: the first in rank of those that read the table.
+    /// Returns whether this entry writes the rows of its whole region: the first in rank of those
+    /// that read the table.
     fn is_region_writer(&self) -> bool {
         let now = self.node.clock.now();
         let settled = |it: Time| it.after_ms(SETTLE_MS) <= now;
@@ -73,8 +77,8 @@
             && rendezvous::rank(Table::Entries as u64, own, others) == 0
     }
 
-    /// Returns the live entries of this region without a row, including this one, with their availability zones;
-    /// none before the table has been read.
+    /// Returns the live entries of this region without a row, including this one, with their
+    /// availability zones; none before the table has been read.
     fn without_row(&self, written: &HashSet<Ipv4Addr>) -> Vec<(Ipv4Addr, String)> {
         if !self.node.loaded(Table::Entries) {
             return Vec::new();
@@ -100,7 +104,8 @@
         self.node.platform.store.write(rows.collect()).await
     }
 
-    /// Returns a time one to two pauses from now, with jitter so that entries which start together write apart.
+    /// Returns a time one to two pauses from now, with jitter so that entries which start together
+    /// write apart.
     fn jittered_deadline(&self, pause_ms: u64) -> Time {
         let jittered = self
             .node
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -18,17 +18,17 @@
 use super::{Entry, OldestVersions};
 use crate::{logs::Topic, node::tables::Source};
 
-/// Time before the deadline for new weights from which requests prefer replicas that hold them, if one has
-/// room, in milliseconds: by then the last replicas switch.
+/// Time before the deadline for new weights from which requests prefer replicas that hold them, if
+/// one has room, in milliseconds: by then the last replicas switch.
 const VERSION_PREFERRED_MS: u64 = 1_600;
-/// Time before the deadline for new weights from which requests require them, in milliseconds. A request is
-/// sent to a replica where it begins within its objective of 0.4 s, and all entries learn of a new version
-/// within 0.3 s. A value of 1,600 leaves replicas with older weights idle for 0.8 s while requests are
-/// refused.
+/// Time before the deadline for new weights from which requests require them, in milliseconds. A
+/// request is sent to a replica where it begins within its objective of 0.4 s, and all entries
+/// learn of a new version within 0.3 s. A value of 1,600 leaves replicas with older weights idle
+/// for 0.8 s while requests are refused.
 const VERSION_REQUIRED_MS: u64 = 800;
-/// Time before the deadline for new weights at which requests that wait at a replica with older weights are
-/// withdrawn, in milliseconds: 0.1 s for the network, also over a slow link, and 0.3 s by which this entry
-/// may have learned of the version late.
+/// Time before the deadline for new weights at which requests that wait at a replica with older
+/// weights are withdrawn, in milliseconds: 0.1 s for the network, also over a slow link, and 0.3 s
+/// by which this entry may have learned of the version late.
 const VERSION_WITHDRAWN_MS: u64 = 500;
 
 impl Entry {
@@ -43,7 +43,8 @@
             .unwrap_or_default()
     }
 
-    /// Returns the time by which a request that waits at a replica has to begin there; `None` for no limit.
+    /// Returns the time by which a request that waits at a replica has to begin there; `None` for
+    /// no limit.
     pub fn start_deadline(&self, service: &str, replica: ReplicaKey) -> Option<Time> {
         let held = self.version_of(replica)?;
         self.with_target_versions(service, |it| it.start_deadline(held))
@@ -68,8 +69,8 @@
         match table {
             Table::Entries => self.apply_entries(records),
             Table::Operator => {
-                // The entry that brings records into the region announces them at once, as regular datagrams come once a
-                // second in a large region.
+                // The entry that brings records into the region announces them at once, as regular
+                // datagrams come once a second in a large region.
                 let brought = match self.node.source() {
                     Source::Store => true,
                     Source::Peer(peer) => !self.node.is_near_peer(peer),
--- a/crates/gradeloft_gateway/src/entry/uncertainty.rs
+++ b/crates/gradeloft_gateway/src/entry/uncertainty.rs
@@ -1,5 +1,5 @@
-//! The uncertainty of an entry's knowledge of other entries' requests, and retry times for callers when no
-//! replica has room.
+//! The uncertainty of an entry's knowledge of other entries' requests, and retry times for callers
+//! when no replica has room.
 
 use std::{rc::Rc, time::Duration};
 
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Counts a request as overflow unless the chosen replica has a free slot of this entry's share.
+    /// Counts a request as overflow unless the chosen replica has a free slot of this entry's
+    /// share.
     pub fn count_placement(&self, service: &Rc<str>, chosen: Option<ReplicaKey>) {
         let replicas = self.replicas.borrow();
         let chosen = chosen.and_then(|it| replicas.get(it));
--- a/crates/gradeloft_gateway/src/h1/wire.rs
+++ b/crates/gradeloft_gateway/src/h1/wire.rs
@@ -16,8 +16,8 @@
 /// Time after which a connection to a replica fails if its instance does not acknowledge sent data.
 const REPLICA_ACK_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time after which a connection to a caller fails if the caller does not acknowledge sent data. It
-/// is longer than any request lasts: a paused caller does not acknowledge data either, and reads its
-/// response when it resumes. The request's deadline bounds that wait.
+/// is longer than any request lasts: a paused caller does not acknowledge data either, and reads
+/// its response when it resumes. The request's deadline bounds that wait.
 const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A connection and its read buffer.
@@ -35,7 +35,8 @@
     }
 
     fn new(stream: TcpStream, ack_timeout: Duration) -> Wire {
-        // A connection works without these options, which reduce delays and detect failures earlier.
+        // A connection works without these options, which reduce delays and detect failures
+        // earlier.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(ack_timeout));
         Wire {
--- a/crates/gradeloft_gateway/src/lib.rs
+++ b/crates/gradeloft_gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! weights to the replicas beside them.
 //!
 //! - [`agent`]: the process beside a replica.
-//! - [`entry`]: the process that callers talk to.
+//! - [`entry`]: the process that callers connect to.
 //! - [`events`]: parsing of event streams.
 //! - [`h1`]: HTTP/1.1 on top of plain TCP connections.
 //! - [`logs`]: rate-limited logging.
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -1,8 +1,8 @@
 //! The operator's records, without the parts that only entries need.
 //!
-//! A configuration of thousands of routes has several hundred kilobytes, of which an agent needs only the
-//! services. Agents of an availability zone share the links of its entries with requests, so an entry
-//! abridges a large record once and sends the result to agents.
+//! A configuration of thousands of routes has several hundred kilobytes, of which an agent needs
+//! only the services. Agents of an availability zone share the links of its entries with requests,
+//! so an entry abridges a large record once and sends the result to agents.
 
 use std::collections::HashMap;
 
@@ -32,8 +32,8 @@
         matches!(self.settings.borrow().role, Role::Agent { .. })
     }
 
-    /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs unabridged records and
-    /// this process has only abridged ones.
+    /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs
+    /// unabridged records and this process has only abridged ones.
     pub(super) fn update_for_peer(
         &self,
         table: Table,
@@ -55,8 +55,8 @@
         unabridged.then_some(update)
     }
 
-    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms of a whole core for
-    /// 0.99 MB in a release build.
+    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms
+    /// of a whole core for 0.99 MB in a release build.
     fn abridge(&self, record: &mut Record) {
         let Some(value) = &record.value else {
             return;
@@ -86,8 +86,8 @@
         record.value = Some(value);
     }
 
-    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up to `seen`. They
-    /// may be abridged if this process requests that.
+    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up
+    /// to `seen`. They may be abridged if this process requests that.
     pub(super) fn note_peer_update(&self, table: Table, seen: Option<u64>) {
         if table == Table::Operator && self.wants_abridged() {
             let end = self.end(table).max(seen.unwrap_or(0));
@@ -96,8 +96,9 @@
         }
     }
 
-    /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read nothing from the
-    /// store since it received abridged records, as it has none for peers that need unabridged ones.
+    /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read
+    /// nothing from the store since it received abridged records, as it has none for peers that
+    /// need unabridged ones.
     pub(super) fn advertised_end(&self, table: Table) -> u64 {
         let end = self.end(table);
         let abridged = table == Table::Operator && end <= self.abridged.borrow().unabridged_from;
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -1,5 +1,5 @@
-//! The time up to which each copy is known to have been complete, which bounds how long ago a record that the store
-//! returns can have been written.
+//! The time up to which each copy is known to have been complete, which bounds how long ago a
+//! record that the store returns can have been written.
 
 use gradeloft_policy::clock::Time;
 use gradeloft_wire::frame::Table;
@@ -7,16 +7,16 @@
 use super::{Node, tables::index};
 
 impl Node {
-    /// Returns the time up to which the copy of a table is known to have been complete, by this process's reads and
-    /// by peers' reports of theirs: a record that it lacked then had not been written. While a read is being
-    /// applied, it is the time before that read. With uninterrupted reads it is at most the wait of one read, and a
-    /// round trip, ago.
+    /// Returns the time up to which the copy of a table is known to have been complete, by this
+    /// process's reads and by peers' reports of theirs: a record that it lacked then had not been
+    /// written. While a read is being applied, it is the time before that read. With uninterrupted
+    /// reads it is at most the wait of one read, and a round trip, ago.
     pub fn confirmed_until(&self, table: Table) -> Option<Time> {
         self.write_times.borrow()[index(table)].complete_until(self.end(table))
     }
 
-    /// Returns whether the last successful read of a table followed a failed one: its records may have been written
-    /// long before.
+    /// Returns whether the last successful read of a table followed a failed one: its records may
+    /// have been written long before.
     pub fn after_interruption(&self, table: Table) -> bool {
         self.after_interruption.get()[index(table)]
     }
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! State and functions that entries and agents share: copies of the platform's tables, calls between peers, datagrams.
+//! State and functions that entries and agents share: copies of the platform's tables, calls
+//! between peers, datagrams.
 //!
 //! - [`write_times`]: the times at which records count as written, and stalls of the process.
 //! - [`abridged`]: the operator's records, without the parts that only entries need.
@@ -61,7 +62,8 @@
     traffic::{Purpose, Reach, Traffic},
 };
 
-/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room for their keys.
+/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room
+/// for their keys.
 pub const MAX_FRAME: usize = 1 << 20;
 /// Time limit for a connection to a peer: far above the links' delays.
 const PEER_CONNECT: Duration = Duration::from_millis(500);
@@ -129,7 +131,8 @@
     /// Write times of each table's records.
     write_times: RefCell<[WriteTimes; 3]>,
     activity_gaps: RefCell<ActivityGaps>,
-    /// Time of the last current information about the ends of other copies, by datagram or by a read of the store.
+    /// Time of the last current information about the ends of other copies, by datagram or by a
+    /// read of the store.
     informed_at: Cell<Option<Time>>,
     /// State of reading each table from the store.
     read_states: RefCell<[ReadState; 3]>,
@@ -258,8 +261,8 @@
         self.send(purpose, reach, &datagram, to);
     }
 
-    /// Sends a datagram. One that the socket refuses counts as lost; one that is too large to be read is counted as
-    /// unsent. `reach` applies to receivers that have not sent a datagram yet.
+    /// Sends a datagram. One that the socket refuses counts as lost; one that is too large to be
+    /// read is counted as unsent. `reach` applies to receivers that have not sent a datagram yet.
     pub fn send(
         &self,
         purpose: Purpose,
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -1,7 +1,8 @@
 //! Large values, which peers send to each other in parts.
 //!
-//! The time to transfer a configuration depends on its size, on the link and on concurrent transfers, so only each
-//! part has a time limit. Received parts are kept, and the transfer continues from any peer that holds the record
+//! The time to transfer a configuration depends on its size, on the link and on concurrent
+//! transfers, so only each part has a time limit. Received parts are kept, and the transfer
+//! continues from any peer that holds the record
 //! ([`transfer`](gradeloft_policy::process::transfer)).
 
 use std::{cell::Cell, net::Ipv4Addr, rc::Rc, time::Duration};
@@ -48,11 +49,13 @@
     pub(super) caller: Role,
 }
 
-/// Reason why a peer sent no further parts: the metric label, and the kind that decides which peer is next.
+/// Reason why a peer sent no further parts: the metric label, and the kind that decides which peer
+/// is next.
 type FetchFailure = (&'static str, Refusal);
 
 impl Node {
-    /// Serves a peer's call for a value, if this process holds the value and has a free upload slot.
+    /// Serves a peer's call for a value, if this process holds the value and has a free upload
+    /// slot.
     pub(super) async fn serve_parts(self: &Rc<Node>, request: PartsRequest, outgoing: Outgoing) {
         let Some(value) = self.value_at(request.table, request.offset) else {
             outgoing.finish(&Reply::Absent(Absence::NotHeld)).await;
@@ -115,7 +118,8 @@
                 }
                 Choice::Retry(time) => actix_rt::time::sleep(time).await,
                 Choice::NoHolder => {
-                    // The next peer that sends a datagram gets a request for records; received parts are kept.
+                    // The next peer that sends a datagram gets a request for records; received
+                    // parts are kept.
                     self.with_inbox(table, |it| it.pending = None);
                     self.fetch_failed("none", table, self.clock.now(), "nobody");
                     return;
@@ -133,8 +137,8 @@
         })
     }
 
-    /// Replaces the transfer unless it is still needed; returns `false` if none is needed, as when the store was
-    /// faster.
+    /// Replaces the transfer unless it is still needed; returns `false` if none is needed, as when
+    /// the store was faster.
     fn ensure_transfer(&self, table: Table) -> bool {
         self.apply_complete(table);
         let now = self.clock.now();
@@ -210,7 +214,8 @@
             ("late", Refusal::Faulty)
         };
         let broken = |it| (reason(it), Refusal::Faulty);
-        // On the bulk lane: small records would otherwise wait behind the data in the connection's buffers.
+        // On the bulk lane: small records would otherwise wait behind the data in the connection's
+        // buffers.
         let opening = self.peers.open(&address, Lane::Bulk, &call);
         let opened = tokio::time::timeout(PART_TIMEOUT, opening).await;
         let mut incoming = opened.map_err(late)?.map_err(broken)?;
@@ -229,7 +234,8 @@
                         return Err(("slow", Refusal::Faulty));
                     }
                 }
-                // Other peers wait there for the slot that this process used slowly, and are served first.
+                // Other peers wait there for the slot that this process used slowly, and are served
+                // first.
                 Some(Reply::Absent(Absence::Busy)) if received => {
                     return Err(("sent away", Refusal::Faulty));
                 }
@@ -241,8 +247,9 @@
         }
     }
 
-    /// Returns whether a peer sends slowly while another is available. Parts within their time limit only show that
-    /// the peer is alive: a slow link would delay a value that another peer holds.
+    /// Returns whether a peer sends slowly while another is available. Parts within their time
+    /// limit only show that the peer is alive: a slow link would delay a value that another peer
+    /// holds.
     fn should_switch_peer(&self, peer: Ipv4Addr, table: Table, pace: Pace) -> bool {
         let now = self.clock.now();
         let caller = self.fetcher();
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -1,7 +1,7 @@
 //! Exchange of the tables' records with peers.
 //!
-//! A reply to a call for records holds small values, and announces large ones, which are then fetched in parts
-//! ([`parts`](super::parts)).
+//! A reply to a call for records holds small values, and announces large ones, which are then
+//! fetched in parts ([`parts`](super::parts)).
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -35,7 +35,8 @@
 
 /// Time limit for a peer's reply to a call for records.
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest value that is sent with its record, in bytes: an agent's link carries it in 55 ms at most.
+/// Largest value that is sent with its record, in bytes: an agent's link carries it in 55 ms at
+/// most.
 const INLINE_BYTES: usize = 64 << 10;
 /// Bytes of all values in a reply; the rest of the frame is for keys.
 const REPLY_BYTES: usize = MAX_FRAME / 4 * 3;
@@ -56,9 +57,9 @@
     pub(super) holders: Holders,
     /// Update that is not complete yet.
     pub(super) pending: Option<Announced>,
-    /// Large value that is being fetched. It outlives the update that announced it: a superseded record is still
-    /// newer than the copy, and if each newer record restarted the transfer, none would complete while they
-    /// change quickly.
+    /// Large value that is being fetched. It outlives the update that announced it: a superseded
+    /// record is still newer than the copy, and if each newer record restarted the transfer, none
+    /// would complete while they change quickly.
     pub(super) transfer: Option<Transfer>,
     /// Whether a task is fetching the value.
     pub(super) fetching: bool,
@@ -76,8 +77,8 @@
 }
 
 impl Node {
-    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of process: their
-    /// stream is dropped, so that they fail at the peer.
+    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of
+    /// process: their stream is dropped, so that they fail at the peer.
     pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
@@ -116,8 +117,8 @@
         let Some(update) = self.update_for_peer(table, from, abridged) else {
             return;
         };
-        // When many peers send requests at once, as after a start, serving few at a time completes the first copies sooner, and
-        // those peers then serve the others.
+        // When many peers send requests at once, as after a start, serving few at a time completes
+        // the first copies sooner, and those peers then serve the others.
         let caller = if abridged { Role::Agent } else { Role::Entry };
         let _slot = match update.bytes() {
             ..=INLINE_BYTES => None,
@@ -145,7 +146,8 @@
         outgoing.finish(&reply).await;
     }
 
-    /// Returns a record's value as it is sent to a peer; `room` is the space left for values in the reply.
+    /// Returns a record's value as it is sent to a peer; `room` is the space left for values in the
+    /// reply.
     fn value_for_peer(&self, table: Table, record: &Record, room: &mut usize) -> Value {
         let Some(value) = &record.value else {
             return Value::Deleted;
@@ -183,9 +185,10 @@
         settings.region(zone) == settings.region(&settings.zone)
     }
 
-    /// Fetches the records that this process lacks from a peer whose copies go up to `ends`; returns whether it lacks
-    /// any. Peers of other regions get requests only after a moment, within which near peers most likely have the
-    /// records too, and at first only by a few processes of this region.
+    /// Fetches the records that this process lacks from a peer whose copies go up to `ends`;
+    /// returns whether it lacks any. Peers of other regions get requests only after a moment,
+    /// within which near peers most likely have the records too, and at first only by a few
+    /// processes of this region.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
         let mut requested = false;
         let near = self.near(zone);
@@ -224,7 +227,8 @@
         self.end(table).max(announced.unwrap_or(0))
     }
 
-    /// Returns whether this process may request records of a table from a peer of another region that is ahead.
+    /// Returns whether this process may request records of a table from a peer of another region
+    /// that is ahead.
     fn may_request_far(&self, table: Table) -> bool {
         let caller = self.fetcher();
         if caller.role == Role::Agent && !self.loaded(table) {
@@ -243,7 +247,8 @@
     fn is_far_behind_for(&self, table: Table, wait_ms: u64) -> bool {
         let now = self.clock.now();
         self.with_inbox(table, |it| {
-            // A time outside this window is discarded: near peers have most likely sent those records since.
+            // A time outside this window is discarded: near peers have most likely sent those
+            // records since.
             let recent = it
                 .behind_since
                 .filter(|it| now < it.after_ms(wait_ms + FAR_DELAY_MS));
@@ -252,8 +257,8 @@
         })
     }
 
-    /// Returns whether this process keeps a table up to date from peers. Agents need the table of replicas only while
-    /// they fetch weights, and never that of entries.
+    /// Returns whether this process keeps a table up to date from peers. Agents need the table of
+    /// replicas only while they fetch weights, and never that of entries.
     fn follows(&self, table: Table) -> bool {
         match self.settings.borrow().role {
             settings::Role::Agent { .. } => table == Table::Operator,
@@ -261,8 +266,8 @@
         }
     }
 
-    /// Fetches the records of a table that this process lacks from a peer; returns whether the peer replied. Large
-    /// values follow later, from any peer that sends them.
+    /// Fetches the records of a table that this process lacks from a peer; returns whether the peer
+    /// replied. Large values follow later, from any peer that sends them.
     pub async fn fetch_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
         let address = self.peer_address(peer);
         let from = self.end(table);
@@ -336,7 +341,8 @@
         });
     }
 
-    /// Applies the part of the announced update that is complete, from peers or meanwhile from the store.
+    /// Applies the part of the announced update that is complete, from peers or meanwhile from the
+    /// store.
     pub(super) fn apply_complete(&self, table: Table) {
         let announced = self.with_inbox(table, |it| it.pending.take());
         let Some(mut announced) = announced else {
@@ -356,7 +362,8 @@
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
         }
-        // A peer that reads the store without interruption is right about removals, also where this process is cut off.
+        // A peer that reads the store without interruption is right about removals, also where this
+        // process is cut off.
         self.peer_is_sound.set(sound);
         if let Some(update) = update {
             if !sound {
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -1,4 +1,5 @@
-//! Copies of the platform's tables, which some processes read from the store and the others from peers.
+//! Copies of the platform's tables, which some processes read from the store and the others from
+//! peers.
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -21,9 +22,11 @@
     traffic::{Purpose, Reach},
 };
 
-/// First pause after a failed call to the store, in milliseconds, which doubles with each further failure.
+/// First pause after a failed call to the store, in milliseconds, which doubles with each further
+/// failure.
 const FIRST_PAUSE_MS: u64 = 150;
-/// Longest pause of entries after failed calls: they have to apply the operator's records within seconds.
+/// Longest pause of entries after failed calls: they have to apply the operator's records within
+/// seconds.
 pub(super) const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Shortest wait of a long poll, in percent of the longest.
 const SHORTEST_WAIT_PERCENT: u64 = 75;
@@ -32,9 +35,9 @@
 /// Time after an interruption of reading a table within which the store may still drop records of
 /// live replicas, in milliseconds.
 const DOUBT_MS: u64 = 1_500;
-/// Time after the interruption by which dropped records of live replicas are back, in milliseconds: two
-/// seconds, and a read. It counts from the end of the interruption and not from the removal, so that requests
-/// to a replica which leaves just then stop in time.
+/// Time after the interruption by which dropped records of live replicas are back, in milliseconds:
+/// two seconds, and a read. It counts from the end of the interruption and not from the removal, so
+/// that requests to a replica which leaves just then stop in time.
 pub(super) const RESTORED_MS: u64 = 2_300;
 
 /// Source of records.
@@ -89,8 +92,9 @@
         self.read_states.borrow()[index(table)] == ReadState::Standby
     }
 
-    /// Returns whether the store serves this process, as far as it knows. For a moment after an interruption it
-    /// counts as unserved, as its reads are doubtful: processes without an interruption keep reading.
+    /// Returns whether the store serves this process, as far as it knows. For a moment after an
+    /// interruption it counts as unserved, as its reads are doubtful: processes without an
+    /// interruption keep reading.
     pub fn access(&self) -> StoreAccess {
         let now = self.clock.now();
         let doubtful = |it: &ReadState| match it {
@@ -128,8 +132,9 @@
         }
     }
 
-    /// Returns whether the records that are being applied are the first of their table. The times at which they were
-    /// written are unknown, as peers' datagrams cover only the time since this process started.
+    /// Returns whether the records that are being applied are the first of their table. The times
+    /// at which they were written are unknown, as peers' datagrams cover only the time since this
+    /// process started.
     pub fn is_initial_load(&self) -> bool {
         self.initial_load.get()
     }
@@ -169,8 +174,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns for how long the copy of a table has lacked records that peers are known to have; `None` if it lacks
-    /// none.
+    /// Returns for how long the copy of a table has lacked records that peers are known to have;
+    /// `None` if it lacks none.
     pub fn behind(&self, table: Table) -> Option<Duration> {
         let lacks_since = self.write_times.borrow()[index(table)].known_since(self.end(table));
         lacks_since.map(|it| self.clock.now().since(it))
@@ -226,8 +231,8 @@
         self.near_peers.borrow().get(&peer) == Some(&true)
     }
 
-    /// Applies records beyond the end of the copy while a large record before them is still being fetched. The end
-    /// of the copy does not move.
+    /// Applies records beyond the end of the copy while a large record before them is still being
+    /// fetched. The end of the copy does not move.
     pub(super) fn apply_ahead(&self, table: Table, records: Vec<Record>, source: Source) {
         self.initial_load.set(!self.loaded(table));
         let changed = self.copies.borrow_mut()[index(table)].apply_ahead(records);
@@ -253,8 +258,8 @@
         self.source.get()
     }
 
-    /// Keeps the copy of a table up to date from the store, by long polls of at most `wait` with `pause` between
-    /// them.
+    /// Keeps the copy of a table up to date from the store, by long polls of at most `wait` with
+    /// `pause` between them.
     pub async fn follow(self: Rc<Node>, table: Table, wait: Duration, pause: Duration) {
         let mut failures = 0;
         let mut fresh = false;
@@ -285,7 +290,8 @@
                     self.note_store_fault(table, &fault);
                     let silent = matches!(fault, Fault::Broken | Fault::Lost);
                     if failures == 0 && silent {
-                        // A retry on a new connection shows at once whether only the old one failed.
+                        // A retry on a new connection shows at once whether only the old one
+                        // failed.
                         failures = 1;
                         continue;
                     }
@@ -300,8 +306,8 @@
         }
     }
 
-    /// Returns the wait of one read, with jitter. Readers start to wait together, at the last record, and spread
-    /// waits let one of them soon detect that connections have gone silent.
+    /// Returns the wait of one read, with jitter. Readers start to wait together, at the last
+    /// record, and spread waits let one of them soon detect that connections have gone silent.
     fn jittered_wait(&self, longest: Duration) -> Duration {
         let longest = longest.as_millis() as u64;
         let shortest = longest * SHORTEST_WAIT_PERCENT / 100;
@@ -324,8 +330,8 @@
         let reading = &mut self.read_states.borrow_mut()[index(table)];
         match (reads, *reading) {
             (false, _) => *reading = ReadState::Standby,
-            // Other readers without access say little about the store; the first read shows whether it is
-            // reachable.
+            // Other readers without access say little about the store; the first read shows whether
+            // it is reachable.
             (true, ReadState::Standby) => *reading = ReadState::Steady,
             (true, _) => {}
         }
@@ -411,8 +417,9 @@
         }
     }
 
-    /// Returns whether a removal may be an error of the store. The doubt counts from the time since which the record
-    /// is known to exist, and not from before an interruption, as it would end too soon.
+    /// Returns whether a removal may be an error of the store. The doubt counts from the time since
+    /// which the record is known to exist, and not from before an interruption, as it would end too
+    /// soon.
     pub fn trust_in_removal(&self, table: Table, record: &Record) -> StoreTrust {
         let now = self.clock.now();
         let known = self.write_times.borrow()[index(table)].known_since(record.offset);
--- a/crates/gradeloft_gateway/src/node/unreadable.rs
+++ b/crates/gradeloft_gateway/src/node/unreadable.rs
@@ -1,7 +1,7 @@
 //! Records of other writers in the tables that can't be decoded.
 //!
-//! In the copy of its table, such a record is replaced by a removal of its key, so that the copy advances past
-//! it and its value takes no memory, here or at peers.
+//! In the copy of its table, such a record is replaced by a removal of its key, so that the copy
+//! advances past it and its value takes no memory, here or at peers.
 
 use gradeloft_policy::process::mirror::{Record, Update};
 use gradeloft_wire::{
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Returns why a record is unreadable, if it is. The operator's table has no other writers.
+    /// Returns the reason why a record is unreadable, if it is. The operator's table has no other
+    /// writers.
     fn unreadable_reason(&self, table: Table, record: &Record) -> Option<String> {
         let value = record.value.as_ref()?;
         match table {
--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -21,14 +21,14 @@
 
 /// Pause between checks for a stall of the process.
 const TICK: Duration = Duration::from_millis(250);
-/// Pause between ticks from which the process counts as stalled, in milliseconds: four ticks, so that a lack of
-/// processor time alone does not count.
+/// Pause between ticks from which the process counts as stalled, in milliseconds: four ticks, so
+/// that a lack of processor time alone does not count.
 const STALL_MS: u64 = 1_000;
-/// Time after a stall for which a process that receives nothing treats its copies as stale, in milliseconds: far
-/// above the 0.4 s within which its peers send, if it has any.
+/// Time after a stall for which a process that receives nothing treats its copies as stale, in
+/// milliseconds: far above the 0.4 s within which its peers send, if it has any.
 const STALE_MS: u64 = 1_000;
-/// Silence of all peers from which this process counts as cut off, in milliseconds: six intervals between near
-/// entries' datagrams, and one and a half between an entry's datagrams to an agent.
+/// Silence of all peers from which this process counts as cut off, in milliseconds: six intervals
+/// between near entries' datagrams, and one and a half between an entry's datagrams to an agent.
 const SILENCE_MS: u64 = 750;
 
 /// Gaps in this process's activity.
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Checks whether the process was stalled a moment ago, or its machine suspended. Called before the process acts on
-    /// its state, which is outdated after a stall.
+    /// Checks whether the process was stalled a moment ago, or its machine suspended. Called before
+    /// the process acts on its state, which is outdated after a stall.
     pub fn detect_stall(&self) {
         self.activity_gaps
             .borrow_mut()
@@ -78,8 +78,8 @@
         self.activity_gaps.borrow().ticks.fresh(self.clock.now())
     }
 
-    /// Returns whether the process was stalled and has not yet learned the ends of other copies, so that it doesn't
-    /// know which records it lacks.
+    /// Returns whether the process was stalled and has not received the ends of other copies since.
+    /// Until then the records that it lacks are unknown.
     pub fn stale_after_stall(&self) -> bool {
         let now = self.clock.now();
         let Some(stall_end) = self.activity_gaps.borrow().ticks.last_end(now) else {
@@ -89,16 +89,17 @@
         !informed && now < stall_end.after_ms(STALE_MS)
     }
 
-    /// Returns the time at which a record counts as written: before the interruption for a record read after one, and
-    /// no later than at the peer for a record that a peer sent.
+    /// Returns the time at which a record counts as written: before the interruption for a record
+    /// read after one, and no later than at the peer for a record that a peer sent.
     pub fn written_at(&self, table: Table, record: &Record) -> Time {
         let now = self.clock.now();
         let effective = self.write_times.borrow()[index(table)].effective_since(record.offset);
         effective.map_or(now, |it| it.min(now))
     }
 
-    /// Returns the times for which this process's copies have not been confirmed complete by its own reads, in
-    /// milliseconds; the largest number for longer, and for copies that were never confirmed.
+    /// Returns the times for which this process's copies have not been confirmed complete by its
+    /// own reads, in milliseconds; the largest number for longer, and for copies that were never
+    /// confirmed.
     pub(super) fn unconfirmed_ms(&self) -> [u16; 3] {
         let now = self.clock.now();
         let ages = self.write_times.borrow();
@@ -112,8 +113,9 @@
         })
     }
 
-    /// Notes the ends of a peer's copies, and the times for which they have not been confirmed by the peer's own
-    /// reads. As these are its own reads only, no report comes back to its sender as new information.
+    /// Notes the ends of a peer's copies, and the times for which they have not been confirmed by
+    /// the peer's own reads. As these are its own reads only, no report comes back to its sender as
+    /// new information.
     pub fn note_peer_copies(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
         let now = self.clock.now();
         let mut activity_gaps = self.activity_gaps.borrow_mut();
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Returns the time since which a record counts as written, in milliseconds; the largest number for longer.
+    /// Returns the time since which a record counts as written, in milliseconds; the largest number
+    /// for longer.
     pub(super) fn age_ms(&self, table: Table, record: &Record) -> u16 {
         let written = self.written_at(table, record);
         saturate(self.clock.now().since(written).as_millis() as u64)
@@ -147,7 +150,8 @@
         }
     }
 
-    /// Notes a successful read of the store, which waited there for up to `wait`, before it is applied.
+    /// Notes a successful read of the store, which waited there for up to `wait`, before it is
+    /// applied.
     pub(super) fn note_read(
         &self,
         table: Table,
--- a/crates/gradeloft_policy/src/connection/pace.rs
+++ b/crates/gradeloft_policy/src/connection/pace.rs
@@ -74,7 +74,7 @@
         left.max(self.link * MIN_SHARE)
     }
 
-    /// Returns how many chunks to request concurrently, at most `most`.
+    /// Returns the number of chunks to request concurrently, at most `most`.
     pub fn max_concurrent(&mut self, most: usize, now: Time) -> usize {
         self.decay(now);
         if self.has_live_traffic() {
--- a/crates/gradeloft_policy/src/process/allowed_regions.rs
+++ b/crates/gradeloft_policy/src/process/allowed_regions.rs
@@ -38,12 +38,12 @@
         AllowedRegions { regions }
     }
 
-    /// Whether a region is allowed.
+    /// Returns whether a region is allowed.
     pub fn allows(&self, region: &str) -> bool {
         self.regions.as_ref().is_none_or(|it| it.contains(region))
     }
 
-    /// Whether all regions are allowed.
+    /// Returns whether all regions are allowed.
     pub fn is_unrestricted(&self) -> bool {
         self.regions.is_none()
     }
--- a/crates/gradeloft_policy/src/process/delegates.rs
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -21,21 +21,21 @@
 /// Rendezvous key of the selection.
 const KEY: u64 = 0x5350_4541_4b53;
 
-/// Whether `own` is a delegate of its region, where `others` are the other live entries.
+/// Returns whether `own` is a delegate of its region, where `others` are the other live entries.
 pub fn is_delegate(own: Ipv4Addr, others: impl Iterator<Item = Ipv4Addr>) -> bool {
     let others = others.map(|it| roster::hash(&it));
     rendezvous::rank(KEY, roster::hash(&own), others) < DELEGATES
 }
 
-/// Whether `own` sends to an agent in a region without a live entry, where `others` are the live
-/// entries elsewhere. Each agent gets a few senders, whatever the size of the fleet, since it
+/// Returns whether `own` sends to an agent in a region without a live entry, where `others` are the
+/// live entries elsewhere. Each agent gets a few senders, whatever the size of the fleet, since it
 /// reports to each entry that sends to it.
 pub fn is_fallback_sender(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < FALLBACK_SENDERS
 }
 
-/// Whether `own` is one of the entries of an agent's region that send changes to it at once, where
-/// `others` are the other live entries there.
+/// Returns whether `own` is one of the entries of an agent's region that send changes to it at
+/// once, where `others` are the other live entries there.
 pub fn sends_changes_at_once(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < IMMEDIATE_SENDERS
 }
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -20,12 +20,12 @@
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again although it may have run.
+    /// Returns whether a request may be sent again although it may have run.
     pub fn repeatable(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Whether the response is an event stream.
+    /// Returns whether the response is an event stream.
     pub fn streams(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
@@ -170,7 +170,7 @@
 }
 
 impl Document {
-    /// Whether another replica can resume any stream of a service.
+    /// Returns whether another replica can resume any stream of a service.
     pub fn resumes(&self, service: &str) -> bool {
         let leads = |it: &&Route| it.targets.iter().any(|it| &*it.service == service);
         let mut routes = self.routes.iter().filter(leads);
--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -37,18 +37,19 @@
         }
     }
 
-    /// Whether a request with this deadline is sure to be served before the process ends.
+    /// Returns whether a request with this deadline is sure to be served before the process ends.
     pub fn accepts(self, deadline: Time) -> bool {
         deadline <= self.end
     }
 
-    /// Returns the time until which a connection that is idle since `idle_since` may wait for a request.
+    /// Returns the time until which a connection that is idle since `idle_since` may wait for a
+    /// request.
     pub fn idle_until(self, idle_since: Time) -> Time {
         self.lingers_until()
             .max(idle_since.after_ms(FIRST_REQUEST_MS))
     }
 
-    /// Whether a process with this number of open connections may end.
+    /// Returns whether a process with this number of open connections may end.
     pub fn finished(self, connections: usize, now: Time) -> bool {
         self.end <= now || (self.lingers_until() <= now && connections == 0)
     }
--- a/crates/gradeloft_policy/src/process/freshness.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -1,11 +1,11 @@
 //! Rates an entry by the operator's records that it lacks and others hold.
 //!
 //! A final "no such route" is wrong if a newer configuration allows the request, while "not run,
-//! retry" costs little. An entry that lacks records therefore denies no request. An entry that
-//! has lacked them for long handles requests by outdated rules, so it leaves callers to entries
-//! with newer records, as long as these can handle the load. An entry does not act on missing
-//! records that it doesn't know of: one that is cut off from the store and from all peers continues
-//! to serve. Only the silence of both would show this: no datagram from any peer and no response from
+//! retry" costs little. An entry that lacks records therefore denies no request. An entry that has
+//! lacked them for long handles requests by outdated rules, so it leaves callers to entries with
+//! newer records, as long as these can handle the load. An entry does not act on missing records
+//! that it doesn't know of: one that is cut off from the store and from all peers continues to
+//! serve. Only the silence of both would show this: no datagram from any peer and no response from
 //! the store for longer than the limit for applying changes.
 
 use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -53,9 +53,9 @@
         self.last = Some(now);
     }
 
-    /// Whether a gap ended at or after `requested_at`, or is in progress and was first recognised
-    /// after it. A gap that was recognised earlier and still lasts does not count: a process without
-    /// peers receives nothing.
+    /// Returns whether a gap ended at or after `requested_at`, or is in progress and was first
+    /// recognised after it. A gap that was recognised earlier and still lasts does not count: a
+    /// process without peers receives nothing.
     pub fn gap_since(&self, requested_at: Time, now: Time) -> bool {
         let goes_on = |it: Time| requested_at < it && it < now;
         self.ended.is_some_and(|it| requested_at <= it) || self.gap_start().is_some_and(goes_on)
@@ -67,7 +67,7 @@
         if goes_on { Some(now) } else { self.ended }
     }
 
-    /// Whether a message received now was sent recently.
+    /// Returns whether a message received now was sent recently.
     pub fn fresh(&self, now: Time) -> bool {
         self.ended.is_none_or(|it| it.after_ms(STALE_MS) <= now)
     }
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -34,36 +34,36 @@
 pub struct Peer {
     /// The latest list entry of the peer.
     pub instance: Instance,
-    /// Hash of the name of its instance.
+    /// Hash of the name of the peer's instance.
     pub node: u64,
     /// Whether the last list that was read contains the peer.
     pub listed: bool,
-    /// Its last notice; `None` until it is connected.
+    /// Last notice of the peer; `None` until it is connected.
     pub notice: Option<Notice>,
     /// Time at which the notice was received.
     pub noticed_at: Time,
-    /// Whether its connection is up.
+    /// Whether the peer's connection is up.
     pub connected: bool,
-    /// Health by its connection and its replies.
+    /// Health by the peer's connection and replies.
     pub health: Health,
-    /// Requests of this process that run there.
+    /// Number of this process's requests that run at the peer.
     pub own_requests: u32,
 }
 
 impl Peer {
-    /// Whether it accepts new work at `now`.
+    /// Returns whether the peer accepts new work at `now`.
     pub fn takes_work(&self, now: Time) -> bool {
         let leaving = self.notice.as_ref().is_none_or(|it| it.leaving);
         let listed_leaving = self.instance.state == InstanceState::Leaving;
         self.connected && !leaving && !listed_leaving && !self.health.is_suspect(now)
     }
 
-    /// Returns the number of requests that it can run at once.
+    /// Returns the number of requests that the peer can run at once.
     pub fn capacity(&self) -> u32 {
         self.notice.as_ref().map_or(0, |it| it.capacity)
     }
 
-    /// Returns the number of requests of others that were running there at its last notice.
+    /// Returns the number of requests of others that were running at the peer at its last notice.
     pub fn others(&self) -> u32 {
         self.notice
             .as_ref()
@@ -179,7 +179,7 @@
             .filter(move |(_, it)| it.instance.role == role)
     }
 
-    /// Whether a list was ever read.
+    /// Returns whether a list was ever read.
     pub fn has_read_list(&self) -> bool {
         self.read
     }
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -63,7 +63,7 @@
         self.end
     }
 
-    /// Whether the copy was ever updated.
+    /// Returns whether the copy was ever updated.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
@@ -84,7 +84,7 @@
         recent.or_else(|| self.newest.values().find(|it| it.offset == offset))
     }
 
-    /// Whether a record at an offset would be newer than the known one of its key.
+    /// Returns whether a record at an offset would be newer than the known one of its key.
     pub fn lacks(&self, key: &str, offset: u64) -> bool {
         let known = self.newest.get(key);
         self.end <= offset && known.is_none_or(|it| it.offset < offset)
--- a/crates/gradeloft_policy/src/process/pending_update.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Whether it announces a value that is too large to be fetched from peers.
+    /// Returns whether the update announces a value that is too large to be fetched from peers.
     pub fn oversized(&self) -> bool {
         let too_large =
             |it: &Row| matches!(it, Row::Missing(missing) if MAX_VALUE < missing.length);
@@ -95,7 +95,8 @@
         present.collect()
     }
 
-    /// Whether it is incomplete and contains nothing new for a copy that ends at `end`.
+    /// Returns whether the update is incomplete and contains nothing new for a copy that ends at
+    /// `end`.
     pub fn outdated(&self, end: u64) -> bool {
         self.end <= end && self.missing().is_some()
     }
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -1,15 +1,14 @@
 //! Splits the rate limit of a team among entries by leases that follow demand.
 //!
 //! Each team has a home entry, selected by rendezvous hashing, which leases shares of the team's
-//! rate to the other entries. The leased rate and the rate that entries may use without a lease
-//! never add up to more than the limit, so outdated views reduce the usable rate but never exceed
-//! the limit:
+//! rate to the other entries. The sum of the leased rate and the rate that entries may use without
+//! a lease is at most the limit, so outdated views only reduce the usable rate:
 //!
 //! - An entry without demand has no lease, and may use a small share at once when demand appears.
 //! - An entry that is cut off lets its lease expire. Once the home must have noticed, it uses a
 //!   larger, fixed fraction of an equal share, which the home reserves for it.
-//! - A home that is not connected to a majority of the listed entries leases nothing, so an entry
-//!   that is cut off can't be its own home.
+//! - A home leases only while it is connected to a majority of the listed entries, so an entry that
+//!   is cut off can't be its own home.
 //! - A new home leases no entry more than the entry already holds, until the leases of the previous
 //!   home have expired.
 //!
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -50,10 +50,10 @@
     pub rank: usize,
 }
 
-/// Whether an entry reads a table for the first time from the store. After an outage of the whole
-/// fleet no peer holds the table, and waiting for peers would leave callers without service for a
-/// second. If all entries of a region read the table, they would saturate the link to the store, so
-/// their number is bounded, whatever the size of the region.
+/// Returns whether an entry reads a table for the first time from the store. After an outage of the
+/// whole fleet no peer holds the table, and waiting for peers would leave callers without service
+/// for a second. If all entries of a region read the table, they would saturate the link to the
+/// store, so their number is bounded, whatever the size of the region.
 pub fn reads_first(first: FirstRead) -> bool {
     let Some(since_contact) = first.since_contact else {
         return first.seed || PEER_TIMEOUT <= first.since_start;
@@ -73,9 +73,9 @@
     }
 }
 
-/// Whether the entry whose name hashes to `own` reads a table from the store, where `others` are
-/// the other entries of its region that are alive and have access to the store, and `regions` is
-/// the number of regions.
+/// Returns whether the entry whose name hashes to `own` reads a table from the store, where
+/// `others` are the other entries of its region that are alive and have access to the store, and
+/// `regions` is the number of regions.
 pub fn reads(table: u64, own: u64, others: impl Iterator<Item = u64>, regions: usize) -> bool {
     let here = (READERS / regions.max(1)).clamp(1, MAX_PER_REGION);
     rendezvous::rank(table, own, others) < here
--- a/crates/gradeloft_policy/src/process/refresh.rs
+++ b/crates/gradeloft_policy/src/process/refresh.rs
@@ -24,7 +24,7 @@
 }
 
 impl Refresh {
-    /// Whether to read from an entry with new records now.
+    /// Returns whether to read from an entry with new records now.
     pub fn due(&mut self, now: Time, rng: &mut impl Rng) -> bool {
         let due = *self.due.get_or_insert_with(|| {
             let earliest = self.last_read_at.map_or(now, |it| it.after_ms(REFRESH_MS));
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -13,7 +13,7 @@
 pub struct Load {
     /// Hash of the replica's current start.
     pub replica: u32,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub running: u32,
     /// Number of these requests whose response has not begun.
     pub waiting: u32,
@@ -69,7 +69,7 @@
         self.reports.retain(|_, parts| !parts.is_empty());
     }
 
-    /// Whether there is a report of `sender`.
+    /// Returns whether there is a report of `sender`.
     pub fn has<Q: Eq + Hash + ?Sized>(&self, sender: &Q) -> bool
     where
         K: Borrow<Q>,
@@ -82,7 +82,7 @@
         self.reports.len()
     }
 
-    /// Whether there is no report.
+    /// Returns whether there is no report.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -45,21 +45,21 @@
     /// Start of the replica as a Unix time in milliseconds, if it is reported. A replica may
     /// restart under the same id.
     pub born: Option<u64>,
-    /// Service that it belongs to.
+    /// Service that the replica belongs to.
     pub service: Rc<str>,
-    /// Address that it listens on.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Number of requests that it runs at once.
+    /// Number of requests that the replica runs at once.
     pub slots: u32,
-    /// Whether it is being drained.
+    /// Whether the replica is being drained.
     pub draining: bool,
-    /// Whether it runs a model, and therefore needs weights to serve requests.
+    /// Whether the replica runs a model, and therefore needs weights to serve requests.
     pub has_model: bool,
-    /// Version of the weights that it holds in full; `None` without weights.
+    /// Version of the weights that the replica holds in full; `None` without weights.
     pub version: Option<u64>,
-    /// Time that it stays cold from the writing of this listing on, in milliseconds.
+    /// Time that the replica stays cold from the writing of this listing on, in milliseconds.
     pub warmup_left_ms: u64,
 }
 
@@ -68,11 +68,11 @@
 pub struct Report {
     /// Start of the replica as a Unix time in milliseconds, if it is reported.
     pub born: Option<u64>,
-    /// Version of the weights that it holds in full.
+    /// Version of the weights that the replica holds in full.
     pub version: Option<u64>,
-    /// Whether it accepts no work because weights are about to be loaded.
+    /// Whether the replica accepts no work because weights are about to be loaded.
     pub loading: bool,
-    /// Whether the link of its instance is saturated.
+    /// Whether the link of the replica's instance is saturated.
     pub congested: bool,
     /// Time at which the report was received.
     pub at: Time,
@@ -106,37 +106,37 @@
 pub struct Replica {
     /// Listing by the platform.
     pub listing: Listing,
-    /// Last report of its agent.
+    /// Last report of the replica's agent.
     pub report: Option<Report>,
-    /// Requests of this entry in progress there.
+    /// Number of this entry's requests in progress at the replica.
     pub own_requests: u32,
     /// Number of these requests whose response has not begun.
     pub own_waiting: u32,
     /// Prompt tokens of the requests in `own_waiting`.
     pub own_waiting_tokens: f64,
-    /// Requests of other entries in progress there, by their last reports.
+    /// Number of other entries' requests in progress at the replica, by their last reports.
     pub other_requests: u32,
     /// Number of these requests whose response has not begun.
     pub others_waiting: u32,
     /// Slots assigned to this entry, which it fills without regard to other entries.
     pub own_slots: u32,
-    /// Whether it is in this entry's region.
+    /// Whether the replica is in this entry's region.
     pub near: bool,
     /// Delay of the start of its responses beyond the speed that the operator publishes.
     pub slowness: Slowness,
-    /// Time at which data was last received from it, or at which this entry's only request in
-    /// progress was sent to it.
+    /// Time at which data was last received from the replica, or at which this entry's only request
+    /// in progress was sent to it.
     pub silent_since: Time,
-    /// Time at which data was last received from it.
+    /// Time at which data was last received from the replica.
     pub last_received: Time,
-    /// Whether its availability zone is evacuated.
+    /// Whether the replica's availability zone is evacuated.
     pub evacuated: bool,
-    /// Shortest interval between this entry's requests while it is cold; `None` if this entry sends
-    /// it none.
+    /// Shortest interval between this entry's requests while the replica is cold; `None` if this
+    /// entry sends none.
     pub cold_pause: Option<Duration>,
-    /// End of its warm-up.
+    /// End of the replica's warm-up.
     cold_until: Time,
-    /// Time at which this entry last sent it a request.
+    /// Time at which this entry last sent a request to the replica.
     sent: Option<Time>,
     failures: u32,
     paused_until: Time,
@@ -188,19 +188,19 @@
         reported.max(self.listing.version)
     }
 
-    /// Whether it gets new work.
+    /// Returns whether the replica gets new work.
     pub fn open(&self, now: Time) -> bool {
         !self.evacuated && self.serves(now)
     }
 
-    /// Whether it accepts new work, whether or not its availability zone is evacuated.
+    /// Returns whether the replica accepts new work, even if its availability zone is evacuated.
     pub fn serves(&self, now: Time) -> bool {
         let loading = self.fresh(now).is_some_and(|it| it.loading);
         let filled = !self.listing.has_model || self.version(now).is_some();
         !self.listing.draining && !loading && filled
     }
 
-    /// Whether it is still warming up.
+    /// Returns whether the replica is still warming up.
     pub fn cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
@@ -214,7 +214,7 @@
         };
     }
 
-    /// Whether its warm-up allows this entry to send it a request now.
+    /// Returns whether the replica's warm-up allows this entry to send a request now.
     pub fn warmup_allows(&self, now: Time) -> bool {
         if !self.cold(now) {
             return true;
@@ -230,17 +230,17 @@
         self.sent = Some(now);
     }
 
-    /// Whether it has sent nothing for long although it has requests of this entry.
+    /// Returns whether the replica has long sent no data although it has requests of this entry.
     pub fn silent(&self, now: Time) -> bool {
         0 < self.own_requests && self.silent_since.after_ms(SILENCE_MS) <= now
     }
 
-    /// Whether requests queue at the link of its instance, as reported by its agent.
+    /// Returns whether requests queue at the link of the replica's instance, by its agent's report.
     pub fn congested(&self, now: Time) -> bool {
         self.fresh(now).is_some_and(|it| it.congested)
     }
 
-    /// Whether it failed recently.
+    /// Returns whether the replica failed recently.
     pub fn suspect(&self, now: Time) -> bool {
         now < self.paused_until
     }
@@ -255,7 +255,7 @@
         self.own_waiting + self.others_waiting
     }
 
-    /// Whether a slot that is assigned to this entry is free.
+    /// Returns whether a slot that is assigned to this entry is free.
     pub fn has_free_own_slot(&self) -> bool {
         self.own_requests < self.own_slots
     }
@@ -338,7 +338,7 @@
         self.arena.len()
     }
 
-    /// Whether there are no replicas.
+    /// Returns whether there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -9,8 +9,9 @@
 
 /// Silence after which an entry is no longer offered to callers, in milliseconds.
 const SILENCE_MS: u64 = 1_300;
-/// Silence after which an entry known only by relayed status is no longer offered, in milliseconds: three intervals between
-/// the member lists of a region, plus the silence after which another entry sends them.
+/// Silence after which an entry known only by relayed status is no longer offered, in milliseconds:
+/// three intervals between the member lists of a region, plus the silence after which another entry
+/// sends them.
 const RELAYED_SILENCE_MS: u64 = 4_000;
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
@@ -29,8 +30,8 @@
 pub enum Discovery {
     /// The entry has not read the table of entries yet.
     None,
-    /// The entry has read the table, but started less than a window ago: it knows many entries only by
-    /// their listing.
+    /// The entry has read the table, but started less than a window ago: it knows many entries only
+    /// by their listing.
     Listed,
     /// The entry has received messages from the entries that exist.
     Complete,
@@ -52,13 +53,13 @@
     zone: String,
     state: State,
     incarnation: u64,
-    /// Whether it has access to the platform's store, by its last status.
+    /// Whether the entry has access to the platform's store, by its last status.
     served: bool,
-    /// End of its copy of the operator's table, by its last status.
+    /// End of the entry's copy of the operator's table, by its last status.
     end: u64,
-    /// Time at which it was last known to be alive.
+    /// Time at which the entry was last known to be alive.
     seen: Option<Time>,
-    /// Time until which it counts as alive.
+    /// Time until which the entry counts as alive.
     alive_until: Time,
 }
 
@@ -73,7 +74,7 @@
     pub state: State,
     /// Whether it has access to the platform's store.
     pub served: bool,
-    /// End of its copy of the operator's table.
+    /// End of the entry's copy of the operator's table.
     pub end: u64,
 }
 
@@ -182,7 +183,7 @@
     }
 
     /// Returns the number of entries among which a common budget is split, or `None` while it is
-    /// unknown. An entry that has just started has met few others. If many start at once, each
+    /// unknown. An entry that has just started knows few others. If many start at once, each
     /// would otherwise take most of the budget: of seven entries, six restarted together would each
     /// take half of it or all, and together more than there is.
     pub fn budget_sharers(&self, discovery: Discovery) -> Option<usize> {
@@ -214,8 +215,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// Whether a majority of entries, including this one, accept callers and hold more of the
-    /// operator's table than up to `end`. Leaving entries don't count.
+    /// Returns whether a majority of entries, including this one, accept callers and hold more of
+    /// the operator's table than up to `end`. Leaving entries don't count.
     pub fn majority_beyond(&self, end: u64, now: Time) -> bool {
         let staying = |it: &&Entry| it.alive(now) && it.state != State::Leaving;
         let others = self.entries.values().filter(staying);
@@ -225,7 +226,7 @@
         others.count() + 1 < 2 * beyond.count()
     }
 
-    /// Whether an entry is alive.
+    /// Returns whether an entry is alive.
     pub fn alive(&self, address: Ipv4Addr, now: Time) -> bool {
         self.entries.get(&address).is_some_and(|it| it.alive(now))
     }
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -38,11 +38,11 @@
 const FAR_POLL: Duration = Duration::from_millis(50);
 /// Peers remembered for each table: more than the entries of a region.
 const HOLDERS: usize = 64;
-/// Silence after which a peer gets no requests, in milliseconds. Agents and peers of other regions send
-/// once a second.
+/// Silence after which a peer gets no requests, in milliseconds. Agents and peers of other regions
+/// send once a second.
 const SILENCE_MS: u64 = 5_000;
-/// Pause before the next request to a busy peer, in milliseconds. Within it, 0.2 to 1.2 MB cross a link
-/// of 40 Mbit/s.
+/// Pause before the next request to a busy peer, in milliseconds. Within it, 0.2 to 1.2 MB cross a
+/// link of 40 Mbit/s.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
 /// Time after which the rate of a transfer can be judged, in milliseconds.
 const MIN_SAMPLE_MS: u64 = 500;
@@ -98,7 +98,7 @@
         free
     }
 
-    /// Returns how many times no slot was free so far.
+    /// Returns the number of times that no slot was free so far.
     pub fn refused(&mut self, caller: Role) -> u64 {
         *self.refused_mut(caller)
     }
@@ -146,7 +146,8 @@
         Pace { start, since }
     }
 
-    /// Whether the rest takes too long at this rate, with `done` of `length` bytes transferred.
+    /// Returns whether the rest takes too long at this rate, with `done` of `length` bytes
+    /// transferred.
     pub fn slow(self, done: u64, length: u64, now: Time) -> bool {
         let passed = now.since(self.since).as_millis() as u64;
         let moved = done.saturating_sub(self.start);
@@ -263,12 +264,12 @@
 pub enum Choice {
     /// Request the value from this peer.
     Request(Ipv4Addr),
-    /// No peer that has been heard from recently holds it.
+    /// No peer that has sent data recently holds the value.
     NoHolder,
-    /// Choose again after this time; the peers that hold it are busy, or it is not this process's
-    /// turn.
+    /// Choose again after this time; the peers that hold the value are busy, or it is not this
+    /// process's turn.
     Wait(Duration),
-    /// Choose again after this time; the peers that hold it did not reply.
+    /// Choose again after this time; the peers that hold the value did not reply.
     Retry(Duration),
 }
 
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Whether to switch from `peer`, which sends slowly, to another peer now. The transfer
+    /// Returns whether to switch from `peer`, which sends slowly, to another peer now. The transfer
     /// continues there, so no received bytes are lost.
     pub fn should_switch(
         &self,
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -18,8 +18,8 @@
 /// Entries require new weights early enough to allow for records that they learn of this late.
 const DELAYED_MS: u64 = 300;
 
-/// Size from which the transfer time of a response is significant, in bytes: 0.2 s on a link of 1.2
-/// MB a second, such as that of a store.
+/// Size from which the transfer time of a response is significant, in bytes: 0.2 s on a link of
+/// 1.2 MB a second, such as that of a store.
 const LARGE_BYTES: usize = 256 << 10;
 
 /// Timing and size of a read from the store.
@@ -38,7 +38,7 @@
 }
 
 impl Read {
-    /// Whether the store may have begun the response long before it arrived.
+    /// Returns whether the store may have begun the response long before it arrived.
     fn is_delayed(self) -> bool {
         let late = self.requested_at.after(self.wait).after_ms(DELAYED_MS) < self.received_at;
         late || LARGE_BYTES <= self.bytes
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -28,8 +28,8 @@
 /// Cost of a replica with an older version than others, as a share of its slots, so that it drains
 /// before it changes version.
 const STALE_VERSION_COST: f64 = 0.6;
-/// Number of replicas to compare, both nearby and far. Entries learn of each other's requests 125
-/// ms late, so if each compared all replicas, all entries of a large fleet would send their
+/// Number of replicas to compare, both nearby and far. Entries learn of each other's requests
+/// 125 ms late, so if each compared all replicas, all entries of a large fleet would send their
 /// requests to the same few.
 const COMPARED_CANDIDATES: usize = 3;
 /// Requests that a replica is given beyond its slots. A request that waits for a slot is late and
--- a/crates/gradeloft_policy/src/version/fetch/hedge.rs
+++ b/crates/gradeloft_policy/src/version/fetch/hedge.rs
@@ -1,18 +1,20 @@
 //! Hedged reads: when an agent reads a chunk although a better-ranked owner is reading it.
 //!
-//! An owner behind a slow link replies that its chunks are pending, and delays the whole fleet. So once nearly all of a
-//! version is in the fleet, and the remaining chunks have not arrived in the time expected from the pace of the others,
-//! the next agents in rank read them as well, one after the other. By then the origin has little other load, and few
-//! chunks remain. Earlier hedges would only compete with the owners at the origin: with a fixed wait it sends
-//! 1.5 copies of the version, and the last chunk 0.2 s later than possible.
+//! An owner behind a slow link replies that its chunks are pending, and delays the whole fleet. So
+//! once nearly all of a version is in the fleet, and the remaining chunks have not arrived in the
+//! time expected from the pace of the others, the next agents in rank read them as well, one after
+//! the other. By then the origin has little other load, and few chunks remain. Earlier hedges would
+//! only compete with the owners at the origin: with a fixed wait it sends 1.5 copies of the
+//! version, and the last chunk 0.2 s later than possible.
 
 use crate::clock::Time;
 
-/// Fraction of a version's chunks that may be missing from the fleet when hedging starts. It bounds the chunks that
-/// each rank reads again. If two links have a twentieth of their bandwidth, hedging lets the first of twenty replicas
-/// have a version 3.8 s instead of 7.2 s after it is named.
+/// Fraction of a version's chunks that may be missing from the fleet when hedging starts. It bounds
+/// the chunks that each rank reads again. If two links have a twentieth of their bandwidth, hedging
+/// lets the first of twenty replicas have a version 3.8 s instead of 7.2 s after it is named.
 const MAX_MISSING: f64 = 0.25;
-/// Additional wait for each rank, in milliseconds: several times the time of a chunk from an origin with little load.
+/// Additional wait for each rank, in milliseconds: several times the time of a chunk from an origin
+/// with little load.
 const WAIT_PER_RANK_MS: u64 = 150;
 /// Time for the remaining chunks, as a multiple of the time expected from the pace of the others.
 const SLACK: f64 = 1.25;
@@ -21,7 +23,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hedge {
     started: Time,
-    /// Time at which nearly all chunks were in the fleet, and the time that the rest may take, in milliseconds.
+    /// Time at which nearly all chunks were in the fleet, and the time that the rest may take, in
+    /// milliseconds.
     nearly_complete: Option<(Time, u64)>,
 }
 
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -1,9 +1,10 @@
 //! Selection of the next chunk of a version to fetch, and of its upstream.
 //!
-//! The agents are ranked for each chunk by rendezvous hashing. The first one, the chunk's owner, reads it from the
-//! weight store or the origin; all others fetch it from peers that hold it, the rarest chunk first. An
-//! agent of a lower rank reads from the origin only after it has queried the better ones directly and they are
-//! unavailable. So changes of membership, or different views of it, cost few extra copies.
+//! The agents are ranked for each chunk by rendezvous hashing. The first one, the chunk's owner,
+//! reads it from the weight store or the origin; all others fetch it from peers that hold it, the
+//! rarest chunk first. An agent of a lower rank reads from the origin only after it has queried the
+//! better ones directly and they are unavailable. So changes of membership, or different views of
+//! it, cost few extra copies.
 
 mod chunk_request;
 mod hedge;
@@ -61,7 +62,8 @@
 }
 
 impl Fetch {
-    /// Creates a fetch by the agent whose name hashes to `own`; `held` returns whether a chunk is already held.
+    /// Creates a fetch by the agent whose name hashes to `own`; `held` returns whether a chunk is
+    /// already held.
     pub fn new(
         own: u64,
         manifest: &Manifest,
@@ -127,8 +129,8 @@
         self.set_owners(members, true);
     }
 
-    /// Sets the agents that read this version from the store or the origin, by the hashes of their names. An
-    /// agent that is not among them ranks after all of them.
+    /// Sets the agents that read this version from the store or the origin, by the hashes of their
+    /// names. An agent that is not among them ranks after all of them.
     pub fn set_readers(&mut self, readers: Vec<u64>) {
         let reads = readers.contains(&self.own);
         self.set_owners(readers, reads);
@@ -211,7 +213,8 @@
         }
     }
 
-    /// Records that some peer holds the chunks at these positions, even if they must not be requested from it.
+    /// Records that some peer holds the chunks at these positions, even if they must not be
+    /// requested from it.
     pub fn mark_seen(&mut self, positions: impl Iterator<Item = usize>) {
         for idx in positions {
             if let Some(item) = self.items.get_mut(idx) {
@@ -220,18 +223,21 @@
         }
     }
 
-    /// Returns whether at least half of the chunks are held by this agent or known to be held by a peer.
+    /// Returns whether at least half of the chunks are held by this agent or known to be held by a
+    /// peer.
     pub fn half_available(&self) -> bool {
         self.unseen() * 2 <= self.items.len()
     }
 
-    /// Returns the number of chunks that are neither held by this agent nor known to be held by a peer.
+    /// Returns the number of chunks that are neither held by this agent nor known to be held by a
+    /// peer.
     fn unseen(&self) -> usize {
         let unseen = |it: &&Item| !it.seen && it.state != State::Held;
         self.items.iter().filter(unseen).count()
     }
 
-    /// Returns the next request to send now, if there is one. Must be called until it returns `None`.
+    /// Returns the next request to send now, if there is one. Must be called until it returns
+    /// `None`.
     pub fn next_request(&mut self, now: Time, rng: &mut impl Rng) -> Option<ChunkRequest> {
         self.hedge
             .record_missing(self.unseen(), self.items.len(), now);
@@ -255,9 +261,10 @@
         })
     }
 
-    /// Returns whether a slot for a request to a peer is free. Requests to the origin have separate slots, because they
-    /// queue at the origin behind those of all readers, not on this agent's link. Readers that request nothing from
-    /// peers meanwhile complete a version 1.7 s after the other agents, of 3.7 s in all.
+    /// Returns whether a slot for a request to a peer is free. Requests to the origin have separate
+    /// slots, because they queue at the origin behind those of all readers, not on this agent's
+    /// link. Readers that request nothing from peers meanwhile complete a version 1.7 s after the
+    /// other agents, of 3.7 s in all.
     fn has_peer_slot(&self) -> bool {
         self.in_flight - self.outside_in_flight < self.tuning.peer_slots
     }
@@ -292,7 +299,8 @@
         }
     }
 
-    /// Records the arrival of a chunk whose digest has been verified, and returns whether it was still missing.
+    /// Records the arrival of a chunk whose digest has been verified, and returns whether it was
+    /// still missing.
     pub fn arrived(&mut self, idx: usize, from: Upstream, now: Time) -> bool {
         match from {
             Upstream::Origin => {
@@ -330,7 +338,8 @@
         }
     }
 
-    /// Returns the number of chunks that this agent may read from the origin before it has to slow down.
+    /// Returns the number of chunks that this agent may read from the origin before it has to slow
+    /// down.
     fn origin_share(&self) -> u64 {
         if self.tuning.scheme != Scheme::Owners {
             return u64::MAX;
@@ -385,7 +394,8 @@
         if self.tuning.scheme != Scheme::Owners {
             return None;
         }
-        // Grows with the square of the rank, so that few agents connect to and query the owner of a late chunk.
+        // Grows with the square of the rank, so that few agents connect to and query the owner of a
+        // late chunk.
         let wait = self.tuning.takeover_ms * wait_factor * (rank * rank) as u64;
         if now < item.waiting_since.after_ms(wait) {
             return None;
@@ -445,7 +455,8 @@
         Some((idx, Upstream::Source(chosen.0)))
     }
 
-    /// Releases the slots of the request for a chunk, whatever its outcome, and marks the chunk as missing.
+    /// Releases the slots of the request for a chunk, whatever its outcome, and marks the chunk as
+    /// missing.
     fn release(&mut self, idx: usize, now: Time) {
         let Some(from) = self.items[idx].requested_from() else {
             return;
--- a/crates/gradeloft_policy/src/version/fetch/source.rs
+++ b/crates/gradeloft_policy/src/version/fetch/source.rs
@@ -24,7 +24,8 @@
         self.failures < MAX_FAILURES
     }
 
-    /// Returns whether a chunk can be requested from the source now, with at most `limit` concurrent requests.
+    /// Returns whether a chunk can be requested from the source now, with at most `limit`
+    /// concurrent requests.
     pub(super) fn is_available(&self, limit: u32, now: Time) -> bool {
         self.is_reliable() && self.in_flight < limit && self.not_before <= now
     }
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -7,12 +7,12 @@
 pub enum Scheme {
     /// Every agent reads all chunks from the store or the origin.
     Origin,
-    /// The owner of each chunk reads it from the store or the origin; other agents fetch it from peers,
-    /// rarest first.
+    /// The owner of each chunk reads it from the store or the origin; other agents fetch it from
+    /// peers, rarest first.
     #[default]
     Owners,
-    /// Agents fetch random chunks from random peers that hold them, or from the store or the origin if
-    /// no known peer does.
+    /// Agents fetch random chunks from random peers that hold them, or from the store or the origin
+    /// if no known peer does.
     Random,
     /// Each agent fetches all chunks from its parent; the root reads from the store or the origin.
     Tree,
@@ -25,21 +25,22 @@
     pub scheme: Scheme,
     /// Maximum number of concurrent requests to peers.
     pub peer_slots: usize,
-    /// Maximum number of concurrent requests to the store and the origin, in addition to those to peers.
+    /// Maximum number of concurrent requests to the store and the origin, in addition to those to
+    /// peers.
     pub origin_slots: usize,
     /// Maximum number of concurrent requests to one peer.
     pub per_source: u32,
     /// Timeout of a request, in milliseconds.
     pub stall_ms: u64,
-    /// Transfer time of a chunk on one agent's link, in milliseconds. All owners may read from the origin at
-    /// once, and its link has at least the bandwidth of one agent's, so the timeout of a request to it grows by
-    /// this time for each origin slot of each member.
+    /// Transfer time of a chunk on one agent's link, in milliseconds. All owners may read from the
+    /// origin at once, and its link has at least the bandwidth of one agent's, so the timeout of a
+    /// request to it grows by this time for each origin slot of each member.
     pub chunk_ms: u64,
-    /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by the square of
-    /// the rank.
+    /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied
+    /// by the square of the rank.
     pub takeover_ms: u64,
-    /// Number of times that an owner may reply that a chunk is pending before another agent reads it, in
-    /// addition to one for each `takeover_ms` of the whole version's transfer time.
+    /// Number of times that an owner may reply that a chunk is pending before another agent reads
+    /// it, in addition to one for each `takeover_ms` of the whole version's transfer time.
     pub max_announcements: u64,
     /// Objective of the rollout: time or bytes from the origin.
     pub objective: Objective,
--- a/crates/gradeloft_policy/src/version/named_versions.rs
+++ b/crates/gradeloft_policy/src/version/named_versions.rs
@@ -1,9 +1,9 @@
 //! Versions of a model's weights on which requests may begin.
 //!
-//! The operator may name a version while its predecessor is still being rolled out. Each version is due at its
-//! own time, so the oldest allowed version is the newest one that is due. A version is preferred for
-//! some time before it is due: requests go to replicas that hold it if any of them has capacity, so that
-//! few requests wait at a replica whose version will soon be too old.
+//! The operator may name a version while its predecessor is still being rolled out. Each version is
+//! due at its own time, so the oldest allowed version is the newest one that is due. A version is
+//! preferred for some time before it is due: requests go to replicas that hold it if any of them
+//! has capacity, so that few requests wait at a replica whose version will soon be too old.
 
 use crate::clock::Time;
 
@@ -44,8 +44,8 @@
         true
     }
 
-    /// Returns the time by which a request sent to a replica that holds the version `held` must begin there;
-    /// `None` if there is no limit.
+    /// Returns the time by which a request sent to a replica that holds the version `held` must
+    /// begin there; `None` if there is no limit.
     pub fn start_deadline(&self, held: u64) -> Option<Time> {
         let newer = self.upcoming.iter().filter(|it| held < it.version);
         newer.map(|it| it.times.expired).min()
@@ -56,13 +56,14 @@
         self.upcoming.last().map_or(self.due, |it| it.version)
     }
 
-    /// Returns the oldest version on which a request may begin now; `None` if any version is allowed.
+    /// Returns the oldest version on which a request may begin now; `None` if any version is
+    /// allowed.
     pub fn oldest_allowed(&self, now: Time) -> Option<u64> {
         self.newest_of(|it| it.times.due <= now)
     }
 
-    /// Returns the oldest version that is preferred now, if a replica that holds it has capacity; `None` if
-    /// none is preferred.
+    /// Returns the oldest version that is preferred now, if a replica that holds it has capacity;
+    /// `None` if none is preferred.
     pub fn oldest_preferred(&self, now: Time) -> Option<u64> {
         self.newest_of(|it| it.times.preferred <= now)
     }
--- a/crates/gradeloft_policy/src/version/order_backoff.rs
+++ b/crates/gradeloft_policy/src/version/order_backoff.rs
@@ -1,15 +1,16 @@
 //! Pause between orders to a replica to load a version.
 //!
-//! An order that has no effect is repeated at once, because most causes are transient. A replica that exits each
-//! time it loads a version is crashed by the version, and a further start would not help.
+//! An order that has no effect is repeated at once, because most causes are transient. A replica
+//! that exits each time it loads a version is crashed by the version, and a further start would not
+//! help.
 
 use std::time::Duration;
 
-/// Number of consecutive exits during orders from which on they are attributed to the version: one or two also
-/// happen while replicas crash for other reasons.
+/// Number of consecutive exits during orders from which on they are attributed to the version: one
+/// or two also happen while replicas crash for other reasons.
 const VERSION_FAULT_EXITS: u32 = 3;
-/// First pause after [`VERSION_FAULT_EXITS`] exits; doubles with each further one. A replica takes some seconds to
-/// start, so this at least halves the rate of futile starts.
+/// First pause after [`VERSION_FAULT_EXITS`] exits; doubles with each further one. A replica takes
+/// some seconds to start, so this at least halves the rate of futile starts.
 const FIRST_PAUSE: Duration = Duration::from_secs(10);
 /// Longest pause, which bounds the wait of an operator who has fixed the cause.
 const LONGEST_PAUSE: Duration = Duration::from_secs(300);
@@ -21,8 +22,8 @@
 }
 
 impl OrderBackoff {
-    /// Records that the replica exited before it had loaded the version, and returns the pause before the
-    /// next order.
+    /// Records that the replica exited before it had loaded the version, and returns the pause
+    /// before the next order.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/version/outside_sources.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -5,8 +5,8 @@
 
 /// Initial backoff after a failure, in milliseconds.
 const INITIAL_BACKOFF_MS: u64 = 200;
-/// Maximum backoff after a failure, in milliseconds. It is short, so that an origin that recovers is read soon;
-/// the load stays low because only one agent requests each chunk.
+/// Maximum backoff after a failure, in milliseconds. It is short, so that an origin that recovers
+/// is read soon; the load stays low because only one agent requests each chunk.
 const MAX_BACKOFF_MS: u64 = 800;
 /// Interval between requests to the origin beyond an agent's share, in milliseconds.
 const BEYOND_SHARE_INTERVAL_MS: u64 = 5_000;
@@ -42,16 +42,17 @@
 pub struct OutsideSources {
     origin: SourceBackoff,
     store: SourceBackoff,
-    /// Chunks sent by the origin so far, including corrupt ones. Unanswered requests don't count, because
-    /// they cost the origin nothing.
+    /// Chunks sent by the origin so far, including corrupt ones. Unanswered requests don't count,
+    /// because they cost the origin nothing.
     origin_sent: u64,
     /// Time of the latest request to the origin.
     origin_requested: Time,
 }
 
 impl OutsideSources {
-    /// Returns the source to read from now, if there is one. After `share` chunks, requests to the origin are
-    /// spaced out, so that a chunk that no other agent reads is delayed rather than missing forever.
+    /// Returns the source to read from now, if there is one. After `share` chunks, requests to the
+    /// origin are spaced out, so that a chunk that no other agent reads is delayed rather than
+    /// missing forever.
     pub fn source(&self, share: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
             return Some(Upstream::Store);
--- a/crates/gradeloft_policy/src/version/partners.rs
+++ b/crates/gradeloft_policy/src/version/partners.rs
@@ -5,9 +5,9 @@
 
 /// Number of partners in the agent's own availability zone, if not all are followed.
 const MAX_NEAR: usize = 8;
-/// Number of members in the own availability zone up to which all of them are followed. If 25 agents
-/// follow eight each, a chunk reaches the last one three hops after the first, and their links are used
-/// to 60 %.
+/// Number of members in the own availability zone up to which all of them are followed. If 25
+/// agents follow eight each, a chunk reaches the last one three hops after the first, and their
+/// links are used to 60 %.
 const FOLLOW_ALL_NEAR: usize = 32;
 /// Number of partners in other availability zones.
 const MAX_FAR: usize = 6;
--- a/crates/gradeloft_policy/src/version/placement.rs
+++ b/crates/gradeloft_policy/src/version/placement.rs
@@ -1,11 +1,11 @@
 //! Assignment of models to replicas: a deterministic function of the bundle and the replicas.
 //!
-//! Placement is rendezvous hashing with quotas: each model gets the free replicas that score highest for
-//! it, up to its quota. Models are placed in ascending order of slack, the difference between the
-//! replicas that a model may use and those that it needs, so that an unconstrained model doesn't occupy
-//! the few replicas that another one is allowed to use. A replica that joins or leaves moves few
-//! others. Instances with different views of the replicas may place models differently for a while;
-//! that is safe, because requests go only to replicas that report the version they serve.
+//! Placement is rendezvous hashing with quotas: each model gets the free replicas that score
+//! highest for it, up to its quota. Models are placed in ascending order of slack: the number of
+//! replicas that a model may use, less those that it needs. So an unconstrained model doesn't
+//! occupy the few replicas of a constrained one. A replica that joins or leaves moves few others.
+//! Instances with different views of the replicas may place models differently for a while; that is
+//! safe, because requests go only to replicas that report the version they serve.
 
 use std::cmp::Reverse;
 
--- a/crates/gradeloft_policy/src/version/readers.rs
+++ b/crates/gradeloft_policy/src/version/readers.rs
@@ -1,18 +1,19 @@
 //! Selection of the agents that read a version from the origin.
 //!
-//! An origin accepts a bounded number of connections and resets those beyond, together with the data in
-//! transit on them. So only as many agents read from the origin as it has connections for; all others fetch
-//! everything from peers. The readers are selected by rendezvous hashing for each version, so every
-//! agent computes the same ones without communication.
+//! An origin accepts a bounded number of connections and resets those beyond, together with the
+//! data in transit on them. So only as many agents read from the origin as it has connections for;
+//! all others fetch everything from peers. The readers are selected by rendezvous hashing for each
+//! version, so every agent computes the same ones without communication.
 
 use crate::rendezvous;
 
-/// Fraction of the origin's connections that readers use. The rest is for agents that can't reach the
-/// readers and read from the origin themselves.
+/// Fraction of the origin's connections that readers use. The rest is for agents that can't reach
+/// the readers and read from the origin themselves.
 const READER_SHARE: f64 = 0.85;
 
-/// Returns the agents of `nodes` that read the version `key` from an origin that accepts `connections`
-/// connections, of which each reader uses `connections_per_reader`. Returns at least one, in order of rank.
+/// Returns the agents of `nodes` that read the version `key` from an origin that accepts
+/// `connections` connections, of which each reader uses `connections_per_reader`. Returns at least
+/// one, in order of rank.
 pub fn choose(key: u64, nodes: &[u64], connections: u32, connections_per_reader: u32) -> Vec<u64> {
     let max_readers =
         f64::from(connections) * READER_SHARE / f64::from(connections_per_reader.max(1));
--- a/crates/gradeloft_policy/src/version/rollout.rs
+++ b/crates/gradeloft_policy/src/version/rollout.rs
@@ -34,8 +34,8 @@
         self.in_service = false;
     }
 
-    /// Returns the version to pin a request to, given the versions that are served now; `None` if there
-    /// is none. The target is in service once `required` replicas serve it.
+    /// Returns the version to pin a request to, given the versions that are served now; `None` if
+    /// there is none. The target is in service once `required` replicas serve it.
     pub fn pin(&mut self, serving: &[ServedVersion], required: u32) -> Option<String> {
         let ready = |version: &str| {
             serving
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -1,17 +1,18 @@
 //! Time at which each replica loads a new version, so that the fleet continues to serve.
 //!
-//! Replicas that already serve switch in waves; a wave starts once most replicas of earlier waves serve again.
-//! All waves but the last cut off their streams, which resume at replicas of later waves on the same
-//! version: so a replica is unavailable only while it loads, and no more than one wave at once.
-//! No replica with the old version is left for the streams of the last wave, so it finishes them. The
-//! waves are assigned by rendezvous hashing, so every agent computes its own without communication.
+//! Replicas that already serve switch in waves; a wave starts once most replicas of earlier waves
+//! serve again. All waves but the last cut off their streams, which resume at replicas of later
+//! waves on the same version: so a replica is unavailable only while it loads, and no more than one
+//! wave at once. No replica with the old version is left for the streams of the last wave, so it
+//! finishes them. The waves are assigned by rendezvous hashing, so every agent computes its own
+//! without communication.
 
 use std::time::Duration;
 
 use crate::{clock::Time, rendezvous};
 
-/// Maximum number of waves. With two, half of a fleet at full load is unavailable at once, and a third of
-/// the requests are late during the switch.
+/// Maximum number of waves. With two, half of a fleet at full load is unavailable at once, and a
+/// third of the requests are late during the switch.
 const MAX_WAVES: usize = 4;
 /// Fraction of the replicas in earlier waves that must serve again before a wave starts.
 const SWITCHED_FRACTION: f64 = 0.75;
@@ -20,23 +21,25 @@
 /// Fraction of a version's rollout time after which the last wave starts in any case.
 const LATEST_LAST_START: f64 = 0.65;
 
-/// Fraction of a version's rollout time by which the last replica starts to load it, if all have fetched it in
-/// time. This leaves time for a load, and two seconds for the last replicas to finish their streams, before requests
-/// need the version.
+/// Fraction of a version's rollout time by which the last replica starts to load it, if all have
+/// fetched it in time. This leaves time for a load, and two seconds for the last replicas to finish
+/// their streams, before requests need the version.
 const LAST_LOAD_START: f64 = 0.75;
-/// Maximum time over which the replicas of a fleet start to load a version that they all have. A load takes half a
-/// second including its preparation, so a tenth of the replicas is closed at once.
+/// Maximum time over which the replicas of a fleet start to load a version that they all have. A
+/// load takes half a second including its preparation, so a tenth of the replicas is closed at
+/// once.
 const MAX_SPREAD: Duration = Duration::from_secs(5);
-/// Fraction of a version's rollout time over which the replicas of a fleet load a superseded version, one after the
-/// other. Each stages the newer version once it has started to load the superseded one, and fetching the chunks of the
-/// newer one takes a third of its time. In waves of a quarter each, closed for another 0.7 s, up to three quarters of a
-/// fleet are closed at once; if the loads are spread over 1.6 s of 9.7 s, up to two fifths.
+/// Fraction of a version's rollout time over which the replicas of a fleet load a superseded
+/// version, one after the other. Each stages the newer version once it has started to load the
+/// superseded one, and fetching the chunks of the newer one takes a third of its time. In waves of
+/// a quarter each, closed for another 0.7 s, up to three quarters of a fleet are closed at once; if
+/// the loads are spread over 1.6 s of 9.7 s, up to two fifths.
 const SUPERSEDED_FRACTION: f64 = 0.3;
 /// Number of replicas that must be ordered to load after a given one before that one is open again.
 const FOLLOWERS: u64 = 3;
-/// Time for which the last replicas get no requests after an order for a superseded version, in milliseconds.
-/// If the instance of the replica ordered last stopped at that moment, the requests that the replica holds would
-/// begin on the superseded version after the newer one is due.
+/// Time for which the last replicas get no requests after an order for a superseded version, in
+/// milliseconds. If the instance of the replica ordered last stopped at that moment, the requests
+/// that the replica holds would begin on the superseded version after the newer one is due.
 const LAST_CLOSED_MS: u64 = 700;
 
 /// Handling of the requests that run on a replica when it is ordered to load.
@@ -58,15 +61,16 @@
 }
 
 impl SwitchProgress {
-    /// Applies the report of an entry. Of two reports on one version the later one counts, even if it is lower:
-    /// replicas also become unavailable again.
+    /// Applies the report of an entry. Of two reports on one version the later one counts, even if
+    /// it is lower: replicas also become unavailable again.
     pub fn update(&mut self, report: SwitchProgress) {
         if self.version <= report.version {
             *self = report;
         }
     }
 
-    /// Returns the number of replicas that accept requests with a version; 0 for all but the newest one.
+    /// Returns the number of replicas that accept requests with a version; 0 for all but the newest
+    /// one.
     pub fn replicas_with(self, version: u64) -> usize {
         if self.version == version {
             self.replicas
@@ -76,8 +80,9 @@
     }
 }
 
-/// Returns the time over which `all` replicas load a superseded version, in milliseconds. It is shorter for few
-/// replicas, as the one that was ordered last has to remain closed until the next one is.
+/// Returns the time over which `all` replicas load a superseded version, in milliseconds. It is
+/// shorter for few replicas, as the one that was ordered last has to remain closed until the next
+/// one is.
 fn superseded_ms(version_ms: u64, all: usize) -> u64 {
     let over_ms = (version_ms as f64 * SUPERSEDED_FRACTION) as u64;
     over_ms.min(LAST_CLOSED_MS * all as u64)
@@ -99,7 +104,8 @@
 }
 
 impl Wave {
-    /// Returns the wave of the replica `own` for a version; `others` are all other replicas of the service.
+    /// Returns the wave of the replica `own` for a version; `others` are all other replicas of the
+    /// service.
     pub fn new(version: u64, own: u64, others: &[u64]) -> Wave {
         Wave::with_first(version, own, others, &[])
     }
@@ -123,30 +129,32 @@
         }
     }
 
-    /// Returns whether the wave of the replica has started: `switched` replicas serve the version, which
-    /// was named at `named` and has a rollout time of `version_ms`.
+    /// Returns whether the wave of the replica has started: `switched` replicas serve the version,
+    /// which was named at `named` and has a rollout time of `version_ms`.
     pub fn may_load(self, switched: usize, named: Time, version_ms: u64, now: Time) -> bool {
         let switched_enough = self.before as f64 * SWITCHED_FRACTION <= switched as f64;
         switched_enough || named.after_ms((version_ms as f64 * self.latest_start()) as u64) <= now
     }
 
-    /// Returns whether it is the replica's turn in a fleet that has fetched the version at `ready`. The replicas load
-    /// one after the other until the version is needed, because a fleet near full load can spare few replicas at once.
+    /// Returns whether it is the replica's turn in a fleet that has fetched the version at `ready`.
+    /// The replicas load one after the other until the version is needed, because a fleet near full
+    /// load can spare few replicas at once.
     pub fn has_turn(self, ready: Time, named: Time, version_ms: u64, now: Time) -> bool {
         let last = named.after_ms((version_ms as f64 * LAST_LOAD_START) as u64);
         let over = last.since(ready).min(MAX_SPREAD);
         ready.after(over * self.rank as u32 / self.all as u32) <= now
     }
 
-    /// Like [`Wave::may_load`], for a version that is known to be superseded since `since`. The replicas load one after
-    /// the other without waiting for earlier ones to serve again, because the newer version is already pending.
+    /// Like [`Wave::may_load`], for a version that is known to be superseded since `since`. The
+    /// replicas load one after the other without waiting for earlier ones to serve again, because
+    /// the newer version is already pending.
     pub fn may_load_superseded(self, since: Time, version_ms: u64, now: Time) -> bool {
         let over_ms = superseded_ms(version_ms, self.all);
         since.after_ms(over_ms * self.rank as u64 / self.all as u64) <= now
     }
 
-    /// Returns the time for which the replica gets no requests after an order for a superseded version, in
-    /// milliseconds: until some other replicas have been ordered to load it.
+    /// Returns the time for which the replica gets no requests after an order for a superseded
+    /// version, in milliseconds: until some other replicas have been ordered to load it.
     pub fn closed_ms(self, version_ms: u64) -> u64 {
         if self.all < self.rank + 1 + FOLLOWERS as usize {
             return LAST_CLOSED_MS;
@@ -154,7 +162,8 @@
         (superseded_ms(version_ms, self.all) * FOLLOWERS / self.all as u64).min(LAST_CLOSED_MS)
     }
 
-    /// Returns how the running requests are handled. They are cut off only if all streams are resumable.
+    /// Returns the handling of the running requests. They are cut off only if all streams are
+    /// resumable.
     pub fn running_requests(self, resumable: bool) -> RunningRequests {
         let last = self.number + 1 == self.waves;
         if resumable && !last {
