--- a/crates/gradeloft_bench/src/bundles.rs
+++ b/crates/gradeloft_bench/src/bundles.rs
@@ -1,4 +1,5 @@
-//! From publish to in force everywhere, and what a race of publishers leaves.
+//! Time from publishing a bundle until it is in force on all nodes, and agreement of the nodes after
+//! concurrent publishes.
 
 use std::{
     rc::Rc,
@@ -21,25 +22,25 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-const LOOK_EVERY: Duration = Duration::from_millis(1);
-const GIVE_UP: Duration = Duration::from_secs(30);
-const MOST_MICROS: u64 = 60_000_000;
-/// Agents that restart in each round of that mode, in percent.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_MICROS: u64 = 60_000_000;
+/// Agents that restart in each round of mode `Restarts`, in percent.
 const RESTART_PERCENT: usize = 5;
 
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Entries.
+    /// Number of entries.
     #[arg(long, default_value_t = 7)]
     entries: usize,
-    /// Agents.
+    /// Number of agents.
     #[arg(long, default_value_t = 100)]
     agents: usize,
     /// Bundles published in each mode.
     #[arg(long, default_value_t = 10)]
     rounds: u64,
-    /// Publishers that race.
+    /// Number of concurrent publishers.
     #[arg(long, default_value_t = 20)]
     racers: usize,
     /// Print one JSON line for each mode.
@@ -50,11 +51,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Mode {
-    /// The log goes down as soon as the first node has read the bundle.
+    /// The log becomes unavailable as soon as the first node has read the bundle.
     LogLost,
-    /// All is well.
+    /// No faults.
     LogUp,
-    /// Some agents restart while the bundle spreads.
+    /// Some agents restart while the bundle propagates.
     Restarts,
 }
 
@@ -71,7 +72,7 @@
     disagreements: u64,
 }
 
-/// Runs the measurement and prints what it gives.
+/// Runs the measurement and prints its report.
 pub(crate) fn run(args: &Args) {
     for mode in [Mode::LogUp, Mode::LogLost, Mode::Restarts] {
         let report = actix_rt::System::new().block_on(measure(args, mode));
@@ -87,50 +88,50 @@
 }
 
 async fn measure(args: &Args, mode: Mode) -> Report {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         entries: args.entries,
         engines: args.agents,
         services: 0,
         zones: 4,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let mut fleet = Fleet::start(config).await.expect("the fleet starts");
     let version = Version::new(MODEL, "v1", 1, 1 << 10);
     let mut head = fleet.deploy(&version).await;
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut times = Histogram::new_with_bounds(1, MOST_MICROS, 3).expect("sound bounds");
+    let mut latencies = Histogram::new_with_bounds(1, MAX_MICROS, 3).expect("valid bounds");
     let (mut reverts, mut everywhere) = (0, Duration::ZERO);
     for _ in 0..args.rounds {
         let mut next = fleet.bundle(head.number + 1, Some(digest(&head)), &version);
         next.note = Some(format!("round {}", head.number));
-        // Hearing times of nodes are spread over the second of their gossip.
+        // A random delay starts the rounds at different phases of the nodes' gossip interval of 1 s.
         actix_rt::time::sleep(Duration::from_millis(rng.random_range(200..1_200))).await;
         append(&fleet, &[next.clone()]).await;
-        let spread = Spread {
+        let propagation = Propagation {
             number: next.number,
             started: Instant::now(),
         };
         if mode == Mode::Restarts {
             for _ in 0..args.agents * RESTART_PERCENT / 100 {
                 let idx = rng.random_range(0..args.agents);
-                fleet.restart_agent(idx).await.expect("it restarts");
+                fleet.restart_agent(idx).await.expect("the agent restarts");
             }
         }
-        let (took, back) = spread.watch(&fleet, mode, &mut times).await;
-        reverts += back;
-        everywhere = everywhere.max(took);
+        let (elapsed, round_reverts) = propagation.observe(&fleet, mode, &mut latencies).await;
+        reverts += round_reverts;
+        everywhere = everywhere.max(elapsed);
         fleet.log.state.down.set(false);
         head = next;
     }
-    let disagreements = race(&fleet, &head, &version, args.racers).await;
-    let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e6;
+    let disagreements = race_publishers(&fleet, &head, &version, args.racers).await;
+    let quantile_s = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1e6;
     Report {
         mode,
         nodes: nodes(&fleet).len(),
         bundles: args.rounds,
-        p50_s: at(0.5),
-        p95_s: at(0.95),
-        max_s: times.max() as f64 / 1e6,
+        p50_s: quantile_s(0.5),
+        p95_s: quantile_s(0.95),
+        max_s: latencies.max() as f64 / 1e6,
         everywhere_max_s: everywhere.as_secs_f64(),
         reverts,
         disagreements,
@@ -155,74 +156,75 @@
         .collect()
 }
 
-fn number(node: &Node) -> u64 {
+fn bundle_number(node: &Node) -> u64 {
     node.chain.borrow().number()
 }
 
-fn head(node: &Node) -> Option<Digest> {
+fn head_digest(node: &Node) -> Option<Digest> {
     node.chain.borrow().head().map(|it| it.digest)
 }
 
-/// Appends bundles in one step, as publishers that race would.
+/// Appends bundles in one call, as if they were published concurrently.
 async fn append(fleet: &Fleet, bundles: &[Bundle]) {
     let log = Http::new(&fleet.log.url(), Duration::from_secs(2));
     let sign = |it: &Bundle| Record::Bundle(fleet.key.sign(it, SIGNER)).encode();
     let records: Vec<Vec<u8>> = bundles.iter().map(sign).collect();
     log.append(CONFIG, &records)
         .await
-        .expect("the log takes it");
+        .expect("the log accepts the records");
 }
 
-struct Spread {
+struct Propagation {
     number: u64,
     started: Instant,
 }
 
-impl Spread {
-    /// Watches a bundle until every node has it; gives the time, and how often a node went back.
-    async fn watch(
+impl Propagation {
+    /// Polls the nodes until the bundle is in force on all of them; returns the elapsed time and how
+    /// often a node reverted to an older bundle.
+    async fn observe(
         &self,
         fleet: &Fleet,
         mode: Mode,
-        times: &mut Histogram<u64>,
+        latencies: &mut Histogram<u64>,
     ) -> (Duration, u64) {
         let nodes = nodes(fleet);
         let mut seen: Vec<u64> = nodes.iter().map(|_| 0).collect();
         let mut reverts = 0;
         loop {
             for (node, seen) in nodes.iter().zip(&mut seen) {
-                let now = number(node);
-                reverts += u64::from(now < *seen);
-                if *seen < self.number && self.number <= now {
+                let current = bundle_number(node);
+                reverts += u64::from(current < *seen);
+                if *seen < self.number && self.number <= current {
                     let micros = self.started.elapsed().as_micros() as u64;
-                    times.saturating_record(micros.max(1));
+                    latencies.saturating_record(micros.max(1));
                 }
-                *seen = now;
+                *seen = current;
             }
             if mode == Mode::LogLost && seen.contains(&self.number) {
                 fleet.log.state.down.set(true);
             }
-            if seen.iter().all(|it| self.number <= *it) || GIVE_UP < self.started.elapsed() {
+            if seen.iter().all(|it| self.number <= *it) || TIMEOUT < self.started.elapsed() {
                 return (self.started.elapsed(), reverts);
             }
-            actix_rt::time::sleep(LOOK_EVERY).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Many publishers race for one number; gives how many nodes then have another head than the first
-/// node.
-async fn race(fleet: &Fleet, before: &Bundle, version: &Version, racers: usize) -> u64 {
+/// Publishes several bundles with the same number concurrently; returns the number of nodes whose
+/// head then differs from that of the first node.
+async fn race_publishers(fleet: &Fleet, head: &Bundle, version: &Version, racers: usize) -> u64 {
     let racer = |idx: usize| {
-        let mut bundle = fleet.bundle(before.number + 1, Some(digest(before)), version);
+        let mut bundle = fleet.bundle(head.number + 1, Some(digest(head)), version);
         bundle.note = Some(format!("racer {idx}"));
         bundle
     };
     let racers: Vec<Bundle> = (0..racers).map(racer).collect();
     append(fleet, &racers).await;
     let nodes = nodes(fleet);
-    let all = || nodes.iter().all(|it| before.number < number(it));
+    let all = || nodes.iter().all(|it| head.number < bundle_number(it));
     gradeloft_standin::fleet::wait_until("the race is decided everywhere", all).await;
-    let first = nodes.first().and_then(|it| head(it));
-    nodes.iter().filter(|it| head(it) != first).count() as u64
+    let first = nodes.first().and_then(|it| head_digest(it));
+    nodes.iter().filter(|it| head_digest(it) != first).count() as u64
 }
--- a/crates/gradeloft_bench/src/distribute.rs
+++ b/crates/gradeloft_bench/src/distribute.rs
@@ -1,4 +1,4 @@
-//! A new version reaches many agents: how soon, and with how many bytes of the origin.
+//! Distribution of a new version to many agents: time, and bytes read from the origin.
 
 use std::{
     collections::BTreeMap,
@@ -32,72 +32,72 @@
 use crate::{
     live,
     plot::{self, Curve},
-    worker::{Common, News, Order, Worker},
+    worker::{Worker, WorkerCommand, WorkerConfig, WorkerEvent},
 };
 
-/// The origin's link, in links of one agent: four copies in the time in which an agent's link
-/// carries two.
+/// Speed of the origin's link, as a multiple of an agent's link: the origin sends four copies in the
+/// time in which an agent's link carries two.
 const ORIGIN_LINKS: u64 = 2;
 const ZONES: usize = 4;
 const ORIGIN: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 2, 0, 1));
 const ENTRY: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 3, 0, 1));
-/// A run that has not ended by then counts what has.
-const GIVE_UP: Duration = Duration::from_secs(400);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// How long live requests run before the rollout, to compare with.
-const LIVE_BEFORE: Duration = Duration::from_secs(5);
+/// Timeout of each wait; the report counts the agents that serve the version by then.
+const TIMEOUT: Duration = Duration::from_secs(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time for live requests before the rollout, as the baseline.
+const LIVE_BASELINE: Duration = Duration::from_secs(5);
 
-/// A way to spread chunks.
+/// Scheme to distribute chunks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-enum Way {
-    /// All of these one after the other.
+enum SchemeArg {
+    /// All schemes in turn.
     All,
-    /// What gradeloft does.
+    /// The policy of gradeloft.
     Gradeloft,
-    /// Everything from the origin.
+    /// All chunks from the origin.
     Origin,
-    /// From random peers.
+    /// Chunks from random peers.
     Random,
     /// A static tree of fan-out 2.
     Tree,
 }
 
-/// What a rollout spends.
+/// Objective of a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-enum Goal {
-    /// Both, one after the other.
+enum ObjectiveArg {
+    /// Both objectives in turn.
     Both,
-    /// Be early.
+    /// Shortest time.
     Time,
-    /// Spare the origin.
+    /// Fewest bytes from the origin.
     OriginBytes,
 }
 
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Agents, or several numbers of them.
+    /// Numbers of agents, with a run for each.
     #[arg(long, default_value = "64", value_delimiter = ',')]
     agents: Vec<usize>,
-    /// Way to spread chunks.
+    /// Scheme to distribute chunks.
     #[arg(long, value_enum, default_value = "gradeloft")]
-    scheme: Way,
+    scheme: SchemeArg,
     /// Objective of the bundle; the baselines have none.
     #[arg(long, value_enum, default_value = "both")]
-    objective: Goal,
-    /// Chunks of the version.
+    objective: ObjectiveArg,
+    /// Number of chunks of the version.
     #[arg(long, default_value_t = 256)]
     chunks: usize,
-    /// Bytes of a chunk.
+    /// Size of a chunk in bytes.
     #[arg(long, default_value_t = 16 << 10)]
     chunk_bytes: usize,
-    /// Speed of each agent's link, in bytes a second.
+    /// Speed of each agent's link, in bytes per second.
     #[arg(long, default_value_t = 1 << 20)]
     link: u64,
-    /// Agents killed on the way, in percent.
+    /// Agents killed during the rollout, in percent.
     #[arg(long, default_value_t = 0)]
     kill_percent: usize,
-    /// Chunks corrupted on the way, in percent.
+    /// Chunks corrupted in transit, in percent.
     #[arg(long, default_value_t = 0)]
     corrupt_percent: u64,
     /// Send live requests before and during the rollout.
@@ -106,10 +106,10 @@
     /// Print one JSON line for each run.
     #[arg(long)]
     json: bool,
-    /// Draw replicas ready over time into this SVG file.
+    /// SVG file for a chart of ready replicas over time.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// Threads that carry agents.
+    /// Threads that run agents.
     #[arg(long, default_value_t = 6)]
     threads: usize,
 }
@@ -134,7 +134,7 @@
     live: Option<live::Report>,
 }
 
-/// Runs the measurement and prints what it gives.
+/// Runs the measurement and prints its report.
 pub(crate) fn run(args: &Args) {
     let mut curves = Vec::new();
     for &agents in &args.agents {
@@ -155,33 +155,33 @@
             "seconds since the bundle was published",
             "replicas that serve it",
         );
-        if let Err(why) = plot::draw(path, "Replicas ready over time", axes, &curves) {
-            eprintln!("{}: {why}", path.display());
+        if let Err(error) = plot::draw(path, "Replicas ready over time", axes, &curves) {
+            eprintln!("{}: {error}", path.display());
         }
     }
 }
 
 fn runs(args: &Args) -> Vec<(Scheme, Objective)> {
-    let goals = match args.objective {
-        Goal::Both => vec![Objective::Time, Objective::OriginBytes],
-        Goal::Time => vec![Objective::Time],
-        Goal::OriginBytes => vec![Objective::OriginBytes],
+    let objectives = match args.objective {
+        ObjectiveArg::Both => vec![Objective::Time, Objective::OriginBytes],
+        ObjectiveArg::Time => vec![Objective::Time],
+        ObjectiveArg::OriginBytes => vec![Objective::OriginBytes],
     };
-    let ours = goals.into_iter().map(|it| (Scheme::Owners, it));
+    let gradeloft = objectives.into_iter().map(|it| (Scheme::Owners, it));
     let baseline = |it: Scheme| vec![(it, Objective::Time)];
     match args.scheme {
-        Way::All => {
+        SchemeArg::All => {
             let baselines = [Scheme::Origin, Scheme::Tree, Scheme::Random];
             baselines
                 .into_iter()
                 .flat_map(baseline)
-                .chain(ours)
+                .chain(gradeloft)
                 .collect()
         }
-        Way::Gradeloft => ours.collect(),
-        Way::Origin => baseline(Scheme::Origin),
-        Way::Random => baseline(Scheme::Random),
-        Way::Tree => baseline(Scheme::Tree),
+        SchemeArg::Gradeloft => gradeloft.collect(),
+        SchemeArg::Origin => baseline(Scheme::Origin),
+        SchemeArg::Random => baseline(Scheme::Random),
+        SchemeArg::Tree => baseline(Scheme::Tree),
     }
 }
 
@@ -216,17 +216,17 @@
     async fn measure(&self) -> (Report, Curve) {
         let links = Arc::new(Links::default());
         links.set(ORIGIN, self.args.link * ORIGIN_LINKS);
-        let shape = FleetConfig {
+        let config = FleetConfig {
             entries: 0,
             engines: 0,
             services: 0,
             ..FleetConfig::default()
         };
-        let fleet = Fleet::start(shape).await.expect("the platform starts");
+        let fleet = Fleet::start(config).await.expect("the platform starts");
         let entry = start_entry(&fleet).await;
-        let (news, received) = mpsc::channel();
-        let workers = self.start_workers(&fleet, &links, &news);
-        let mut seen = Seen::default();
+        let (events, received) = mpsc::channel();
+        let workers = self.start_workers(&fleet, &links, &events);
+        let mut serving = ServingTimes::default();
 
         let small = Version::new(MODEL, "v0", 1, 1 << 10);
         fleet.upload(&small);
@@ -235,38 +235,38 @@
             .publish(&first)
             .await
             .expect("the first bundle is accepted");
-        let all = |seen: &Seen| seen.count("v0") == self.agents;
-        wait(&fleet, &received, &mut seen, &all).await;
-        let known = || {
+        let all_serving = |serving: &ServingTimes| serving.count("v0") == self.agents;
+        wait_until(&fleet, &received, &mut serving, &all_serving).await;
+        let serving_peers = || {
             entry
                 .node()
                 .membership
                 .borrow()
                 .iter()
-                .filter(|(_, it)| serves(it))
+                .filter(|(_, it)| is_serving(it))
                 .count()
         };
         gradeloft_standin::fleet::wait_until("the entry knows all agents", || {
-            known() == self.agents
+            serving_peers() == self.agents
         })
         .await;
 
         let live = Rc::new(live::Load::new(entry.public(), self.agents));
         if self.args.live {
             live.start();
-            actix_rt::time::sleep(LIVE_BEFORE).await;
+            actix_rt::time::sleep(LIVE_BASELINE).await;
             live.next_phase();
         }
         let version = Version::new(MODEL, "v1", self.args.chunks, self.args.chunk_bytes);
         fleet.upload(&version);
         *fleet.origin.state.links.borrow_mut() = Some((Arc::clone(&links), ORIGIN));
         fleet.origin.state.bytes_read.set(0);
-        // One slice of 4 KiB of so many, so that this percentage of chunks is hit.
+        // One in this many slices of 4 KiB is corrupted, so that the given percentage of chunks is.
         let slices = (self.args.chunk_bytes as u64).div_ceil(4 << 10).max(1);
-        let every = (slices * 100).checked_div(self.args.corrupt_percent);
+        let corrupt_every = (slices * 100).checked_div(self.args.corrupt_percent);
         links
             .corrupt_every
-            .store(every.unwrap_or(0), Ordering::Relaxed);
+            .store(corrupt_every.unwrap_or(0), Ordering::Relaxed);
         let started = Instant::now();
         let second = self.bundle(&fleet, 2, Some(digest(&first)), &version);
         fleet
@@ -274,12 +274,12 @@
             .await
             .expect("the second bundle is accepted");
         let killed = self
-            .kill_some(&fleet, &workers, &received, &mut seen, started)
+            .kill_some(&fleet, &workers, &received, &mut serving, started)
             .await;
         let survivors = self.agents - killed.len();
-        let done = |seen: &Seen| seen.without("v1", &killed) == survivors;
-        wait(&fleet, &received, &mut seen, &done).await;
-        let times = seen.times("v1", &killed, started);
+        let done = |serving: &ServingTimes| serving.count_without("v1", &killed) == survivors;
+        wait_until(&fleet, &received, &mut serving, &done).await;
+        let times = serving.times("v1", &killed, started);
         let report = self.report(&fleet, &version, &times, killed.len(), &live);
         live.stop();
         let corrupt_chunks = links.corrupted.load(Ordering::Relaxed);
@@ -301,10 +301,10 @@
         &self,
         fleet: &Fleet,
         links: &Arc<Links>,
-        news: &mpsc::Sender<News>,
+        events: &mpsc::Sender<WorkerEvent>,
     ) -> Vec<Worker> {
-        let common = Common {
-            platform: platform(fleet),
+        let config = WorkerConfig {
+            platform: platform_yaml(fleet),
             links: Arc::clone(links),
             link_bytes_per_s: self.args.link,
             zones: ZONES,
@@ -319,7 +319,7 @@
                 .collect()
         };
         (0..threads)
-            .map(|it| Worker::start(common.clone(), share(it), news.clone()))
+            .map(|it| Worker::start(config.clone(), share(it), events.clone()))
             .collect()
     }
 
@@ -342,13 +342,13 @@
         bundle
     }
 
-    /// Kills some agents a third of the way; gives which.
+    /// Kills some agents after a third of the minimum time; returns their indices.
     async fn kill_some(
         &self,
         fleet: &Fleet,
         workers: &[Worker],
-        received: &mpsc::Receiver<News>,
-        seen: &mut Seen,
+        received: &mpsc::Receiver<WorkerEvent>,
+        serving: &mut ServingTimes,
         started: Instant,
     ) -> Vec<usize> {
         let count = self.agents * self.args.kill_percent / 100;
@@ -356,21 +356,21 @@
             return Vec::new();
         }
         let third = Duration::from_secs_f64(self.floor_s() / 3.0);
-        let due = |_: &Seen| third <= started.elapsed();
-        wait(fleet, received, seen, &due).await;
+        let is_due = |_: &ServingTimes| third <= started.elapsed();
+        wait_until(fleet, received, serving, &is_due).await;
         let mut agents: Vec<usize> = (0..self.agents).collect();
         agents.shuffle(&mut ChaCha8Rng::seed_from_u64(self.agents as u64));
         agents.truncate(count);
         for idx in &agents {
             for worker in workers.iter().filter(|it| it.agents.contains(idx)) {
-                worker.order(Order::Kill(*idx));
+                worker.send(WorkerCommand::Kill(*idx));
             }
         }
         agents
     }
 
-    /// No way can be faster: the version over an agent's link, and one chunk over as many links as
-    /// it takes to reach all agents by doubling.
+    /// Returns a lower bound for the time of any scheme, in seconds: the version over one agent's
+    /// link, plus one chunk over as many hops as it takes to reach all agents by doubling.
     fn floor_s(&self) -> f64 {
         let link = self.args.link as f64;
         let chunk_s = self.args.chunk_bytes as f64 / link;
@@ -387,12 +387,12 @@
         live: &live::Load,
     ) -> Report {
         let survivors = self.agents - killed;
-        let at = |share: f64| {
+        let quantile_s = |share: f64| {
             let needed = ((survivors as f64 * share).ceil() as usize).max(1);
             times.get(needed - 1).copied().unwrap_or(f64::INFINITY)
         };
         let floor_s = self.floor_s();
-        let ours = self.scheme == Scheme::Owners;
+        let is_gradeloft = self.scheme == Scheme::Owners;
         Report {
             scheme: match self.scheme {
                 Scheme::Origin => "origin",
@@ -401,19 +401,19 @@
                 Scheme::Tree => "tree",
             },
             objective: match self.objective {
-                _ if !ours => "none",
+                _ if !is_gradeloft => "none",
                 Objective::OriginBytes => "origin_bytes",
                 Objective::Time => "time",
             },
             agents: self.agents,
             killed,
             size_bytes: version.size_bytes(),
-            t50_s: at(0.5),
-            t95_s: at(0.95),
-            t100_s: at(1.0),
+            t50_s: quantile_s(0.5),
+            t95_s: quantile_s(0.95),
+            t100_s: quantile_s(1.0),
             floor_s,
-            t95_over_floor: at(0.95) / floor_s,
-            t100_over_floor: at(1.0) / floor_s,
+            t95_over_floor: quantile_s(0.95) / floor_s,
+            t100_over_floor: quantile_s(1.0) / floor_s,
             origin_copies: fleet.origin.state.bytes_read.get() as f64 / version.size_bytes() as f64,
             ready: times.len(),
             corrupt_chunks: 0,
@@ -422,30 +422,31 @@
     }
 }
 
-/// When each agent served each version.
+/// Time at which each agent started to serve each version.
 #[derive(Default)]
-pub(crate) struct Seen(BTreeMap<(String, usize), Instant>);
+pub(crate) struct ServingTimes(BTreeMap<(String, usize), Instant>);
 
-impl Seen {
-    /// How many agents serve a version.
+impl ServingTimes {
+    /// Returns the number of agents that serve a version.
     pub(crate) fn count(&self, version: &str) -> usize {
-        self.without(version, &[])
+        self.count_without(version, &[])
     }
 
-    fn without(&self, version: &str, killed: &[usize]) -> usize {
+    fn count_without(&self, version: &str, killed: &[usize]) -> usize {
         self.0
             .keys()
             .filter(|(it, agent)| it == version && !killed.contains(agent))
             .count()
     }
 
-    /// Seconds since `started`, sorted.
+    /// Returns the sorted times at which agents started to serve a version, in seconds since
+    /// `started`.
     fn times(&self, version: &str, killed: &[usize], started: Instant) -> Vec<f64> {
-        let alive = self
+        let survivors = self
             .0
             .iter()
             .filter(|((it, agent), _)| it == version && !killed.contains(agent));
-        let mut times: Vec<f64> = alive
+        let mut times: Vec<f64> = survivors
             .map(|(_, at)| at.duration_since(started).as_secs_f64())
             .collect();
         times.sort_by(f64::total_cmp);
@@ -453,36 +454,36 @@
     }
 }
 
-/// Takes in news until a condition holds or it takes too long.
-pub(crate) async fn wait(
+/// Processes events of the workers until a condition holds or the timeout expires.
+pub(crate) async fn wait_until(
     fleet: &Fleet,
-    received: &mpsc::Receiver<News>,
-    seen: &mut Seen,
-    done: &dyn Fn(&Seen) -> bool,
+    received: &mpsc::Receiver<WorkerEvent>,
+    serving: &mut ServingTimes,
+    done: &dyn Fn(&ServingTimes) -> bool,
 ) {
     let started = Instant::now();
-    while !done(seen) && started.elapsed() < GIVE_UP {
-        for news in received.try_iter() {
-            match news {
-                News::Started(instance) => fleet.list.state.add(*instance),
-                News::Serves { agent, version, at } => {
-                    seen.0.entry((version, agent)).or_insert(at);
+    while !done(serving) && started.elapsed() < TIMEOUT {
+        for event in received.try_iter() {
+            match event {
+                WorkerEvent::Started(instance) => fleet.list.state.add(*instance),
+                WorkerEvent::Serves { agent, version, at } => {
+                    serving.0.entry((version, agent)).or_insert(at);
                 }
             }
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Whether an entry sees a peer serve anything.
-pub(crate) fn serves(peer: &gradeloft_policy::process::membership::Peer) -> bool {
+/// Returns whether a peer's newest notice lists any served version.
+pub(crate) fn is_serving(peer: &gradeloft_policy::process::membership::Peer) -> bool {
     peer.notice
         .as_ref()
         .is_some_and(|it| !it.serving.is_empty())
 }
 
-/// What all settings say of the platform, in YAML.
-pub(crate) fn platform(fleet: &Fleet) -> String {
+/// Returns the settings of the platform and the publisher, in YAML.
+pub(crate) fn platform_yaml(fleet: &Fleet) -> String {
     format!(
         "platform: {{log: \"{}\", list: \"{}\", store: \"{}\", origin: \"{}\"}}\npublishers: [{{name: \
          {SIGNER}, key: {}}}]",
@@ -494,14 +495,14 @@
     )
 }
 
-/// Starts an entry on an address of its own, whose link is not limited.
+/// Starts an entry on a separate loopback address, whose link is not limited.
 pub(crate) async fn start_entry(fleet: &Fleet) -> entry::Handle {
     let yaml = format!(
         "role: entry\nnode: {{id: entry-0, zone: zone-0, region: r}}\nlisten: {{peer: \"{ENTRY}:0\", \
          admin: \"{ENTRY}:0\", public: \"{ENTRY}:0\", source: \"{ENTRY}\"}}\n{}\n",
-        platform(fleet)
+        platform_yaml(fleet)
     );
-    let settings = settings::parse(&yaml).expect("sound settings");
+    let settings = settings::parse(&yaml).expect("valid settings");
     let platform = Platform::http(&settings);
     let node = Node::new(settings, platform, logging::none(), 1 << 40);
     let entry = entry::Builder::new(node)
--- a/crates/gradeloft_bench/src/fleet.rs
+++ b/crates/gradeloft_bench/src/fleet.rs
@@ -1,45 +1,45 @@
-//! A fleet in virtual time: what callers get under a load, by each way to choose replicas.
+//! Outcomes of requests to a fleet in virtual time, for several schemes to choose replicas.
 
 use clap::ValueEnum;
 use gradeloft_emulator::prelude::{Load, Outage, Scheme, Tally, simulate};
 use serde::Serialize;
 
-/// When replicas go away, in milliseconds from the start.
-const LOSS_AT_MS: u64 = 6_000;
+/// Start of the outage, in milliseconds from the start of the run.
+const OUTAGE_START_MS: u64 = 6_000;
 
-/// A way to choose replicas.
+/// Scheme to choose replicas.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-enum Way {
-    /// All of these one after the other.
+enum SchemeArg {
+    /// All schemes in turn.
     All,
-    /// The one with the fewest requests.
+    /// The replica with the fewest requests.
     FewestRequests,
-    /// What gradeloft does.
+    /// The policy of gradeloft.
     Gradeloft,
-    /// What gradeloft does with one entry, which knows all.
+    /// The policy of gradeloft with a single entry, which sees all requests.
     KnowingAll,
-    /// One after the other.
+    /// Each replica in turn.
     RoundRobin,
-    /// The less busy of two drawn at random.
+    /// The less loaded of two replicas drawn at random.
     TwoChoices,
 }
 
-impl Way {
-    const EACH: [Way; 5] = [
-        Way::FewestRequests,
-        Way::RoundRobin,
-        Way::TwoChoices,
-        Way::Gradeloft,
-        Way::KnowingAll,
+impl SchemeArg {
+    const MEASURED: [SchemeArg; 5] = [
+        SchemeArg::FewestRequests,
+        SchemeArg::RoundRobin,
+        SchemeArg::TwoChoices,
+        SchemeArg::Gradeloft,
+        SchemeArg::KnowingAll,
     ];
 
     fn apply(self, load: &Load) -> Load {
         let (scheme, entries) = match self {
-            Way::All | Way::Gradeloft => (Scheme::Gradeloft, load.entries),
-            Way::KnowingAll => (Scheme::Gradeloft, 1),
-            Way::FewestRequests => (Scheme::FewestRequests, load.entries),
-            Way::RoundRobin => (Scheme::RoundRobin, load.entries),
-            Way::TwoChoices => (Scheme::TwoChoices, load.entries),
+            SchemeArg::All | SchemeArg::Gradeloft => (Scheme::Gradeloft, load.entries),
+            SchemeArg::KnowingAll => (Scheme::Gradeloft, 1),
+            SchemeArg::FewestRequests => (Scheme::FewestRequests, load.entries),
+            SchemeArg::RoundRobin => (Scheme::RoundRobin, load.entries),
+            SchemeArg::TwoChoices => (Scheme::TwoChoices, load.entries),
         };
         Load {
             scheme,
@@ -52,61 +52,61 @@
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Way to choose replicas.
+    /// Scheme to choose replicas.
     #[arg(long, value_enum, default_value = "all")]
-    way: Way,
-    /// Rate, as a part of what the replicas can answer.
+    way: SchemeArg,
+    /// Request rate, as a fraction of the replicas' capacity.
     #[arg(long, default_value_t = 1.33)]
     part: f64,
-    /// Entries.
+    /// Number of entries.
     #[arg(long, default_value_t = 9)]
     entries: usize,
-    /// Replicas.
+    /// Number of replicas.
     #[arg(long, default_value_t = 12)]
     replicas: usize,
-    /// Seconds for which requests come.
+    /// Seconds during which new requests arrive.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Milliseconds between what entries tell each other.
+    /// Milliseconds between exchanges of the entries' views.
     #[arg(long, default_value_t = 125)]
     view_ms: u64,
-    /// Replicas that are away for a while.
+    /// Replicas that are unavailable during the outage.
     #[arg(long, default_value_t = 0)]
     lost: usize,
-    /// For how many milliseconds.
+    /// Duration of the outage in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     lost_ms: u64,
-    /// Runs, each with a seed of its own, from 0 on.
+    /// Number of runs; their seeds count from 0.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Print one JSON line for each way.
+    /// Print one JSON line for each scheme.
     #[arg(long)]
     json: bool,
 }
 
-/// What callers got by one way, over all seeds.
+/// Outcomes with one scheme, over all seeds.
 #[derive(Serialize)]
 struct Report {
     way: String,
-    /// Parts of all requests.
+    /// Fractions of all requests.
     in_time: f64,
     late: f64,
     refused: f64,
-    /// Least and most of the seeds.
+    /// Minimum and maximum over the seeds.
     in_time_least: f64,
     in_time_most: f64,
 }
 
 pub(crate) fn run(args: &Args) {
     let load = load(args);
-    let ways = match args.way {
-        Way::All => Way::EACH.to_vec(),
-        way => vec![way],
+    let schemes = match args.way {
+        SchemeArg::All => SchemeArg::MEASURED.to_vec(),
+        scheme => vec![scheme],
     };
-    for way in ways {
-        let report = measure(way, &load, args.seeds);
+    for scheme in schemes {
+        let report = measure(scheme, &load, args.seeds);
         if args.json {
-            println!("{}", serde_json::to_string(&report).expect("numbers"));
+            println!("{}", serde_json::to_string(&report).expect("plain numbers"));
             continue;
         }
         println!(
@@ -130,7 +130,7 @@
         ..Load::at_utilization(args.part)
     };
     let outage = Outage {
-        start_ms: LOSS_AT_MS,
+        start_ms: OUTAGE_START_MS,
         duration_ms: args.lost_ms,
         replicas: args.lost.min(base.replicas),
     };
@@ -141,23 +141,23 @@
     }
 }
 
-fn measure(way: Way, load: &Load, seeds: u64) -> Report {
-    let load = way.apply(load);
+fn measure(scheme: SchemeArg, load: &Load, seeds: u64) -> Report {
+    let load = scheme.apply(load);
     let tallies: Vec<Tally> = (0..seeds).map(|it| simulate(&load, it).all).collect();
     let total: u32 = tallies.iter().map(Tally::total).sum();
-    let part = |of: fn(&Tally) -> u32| {
-        let sum: u32 = tallies.iter().map(of).sum();
+    let fraction = |count: fn(&Tally) -> u32| {
+        let sum: u32 = tallies.iter().map(count).sum();
         f64::from(sum) / f64::from(total.max(1))
     };
-    let parts = || tallies.iter().map(Tally::fraction_in_time);
+    let in_time = || tallies.iter().map(Tally::fraction_in_time);
     Report {
-        way: way
+        way: scheme
             .to_possible_value()
             .map_or_else(String::new, |it| it.get_name().to_owned()),
-        in_time: part(|it| it.in_time),
-        late: part(|it| it.late),
-        refused: part(|it| it.refused),
-        in_time_least: parts().fold(1.0, f64::min),
-        in_time_most: parts().fold(0.0, f64::max),
+        in_time: fraction(|it| it.in_time),
+        late: fraction(|it| it.late),
+        refused: fraction(|it| it.refused),
+        in_time_least: in_time().fold(1.0, f64::min),
+        in_time_most: in_time().fold(0.0, f64::max),
     }
 }
--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -1,7 +1,6 @@
-//! State, messages and time for each replica, team, chunk and bundle, and how they grow.
+//! Growth of memory, message sizes and time with the number of replicas, teams, chunks and models.
 //!
-//! Each figure is taken at four sizes, and a line is fitted through them: `docs/CAPACITY.md` takes
-//! its slopes from here.
+//! Each figure is measured at four sizes and fitted with a line; `docs/CAPACITY.md` uses the slopes.
 
 use std::{hint::black_box, time::Instant};
 
@@ -25,7 +24,7 @@
 use gradeloft_standin::fleet::team;
 use gradeloft_wire::{
     border::{
-        bundle::{Bundle, Model, Objective, Publisher as Named},
+        bundle::{Bundle, Model, Objective, Publisher as BundlePublisher},
         platform::{Instance, InstanceRole, InstanceState},
     },
     codec,
@@ -47,7 +46,7 @@
 const CANDIDATES: [usize; 4] = [8, 32, 128, 512];
 const REPLICAS: [usize; 4] = [50, 200, 800, 2_300];
 const PINS: [usize; 4] = [1, 2, 4, 8];
-const PARTNERS: usize = 14;
+const SOURCES: usize = 14;
 
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
@@ -55,7 +54,7 @@
     /// Print one JSON line for each figure.
     #[arg(long)]
     json: bool,
-    /// Leave out the idle fleets, which take a minute.
+    /// Skip the idle fleets, which take a minute.
     #[arg(long)]
     no_fleet: bool,
 }
@@ -63,24 +62,24 @@
 /// A figure at several sizes.
 #[derive(Debug, Serialize)]
 pub(crate) struct Figure {
-    /// What it is.
+    /// Name of the figure.
     pub(crate) name: &'static str,
     /// Unit of the values.
     pub(crate) unit: &'static str,
-    /// What the sizes count.
+    /// Item that the sizes count.
     pub(crate) per: &'static str,
     /// Sizes.
     pub(crate) sizes: Vec<usize>,
     /// A value for each size.
     pub(crate) values: Vec<f64>,
-    /// Growth for one more.
+    /// Growth per item.
     pub(crate) slope: f64,
-    /// What stays at size 0.
+    /// Value of the fitted line at size 0.
     pub(crate) base: f64,
 }
 
 impl Figure {
-    /// Takes a value at each size and fits a line.
+    /// Measures a value at each size and fits a line.
     pub(crate) fn new(
         name: &'static str,
         unit: &'static str,
@@ -102,7 +101,7 @@
     }
 }
 
-/// Least squares.
+/// Fits a line by least squares; returns its slope and intercept.
 fn fit(sizes: &[usize], values: &[f64]) -> (f64, f64) {
     let count = sizes.len() as f64;
     let mean_x = sizes.iter().map(|it| *it as f64).sum::<f64>() / count;
@@ -137,21 +136,25 @@
 fn memory() -> Vec<Figure> {
     vec![
         Figure::new("membership", "bytes", "peer", &PEERS, |it| {
-            held(|| membership(it))
+            retained_bytes(|| membership(it))
+        }),
+        Figure::new("ledger", "bytes", "team", &TEAMS, |it| {
+            retained_bytes(|| limiter(it))
         }),
-        Figure::new("ledger", "bytes", "team", &TEAMS, |it| held(|| ledger(it))),
         Figure::new("bundle_teams", "bytes", "team", &TEAMS, |it| {
-            held(|| chain(it, 1))
+            retained_bytes(|| chain(it, 1))
         }),
         Figure::new("bundle_models", "bytes", "model", &MODELS, |it| {
-            held(|| chain(1, it))
+            retained_bytes(|| chain(1, it))
+        }),
+        Figure::new("fetch", "bytes", "chunk", &CHUNKS, |it| {
+            retained_bytes(|| fetch(it))
         }),
-        Figure::new("fetch", "bytes", "chunk", &CHUNKS, |it| held(|| fetch(it))),
         Figure::new("claims", "bytes", "claim", &CLAIMS, |it| {
-            held(|| claims(it))
+            retained_bytes(|| claims(it))
         }),
         Figure::new("turns", "bytes", "replica", &REPLICAS, |it| {
-            held(|| turns(it))
+            retained_bytes(|| turns(it))
         }),
     ]
 }
@@ -162,7 +165,7 @@
         Figure::new("route", "ns", "candidate", &CANDIDATES, |count| {
             let candidates: Vec<Candidate<usize>> = (0..count).map(candidate).collect();
             let mut prefix = 0;
-            timed(|| {
+            best_ns(|| {
                 prefix += 1;
                 black_box(route::choose(
                     &candidates,
@@ -174,17 +177,17 @@
         }),
         Figure::new("view", "ns", "peer", &PEERS, |count| {
             let membership = membership(count);
-            timed(|| {
-                let usable = membership.of(InstanceRole::Agent);
-                black_box(usable.filter(|(_, it)| it.takes_work(Time::ZERO)).count());
+            best_ns(|| {
+                let agents = membership.of(InstanceRole::Agent);
+                black_box(agents.filter(|(_, it)| it.takes_work(Time::ZERO)).count());
             })
         }),
         Figure::new("admit", "ns", "team", &TEAMS, |count| {
-            let mut ledger = ledger(count);
+            let mut limiter = limiter(count);
             let mut now = Time::ZERO;
-            timed(|| {
+            best_ns(|| {
                 now = now.after_ms(1);
-                let _ = black_box(ledger.admit("team-7", 1.0, now));
+                let _ = black_box(limiter.admit("team-7", 1.0, now));
             })
         }),
         Figure::new("placement", "ns", "replica", &REPLICAS, |count| {
@@ -197,13 +200,13 @@
                     zone: "zone-0",
                 })
                 .collect();
-            timed(|| {
+            best_ns(|| {
                 black_box(placement::place(&bundle, &replicas));
             })
         }),
         Figure::new("accept_bundle", "ns", "team", &TEAMS, |count| {
             let signed = Key::new([1; 32]).sign(&bundle(count, 1, 1), "ops");
-            timed(|| {
+            best_ns(|| {
                 black_box(empty_chain().fold(&signed));
             })
         }),
@@ -211,16 +214,16 @@
             let mut fetch = fetch(count);
             let mut rng = ChaCha8Rng::seed_from_u64(2);
             let mut now = Time::ZERO;
-            timed(|| {
+            best_ns(|| {
                 now = now.after_ms(1);
-                if let Some(ask) = fetch.next_request(now, &mut rng) {
-                    fetch.arrived(ask.idx, ask.from, now);
+                if let Some(request) = fetch.next_request(now, &mut rng) {
+                    fetch.arrived(request.idx, request.from, now);
                 }
             })
         }),
         Figure::new("heartbeat", "ns", "version served", &PINS, |count| {
             let reply = Reply::Notice(notice(count));
-            timed(|| {
+            best_ns(|| {
                 let body = codec::encode_body(&reply);
                 let _ = black_box(codec::decode_body::<Reply>(&body));
             })
@@ -255,21 +258,22 @@
     ]
 }
 
-/// Bytes that a value keeps on the heap.
-fn held<T>(make: impl FnOnce() -> T) -> f64 {
+/// Returns the bytes that a value retains on the heap.
+fn retained_bytes<T>(make: impl FnOnce() -> T) -> f64 {
     let before = ALLOCATOR.stats();
     let value = make();
     let after = ALLOCATOR.stats();
-    let kept = |it: &stats_alloc::Stats| {
+    let allocated = |it: &stats_alloc::Stats| {
         it.bytes_allocated as i64 + it.bytes_reallocated as i64 - it.bytes_deallocated as i64
     };
-    let bytes = kept(&after) - kept(&before);
+    let bytes = allocated(&after) - allocated(&before);
     drop(black_box(value));
     bytes as f64
 }
 
-/// Nanoseconds of one call: the best of several rounds, which is the one least disturbed.
-fn timed(mut call: impl FnMut()) -> f64 {
+/// Returns the duration of a call in nanoseconds: the best of several rounds, which is the one with
+/// the least interference.
+fn best_ns(mut call: impl FnMut()) -> f64 {
     let mut best = f64::INFINITY;
     for _ in 0..7 {
         let mut calls = 0_u32;
@@ -318,16 +322,16 @@
     membership
 }
 
-fn ledger(count: usize) -> TeamLimiter {
+fn limiter(count: usize) -> TeamLimiter {
     let rate = Rate {
         requests: 1e9,
         tokens: 1e9,
     };
-    let mut ledger = TeamLimiter::default();
+    let mut limiter = TeamLimiter::default();
     for idx in 0..count {
-        ledger.set_rate(&format!("team-{idx}"), rate, Time::ZERO);
+        limiter.set_rate(&format!("team-{idx}"), rate, Time::ZERO);
     }
-    ledger
+    limiter
 }
 
 fn bundle(teams: usize, models: usize, replicas: u32) -> Bundle {
@@ -350,7 +354,7 @@
         number: 1,
         parent: None,
         note: None,
-        publishers: vec![Named {
+        publishers: vec![BundlePublisher {
             name: "ops".to_owned(),
             key: Key::new([1; 32]).public(),
         }],
@@ -406,7 +410,7 @@
     };
     let mut fetch = Fetch::new(1, &manifest, |_| false, tuning, Time::ZERO);
     fetch.set_members((1..351).collect());
-    for _ in 0..PARTNERS {
+    for _ in 0..SOURCES {
         let key = fetch.add_source(true);
         fetch.add_held(key, 0..chunks);
     }
--- a/crates/gradeloft_bench/src/idle.rs
+++ b/crates/gradeloft_bench/src/idle.rs
@@ -1,4 +1,4 @@
-//! What control costs while no request comes: processor time and bytes of idle fleets.
+//! Cost of the control plane without requests: processor time and traffic of idle fleets.
 
 use std::{
     fs,
@@ -14,54 +14,55 @@
 };
 
 use crate::{
-    distribute::{Seen, platform, serves, start_entry, wait},
+    distribute::{ServingTimes, is_serving, platform_yaml, start_entry, wait_until},
     footprint::Figure,
-    worker::{Common, Worker},
+    worker::{Worker, WorkerConfig},
 };
 
 const AGENTS: [usize; 4] = [16, 32, 64, 128];
-/// A link that limits nothing here.
-const LINK: u64 = 1 << 30;
-/// Time for a fleet to calm down.
-const SETTLE: Duration = Duration::from_secs(2);
-/// Time over which it is watched.
-const WATCH: Duration = Duration::from_secs(8);
+/// Link speed; too high to be a bottleneck.
+const LINK_BYTES_PER_S: u64 = 1 << 30;
+/// Time before the measurement, for startup traffic to end.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Duration of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(8);
+/// Clock ticks per second in `/proc/self/stat`.
 const TICKS_PER_S: f64 = 100.0;
 const THREADS: usize = 4;
 
-/// Figures of fleets of one entry and several numbers of agents, bundle in force, no requests.
+/// Measures idle fleets of one entry and several numbers of agents, with a bundle in force.
 pub(crate) fn figures() -> Vec<Figure> {
     let measured: Vec<(f64, f64)> = AGENTS
         .iter()
-        .map(|it| actix_rt::System::new().block_on(watch(*it)))
+        .map(|it| actix_rt::System::new().block_on(measure(*it)))
         .collect();
-    let at = |agents: usize| AGENTS.iter().position(|it| *it == agents).unwrap_or(0);
+    let idx_of = |agents: usize| AGENTS.iter().position(|it| *it == agents).unwrap_or(0);
     vec![
         Figure::new("idle_cpu", "share of a core", "agent", &AGENTS, |it| {
-            measured[at(it)].0
+            measured[idx_of(it)].0
         }),
         Figure::new("idle_bytes", "bytes/s", "agent", &AGENTS, |it| {
-            measured[at(it)].1
+            measured[idx_of(it)].1
         }),
     ]
 }
 
-/// Share of a core and bytes a second, of all agents and the entry together.
-async fn watch(agents: usize) -> (f64, f64) {
+/// Returns the share of a core and the bytes per second of all agents and the entry together.
+async fn measure(agents: usize) -> (f64, f64) {
     let links = Arc::new(Links::default());
-    let shape = FleetConfig {
+    let config = FleetConfig {
         entries: 0,
         engines: 0,
         services: 0,
         ..FleetConfig::default()
     };
-    let fleet = Fleet::start(shape).await.expect("the platform starts");
+    let fleet = Fleet::start(config).await.expect("the platform starts");
     let entry = start_entry(&fleet).await;
-    let (news, received) = mpsc::channel();
-    let common = Common {
-        platform: platform(&fleet),
+    let (events, received) = mpsc::channel();
+    let worker_config = WorkerConfig {
+        platform: platform_yaml(&fleet),
         links: Arc::clone(&links),
-        link_bytes_per_s: LINK,
+        link_bytes_per_s: LINK_BYTES_PER_S,
         zones: 4,
         scheme: Scheme::Owners,
         prefill_ms: 0,
@@ -69,7 +70,7 @@
     };
     let share = |thread| (0..agents).filter(|it| it % THREADS == thread).collect();
     let workers: Vec<Worker> = (0..THREADS)
-        .map(|it| Worker::start(common.clone(), share(it), news.clone()))
+        .map(|it| Worker::start(worker_config.clone(), share(it), events.clone()))
         .collect();
     let version = Version::new(MODEL, "v1", 1, 1 << 10);
     fleet.upload(&version);
@@ -79,29 +80,35 @@
         .publish(&bundle)
         .await
         .expect("the bundle is accepted");
-    let mut seen = Seen::default();
-    wait(&fleet, &received, &mut seen, &|it| it.count("v1") == agents).await;
-    let known = || {
+    let mut serving = ServingTimes::default();
+    wait_until(&fleet, &received, &mut serving, &|it| {
+        it.count("v1") == agents
+    })
+    .await;
+    let serving_peers = || {
         entry
             .node()
             .membership
             .borrow()
             .iter()
-            .filter(|(_, it)| serves(it))
+            .filter(|(_, it)| is_serving(it))
             .count()
     };
-    gradeloft_standin::fleet::wait_until("the entry knows all agents", || known() == agents).await;
-    actix_rt::time::sleep(SETTLE).await;
+    gradeloft_standin::fleet::wait_until("the entry knows all agents", || {
+        serving_peers() == agents
+    })
+    .await;
+    actix_rt::time::sleep(SETTLE_TIME).await;
     let (started, cpu, bytes) = (Instant::now(), cpu_s(), links.bytes_sent());
-    actix_rt::time::sleep(WATCH).await;
-    let passed = started.elapsed().as_secs_f64();
-    let used = (cpu_s() - cpu) / passed;
-    let crossed = (links.bytes_sent() - bytes) as f64 / passed;
+    actix_rt::time::sleep(MEASURE_TIME).await;
+    let elapsed = started.elapsed().as_secs_f64();
+    let cpu_share = (cpu_s() - cpu) / elapsed;
+    let bytes_per_s = (links.bytes_sent() - bytes) as f64 / elapsed;
     workers.into_iter().for_each(Worker::stop);
-    (used, crossed)
+    (cpu_share, bytes_per_s)
 }
 
-/// Processor time of this process so far, in seconds.
+/// Returns the processor time that this process has used, in seconds.
 pub(crate) fn cpu_s() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
--- a/crates/gradeloft_bench/src/limits.rs
+++ b/crates/gradeloft_bench/src/limits.rs
@@ -1,7 +1,7 @@
-//! A team's rate over several entries while demand moves between them.
+//! Enforcement of a team's rate limit across several entries while demand moves between them.
 //!
-//! The decisions of `gradeloft_policy` run against a clock and messages of this module, so the
-//! figures are the same on every machine.
+//! The decisions of `gradeloft_policy` run with a virtual clock and simulated messages, so the
+//! results are the same on every machine.
 
 use std::collections::VecDeque;
 
@@ -19,42 +19,42 @@
 use serde::Serialize;
 
 const ENTRIES: usize = 7;
-/// Requests a second that the team may send over all entries.
-const ALLOWED: f64 = 700.0;
+/// Requests per second that the team may send to all entries together.
+const ALLOWED_PER_S: f64 = 700.0;
 const STEP_MS: u64 = 1;
-/// Time of a message between entries, in milliseconds.
+/// Latency of a lease answer from the home, in milliseconds.
 const LATENCY_MS: u64 = 6;
-/// The home, an entry that is not cut off.
+/// Home of the team, an entry that is not cut off.
 const HOME: usize = 0;
-/// The entry that is cut off, and when.
-const CUT: usize = 3;
-const CUT_FROM_MS: u64 = 20_000;
-const CUT_TO_MS: u64 = 40_000;
-/// A window over which the worst overshoot is taken, in milliseconds.
+/// Entry that is cut off, and the time in which it is.
+const CUT_OFF_ENTRY: usize = 3;
+const CUT_START_MS: u64 = 20_000;
+const CUT_END_MS: u64 = 40_000;
+/// Window for the worst overshoot, in milliseconds.
 const WINDOW_MS: u64 = 10_000;
 
-/// A way to share the rate.
+/// Scheme to share the rate among the entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
-enum Way {
-    /// Leases that follow demand.
+enum SharingScheme {
+    /// Leases that follow the demand.
     Gradeloft,
     /// Every entry grants the whole rate.
     NoSharing,
-    /// Every entry grants an equal part.
+    /// Every entry grants an equal share of the rate.
     Static,
 }
 
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Seconds of each run.
+    /// Duration of each run in seconds.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Demand, in parts of the rate.
+    /// Demand, as a multiple of the rate.
     #[arg(long, default_value_t = 1.3)]
     demand: f64,
-    /// Time after which demand moves to another entry, in seconds.
+    /// Interval at which the demand moves to another entry, in seconds.
     #[arg(long, default_value_t = 5)]
     moves_every: u64,
     /// Seed of the load.
@@ -67,7 +67,7 @@
 
 #[derive(Debug, Serialize)]
 struct Report {
-    scheme: Way,
+    scheme: SharingScheme,
     cut_off: bool,
     demanded: u64,
     admitted_over_allowed: f64,
@@ -76,11 +76,15 @@
     messages_per_s: f64,
 }
 
-/// Runs the measurement and prints what it gives.
+/// Runs the measurement and prints its report.
 pub(crate) fn run(args: &Args) {
-    for scheme in [Way::NoSharing, Way::Static, Way::Gradeloft] {
+    for scheme in [
+        SharingScheme::NoSharing,
+        SharingScheme::Static,
+        SharingScheme::Gradeloft,
+    ] {
         for cut_off in [false, true] {
-            let report = Run::new(args, scheme, cut_off).measure();
+            let report = Simulation::new(args, scheme, cut_off).measure();
             if args.json {
                 println!("{}", serde_json::to_string(&report).expect("plain numbers"));
             } else {
@@ -100,21 +104,21 @@
     bucket: TokenBucket,
     demand: Demand,
     borrower: Borrower,
-    /// Since when asks have stayed unanswered.
-    unanswered: Option<Time>,
+    /// Time of the oldest lease request without an answer since.
+    unanswered_since: Option<Time>,
 }
 
-/// An answer of the home on its way.
+/// An answer of the home in transit.
 struct Answer {
     due: Time,
     entry: usize,
     rate: f64,
-    asked: Time,
+    requested: Time,
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     args: &'a Args,
-    scheme: Way,
+    scheme: SharingScheme,
     cut_off: bool,
     entries: Vec<Entry>,
     lender: Lender,
@@ -123,20 +127,20 @@
     rng: ChaCha8Rng,
 }
 
-impl<'a> Run<'a> {
-    fn new(args: &'a Args, scheme: Way, cut_off: bool) -> Run<'a> {
+impl<'a> Simulation<'a> {
+    fn new(args: &'a Args, scheme: SharingScheme, cut_off: bool) -> Simulation<'a> {
         let rate = match scheme {
-            Way::Gradeloft => 0.0,
-            Way::NoSharing => ALLOWED,
-            Way::Static => ALLOWED / ENTRIES as f64,
+            SharingScheme::Gradeloft => 0.0,
+            SharingScheme::NoSharing => ALLOWED_PER_S,
+            SharingScheme::Static => ALLOWED_PER_S / ENTRIES as f64,
         };
         let entry = || Entry {
             bucket: TokenBucket::new(rate, Time::ZERO),
             demand: Demand::default(),
             borrower: Borrower::default(),
-            unanswered: None,
+            unanswered_since: None,
         };
-        Run {
+        Simulation {
             args,
             scheme,
             cut_off,
@@ -149,32 +153,32 @@
     }
 
     fn measure(mut self) -> Report {
-        // Leases settle first; then what counts begins.
+        // The measurement starts after a warm-up in which leases settle.
         let warm_up_ms = 2 * LEASE_MS;
         let end_ms = warm_up_ms + self.args.seconds * 1000;
-        let mut admitted_at = VecDeque::new();
+        let mut admissions = VecDeque::new();
         let (mut admitted, mut demanded, mut worst) = (0_u64, 0_u64, 0.0_f64);
         for ms in (0..end_ms).step_by(STEP_MS as usize) {
             let now = Time::ZERO.after_ms(ms);
-            let (wanted, granted) = self.step(ms, now);
+            let (sent, granted) = self.step(ms, now);
             if ms < warm_up_ms {
                 continue;
             }
-            demanded += wanted;
+            demanded += sent;
             admitted += granted;
-            admitted_at.push_back((ms, granted));
-            while admitted_at
+            admissions.push_back((ms, granted));
+            while admissions
                 .front()
                 .is_some_and(|(it, _)| it + WINDOW_MS <= ms)
             {
-                admitted_at.pop_front();
+                admissions.pop_front();
             }
             if warm_up_ms + WINDOW_MS <= ms {
-                let in_window: u64 = admitted_at.iter().map(|it| it.1).sum();
-                worst = worst.max(in_window as f64 / (ALLOWED * WINDOW_MS as f64 / 1000.0));
+                let in_window: u64 = admissions.iter().map(|it| it.1).sum();
+                worst = worst.max(in_window as f64 / (ALLOWED_PER_S * WINDOW_MS as f64 / 1000.0));
             }
         }
-        let allowed = ALLOWED * self.args.seconds as f64;
+        let allowed = ALLOWED_PER_S * self.args.seconds as f64;
         let possible = allowed.min(demanded as f64);
         Report {
             scheme: self.scheme,
@@ -187,92 +191,93 @@
         }
     }
 
-    /// One step of time; gives requests wanted and admitted.
+    /// Simulates one time step; returns the number of requests sent and admitted.
     fn step(&mut self, ms: u64, now: Time) -> (u64, u64) {
-        if self.scheme == Way::Gradeloft {
-            self.exchange(ms, now);
+        if self.scheme == SharingScheme::Gradeloft {
+            self.exchange_leases(ms, now);
         }
-        let hot = (ms / 1000 / self.args.moves_every) as usize * 3 % ENTRIES;
-        let (mut wanted, mut admitted) = (0, 0);
+        let hot_entry = (ms / 1000 / self.args.moves_every) as usize * 3 % ENTRIES;
+        let (mut sent, mut admitted) = (0, 0);
         for idx in 0..ENTRIES {
-            // Four fifths of the demand are at one entry, the rest is spread.
-            let part = if idx == hot {
+            // One entry receives four fifths of the demand; the others share the rest equally.
+            let share = if idx == hot_entry {
                 0.8
             } else {
                 0.2 / (ENTRIES - 1) as f64
             };
-            let mean = ALLOWED * self.args.demand * part * STEP_MS as f64 / 1000.0;
+            let mean = ALLOWED_PER_S * self.args.demand * share * STEP_MS as f64 / 1000.0;
             let count = self.poisson(mean);
-            wanted += count;
+            sent += count;
             let entry = &mut self.entries[idx];
             for _ in 0..count {
                 entry.demand.add(1.0, now);
                 admitted += u64::from(entry.bucket.try_take(1.0, now));
             }
         }
-        (wanted, admitted)
+        (sent, admitted)
     }
 
-    fn exchange(&mut self, ms: u64, now: Time) {
+    fn exchange_leases(&mut self, ms: u64, now: Time) {
         while self.answers.front().is_some_and(|it| it.due <= now) {
             if let Some(answer) = self.answers.pop_front() {
                 let entry = &mut self.entries[answer.entry];
-                entry.borrower.granted(answer.rate, answer.asked);
-                entry.unanswered = None;
+                entry.borrower.granted(answer.rate, answer.requested);
+                entry.unanswered_since = None;
             }
         }
         for idx in 0..ENTRIES {
-            let spread = idx as u64 * RENEW_MS / ENTRIES as u64;
-            if ms % RENEW_MS == spread {
-                self.ask(idx, ms, now);
+            let offset = idx as u64 * RENEW_MS / ENTRIES as u64;
+            if ms % RENEW_MS == offset {
+                self.request_lease(idx, ms, now);
             }
             let entry = &mut self.entries[idx];
-            let lost = entry
-                .unanswered
+            let is_cut_off = entry
+                .unanswered_since
                 .is_some_and(|it| it.after_ms(CUT_OFF_MS) <= now);
-            let reach = if lost {
+            let reach = if is_cut_off {
                 HomeReach::CutOff
             } else {
                 HomeReach::Home
             };
-            let rate = entry.borrower.rate(ALLOWED, ENTRIES, reach, now);
+            let rate = entry.borrower.rate(ALLOWED_PER_S, ENTRIES, reach, now);
             entry.bucket.set_rate(rate, now);
         }
     }
 
-    fn ask(&mut self, idx: usize, ms: u64, now: Time) {
+    fn request_lease(&mut self, idx: usize, ms: u64, now: Time) {
         let entry = &mut self.entries[idx];
-        entry.unanswered.get_or_insert(now);
-        let cut = self.cut_off && (CUT_FROM_MS..CUT_TO_MS).contains(&ms);
-        if cut && idx == CUT {
+        entry.unanswered_since.get_or_insert(now);
+        let cut_active = self.cut_off && (CUT_START_MS..CUT_END_MS).contains(&ms);
+        if cut_active && idx == CUT_OFF_ENTRY {
             return;
         }
         let demand = need(entry.demand.rate(now), entry.bucket.level(now));
         let held = entry.borrower.held(now);
-        let ask = LeaseRequest {
+        let request = LeaseRequest {
             entry: idx as u64,
             demand,
             held,
         };
-        // The home misses three heartbeats before it counts an entry as gone.
-        let missed = cut && CUT_FROM_MS + 3_000 <= ms;
-        let connected = ENTRIES - usize::from(missed);
+        // The home counts an entry as disconnected after three missed heartbeats, one per second.
+        let is_disconnected = cut_active && CUT_START_MS + 3_000 <= ms;
+        let connected = ENTRIES - usize::from(is_disconnected);
         let fleet = FleetView {
-            allowed: ALLOWED,
+            allowed: ALLOWED_PER_S,
             entries: ENTRIES,
             connected,
         };
-        let rate = self.lender.grant(ask, fleet, now);
+        let rate = self.lender.grant(request, fleet, now);
         let latency = if idx == HOME { 0 } else { LATENCY_MS };
         self.messages += 2 * u64::from(idx != HOME);
         self.answers.push_back(Answer {
             due: now.after_ms(latency),
             entry: idx,
             rate,
-            asked: now,
+            requested: now,
         });
     }
 
+    /// Draws a Poisson-distributed number with the given mean.
     fn poisson(&mut self, mean: f64) -> u64 {
         let limit = (-mean).exp();
         let mut product: f64 = self.rng.random();
--- a/crates/gradeloft_bench/src/live.rs
+++ b/crates/gradeloft_bench/src/live.rs
@@ -1,4 +1,4 @@
-//! Live requests beside a rollout, at a steady rate.
+//! Live requests at a steady rate during a rollout.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,20 +14,20 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Live requests a second for each agent.
-const PER_AGENT: f64 = 4.0;
+/// Live requests per second and agent.
+const REQUESTS_PER_AGENT_S: f64 = 4.0;
 /// Size of a prompt, in bytes.
-const PROMPT: usize = 16 << 10;
-/// Tokens of an answer.
+const PROMPT_BYTES: usize = 16 << 10;
+/// Number of tokens of an answer.
 const TOKENS: u32 = 8;
-/// Time of the engine for a prompt, in milliseconds; well below what the users' engines need.
+/// Time that the engine takes for a prompt, in milliseconds; well below that of real engines.
 pub(crate) const PREFILL_MS: u64 = 60;
-/// Time of the engine for a token, in milliseconds; as above.
+/// Time that the engine takes for a token, in milliseconds; well below that of real engines.
 pub(crate) const TOKEN_MS: u64 = 8;
-/// Longest answer that is told from longer ones, in microseconds.
-const MOST_MICROS: u64 = 60_000_000;
+/// Upper bound of the latency histograms, in microseconds; longer answers are recorded as this.
+const MAX_MICROS: u64 = 60_000_000;
 
-/// Answer times before and during a rollout.
+/// Latency of answers before and during a rollout.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
     before_p95_ms: f64,
@@ -37,22 +37,22 @@
     failed: u64,
 }
 
-/// Live requests at a steady rate.
+/// Generator of live requests at a steady rate.
 pub(crate) struct Load {
     entry: SocketAddr,
     agents: usize,
     phase: Cell<usize>,
     running: Cell<bool>,
-    /// Whole answers before and during the rollout, in microseconds.
-    times: [RefCell<Histogram<u64>>; 2],
+    /// Latency of complete answers before and during the rollout, in microseconds.
+    latencies: [RefCell<Histogram<u64>>; 2],
     failed: Cell<u64>,
 }
 
 impl Load {
     pub(crate) fn new(entry: SocketAddr, agents: usize) -> Load {
         let histogram = || {
-            Histogram::new_with_bounds(1, MOST_MICROS, 3)
-                .expect("sound bounds")
+            Histogram::new_with_bounds(1, MAX_MICROS, 3)
+                .expect("valid bounds")
                 .into()
         };
         Load {
@@ -60,7 +60,7 @@
             agents,
             phase: Cell::default(),
             running: Cell::default(),
-            times: [histogram(), histogram()],
+            latencies: [histogram(), histogram()],
             failed: Cell::default(),
         }
     }
@@ -69,8 +69,9 @@
         self.running.set(true);
         let load = Rc::clone(self);
         actix_rt::spawn(async move {
-            let every = Duration::from_secs_f64(1.0 / (PER_AGENT * load.agents as f64));
-            let mut ticks = tokio::time::interval(every);
+            let interval =
+                Duration::from_secs_f64(1.0 / (REQUESTS_PER_AGENT_S * load.agents as f64));
+            let mut ticks = tokio::time::interval(interval);
             let mut count = 0_u64;
             while load.running.get() {
                 ticks.tick().await;
@@ -83,7 +84,7 @@
     async fn request(self: Rc<Load>, count: u64) {
         let phase = self.phase.get();
         let caller = Caller::new(TEAM, TOKEN);
-        let prompt = format!("{count:08}{}", "p".repeat(PROMPT - 8));
+        let prompt = format!("{count:08}{}", "p".repeat(PROMPT_BYTES - 8));
         let started = Instant::now();
         let answer = caller.generate(self.entry, MODEL, &prompt, TOKENS).await;
         let micros = started.elapsed().as_micros() as u64;
@@ -91,7 +92,7 @@
             self.failed.set(self.failed.get() + 1);
             return;
         }
-        self.times[phase]
+        self.latencies[phase]
             .borrow_mut()
             .saturating_record(micros.max(1));
     }
@@ -105,13 +106,14 @@
     }
 
     pub(crate) fn report(&self) -> Report {
-        let p95 = |phase: usize| self.times[phase].borrow().value_at_quantile(0.95) as f64 / 1000.0;
+        let p95 =
+            |phase: usize| self.latencies[phase].borrow().value_at_quantile(0.95) as f64 / 1000.0;
         let (before, during) = (p95(0), p95(1));
         Report {
             before_p95_ms: before,
             during_p95_ms: during,
             during_over_before: during / before,
-            requests: self.times.iter().map(|it| it.borrow().len()).sum(),
+            requests: self.latencies.iter().map(|it| it.borrow().len()).sum(),
             failed: self.failed.get(),
         }
     }
--- a/crates/gradeloft_bench/src/main.rs
+++ b/crates/gradeloft_bench/src/main.rs
@@ -1,14 +1,16 @@
-//! `gradeloft_bench`: measurements on one machine, as ratios to baselines of the same run.
+//! `gradeloft_bench`: benchmarks on one machine, with baselines measured in the same run.
 //!
-//! - [`bundles`]: from publish to in force everywhere.
-//! - [`distribute`]: a new version reaches many agents.
-//! - [`fleet`]: what callers get from a short fleet, in virtual time.
-//! - [`footprint`]: state, messages and time for each replica, team, chunk and bundle.
-//! - [`limits`]: a team's rate over several entries.
-//! - [`live`]: live requests beside a rollout.
-//! - [`plot`]: curves as SVG.
-//! - [`relay`]: what entry and agent add to a request.
+//! - [`bundles`]: time from publishing a bundle until it is in force on all nodes.
+//! - [`distribute`]: distribution of a new version to many agents.
+//! - [`fleet`]: outcomes of requests to an overloaded fleet, in virtual time.
+//! - [`footprint`]: memory, message sizes and time per replica, team, chunk and bundle.
+//! - [`idle`]: processor time and traffic of idle fleets.
+//! - [`limits`]: enforcement of a team's rate limit across several entries.
+//! - [`live`]: live requests during a rollout.
+//! - [`plot`]: line charts as SVG.
+//! - [`relay`]: overhead that entry and agent add to a request.
 //! - [`requests`]: live requests under load and faults.
+//! - [`worker`]: threads that run agents.
 
 mod bundles;
 mod distribute;
@@ -27,11 +29,11 @@
 use clap::{Parser, Subcommand};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
-/// Counts bytes, for [`footprint`].
+/// Counts allocated bytes for [`footprint`].
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Measures gradeloft with real agents on loopback, over links that stand-ins pace.
+/// Measures gradeloft with real agents on loopback, over links with emulated bandwidth.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
@@ -41,20 +43,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Time from publish to in force everywhere, and what a race of publishers leaves.
+    /// Time from publishing a bundle until it is in force on all nodes, and agreement of the nodes
+    /// after concurrent publishes.
     Bundle(bundles::Args),
     /// Time until replicas serve a new version, and bytes read from the origin.
     Distribute(distribute::Args),
-    /// What callers get from a fleet under a load, in virtual time.
+    /// Outcomes of requests to a fleet under a load, in virtual time.
     Fleet(fleet::Args),
-    /// Bytes of state, bytes of messages and time, at several sizes each, with the fitted slopes.
+    /// Bytes of state, bytes of messages and time, each at several sizes, with fitted slopes.
     Footprint(footprint::Args),
-    /// What is admitted of a team's rate while demand moves between entries.
+    /// Admitted fraction of a team's rate while demand moves between entries.
     Limits(limits::Args),
-    /// What an entry and an agent add to a request.
+    /// Overhead that an entry and an agent add to a request.
     Relay(relay::Args),
-    /// First answers, prefix hits and retries; under a fault, whether answers are right and calls
-    /// run at most once.
+    /// Latency, prefix cache hits and retries; under a fault, also whether answers are correct and
+    /// calls run at most once.
     Requests(requests::Args),
 }
 
--- a/crates/gradeloft_bench/src/plot.rs
+++ b/crates/gradeloft_bench/src/plot.rs
@@ -1,18 +1,18 @@
-//! Curves as SVG.
+//! Line charts as SVG.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-/// A curve: a name and its points.
+/// A named curve.
 pub(crate) struct Curve {
     /// Name in the legend.
     pub(crate) name: String,
-    /// Points.
+    /// Points as x and y.
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// Draws curves; gives why it could not.
+/// Draws curves into an SVG file; returns the error as text.
 pub(crate) fn draw(
     path: &Path,
     title: &str,
@@ -20,9 +20,9 @@
     curves: &[Curve],
 ) -> Result<(), String> {
     let points = || curves.iter().flat_map(|it| &it.points);
-    let most = |values: Vec<f64>| values.into_iter().fold(1.0, f64::max);
-    let x_max = most(points().map(|it| it.0).collect());
-    let y_max = most(points().map(|it| it.1).collect());
+    let max = |values: Vec<f64>| values.into_iter().fold(1.0, f64::max);
+    let x_max = max(points().map(|it| it.0).collect());
+    let y_max = max(points().map(|it| it.1).collect());
     let area = SVGBackend::new(path, (900, 500)).into_drawing_area();
     area.fill(&WHITE).map_err(|it| it.to_string())?;
     let mut chart = ChartBuilder::on(&area)
--- a/crates/gradeloft_bench/src/relay.rs
+++ b/crates/gradeloft_bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent add to a request, against calling the engine straight.
+//! Overhead that an entry and an agent add to a request, compared with calling the engine directly.
 
 use std::time::{Duration, Instant};
 
@@ -14,22 +14,22 @@
 
 use crate::idle::cpu_s;
 
-const MOST_MICROS: u64 = 60_000_000;
-const WARM_UP: u64 = 200;
+const MAX_MICROS: u64 = 60_000_000;
+const WARM_UP_REQUESTS: u64 = 200;
 
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Requests one after the other, each way.
+    /// Sequential requests, each through the entry and directly.
     #[arg(long, default_value_t = 2_000)]
     requests: u64,
-    /// Requests at once while processor time is taken.
+    /// Concurrent requests while processor time is measured.
     #[arg(long, default_value_t = 16)]
     concurrency: usize,
-    /// Tokens of an answer.
+    /// Number of tokens of an answer.
     #[arg(long, default_value_t = 16)]
     tokens: u32,
-    /// Print a JSON line.
+    /// Print the report as a JSON line.
     #[arg(long)]
     json: bool,
 }
@@ -45,7 +45,7 @@
     relay_requests_per_core_s: f64,
 }
 
-/// Runs the measurement and prints what it gives.
+/// Runs the measurement and prints its report.
 pub(crate) fn run(args: &Args) {
     let report = actix_rt::System::new().block_on(measure(args));
     if args.json {
@@ -62,28 +62,28 @@
 }
 
 async fn measure(args: &Args) -> Report {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         entries: 1,
         engines: 1,
         services: 0,
         ..FleetConfig::default()
     };
-    let fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let fleet = Fleet::start(config).await.expect("the fleet starts");
     fleet.deploy(&Version::new(MODEL, "v1", 4, 1 << 10)).await;
     let url = fleet.engines[0].endpoint.url();
     let engine = HttpEngine::new(&url, Duration::from_secs(10));
     let caller = fleet.caller();
     let entry = fleet.entry(0);
-    let straight = async |idx: u64| straight(&engine, idx, args.tokens).await;
+    let direct = async |idx: u64| generate_directly(&engine, idx, args.tokens).await;
     let relayed = async |idx: u64| {
         let answer = caller
             .generate(entry, MODEL, &idx.to_string(), args.tokens)
             .await;
         assert!(answer.end.is_some(), "{:?}", answer.error);
     };
-    let straight_p50_us = p50(args.requests, &straight).await;
+    let straight_p50_us = p50(args.requests, &direct).await;
     let relayed_p50_us = p50(args.requests, &relayed).await;
-    let straight_cpu_us = cpu_us(args, &straight).await;
+    let straight_cpu_us = cpu_us(args, &direct).await;
     let relayed_cpu_us = cpu_us(args, &relayed).await;
     Report {
         tokens: args.tokens,
@@ -96,7 +96,7 @@
     }
 }
 
-async fn straight(engine: &HttpEngine, idx: u64, tokens: u32) {
+async fn generate_directly(engine: &HttpEngine, idx: u64, tokens: u32) {
     let request = EngineRequest {
         request_id: format!("{idx:032x}"),
         model: MODEL.to_owned(),
@@ -106,37 +106,41 @@
         max_tokens: tokens,
         priority: 0,
     };
-    let mut generation = engine.generate(&request).await.expect("it generates");
+    let mut generation = engine
+        .generate(&request)
+        .await
+        .expect("the engine generates");
     let mut events = 0;
     while let Some(event) = generation.next().await {
-        event.expect("a whole answer");
+        event.expect("a complete answer");
         events += 1;
     }
     assert_eq!(events, tokens + 1);
 }
 
-/// Median of so many calls one after the other, in microseconds.
+/// Returns the median latency of sequential calls, in microseconds.
 async fn p50(requests: u64, call: &impl AsyncFn(u64)) -> u64 {
-    let mut times = Histogram::<u64>::new_with_bounds(1, MOST_MICROS, 3).expect("sound bounds");
-    for idx in 0..requests + WARM_UP {
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3).expect("valid bounds");
+    for idx in 0..requests + WARM_UP_REQUESTS {
         let started = Instant::now();
         call(idx).await;
-        if WARM_UP <= idx {
-            times.saturating_record((started.elapsed().as_micros() as u64).max(1));
+        if WARM_UP_REQUESTS <= idx {
+            latencies.saturating_record((started.elapsed().as_micros() as u64).max(1));
         }
     }
-    times.value_at_quantile(0.5)
+    latencies.value_at_quantile(0.5)
 }
 
-/// Processor time of a call with several at once, in microseconds, callers and engine included.
+/// Returns the processor time per call with concurrent calls, in microseconds, including callers and
+/// engine.
 async fn cpu_us(args: &Args, call: &impl AsyncFn(u64)) -> f64 {
-    let each = args.requests * 2 / args.concurrency as u64;
+    let calls_per_lane = args.requests * 2 / args.concurrency as u64;
     let before = cpu_s();
     let lane = async |lane: u64| {
-        for idx in 0..each {
-            call(lane * each + idx).await;
+        for idx in 0..calls_per_lane {
+            call(lane * calls_per_lane + idx).await;
         }
     };
     join_all((0..args.concurrency as u64).map(lane)).await;
-    (cpu_s() - before) * 1e6 / (each * args.concurrency as u64) as f64
+    (cpu_s() - before) * 1e6 / (calls_per_lane * args.concurrency as u64) as f64
 }
--- a/crates/gradeloft_bench/src/requests.rs
+++ b/crates/gradeloft_bench/src/requests.rs
@@ -1,5 +1,5 @@
-//! Live requests: how soon they are answered, and whether they are right, whole and run at most
-//! once, under skewed load and under faults.
+//! Live requests under skewed load and faults: latency, correctness and completeness of answers, and
+//! at-most-once execution.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,44 +28,44 @@
 const SERVICES: usize = 3;
 const ZONES: usize = 3;
 const PREFIXES: usize = 120;
-/// Skew of prefixes: the weight of the n-th is 1 / n to this power.
+/// Skew of prefixes: the n-th prefix has the weight 1 / n^SKEW.
 const SKEW: f64 = 0.9;
 const PREFILL_MS: u64 = 24;
 const CACHED_MS: u64 = 4;
-const CACHE: usize = 16;
+const CACHE_SIZE: usize = 16;
 const TOKENS: u32 = 4;
 const SLOW_MS: u64 = 400;
-/// One call in so many loses its reply under that fault.
-const LOST_ONE_IN: usize = 3;
+/// Under fault `LostReply`, one call in this many loses its reply.
+const LOSE_REPLY_EVERY: usize = 3;
 const WARM_UP: Duration = Duration::from_secs(2);
-const MOST_MICROS: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 
-/// A way to choose replicas.
+/// Scheme to choose replicas.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-enum Way {
-    /// All of these one after the other.
+enum SchemeArg {
+    /// All schemes in turn.
     All,
-    /// What gradeloft does.
+    /// The policy of gradeloft.
     Gradeloft,
-    /// The one with the fewest requests of the entry.
+    /// The replica with the fewest in-flight requests of the entry.
     LeastInFlight,
-    /// Any.
+    /// A random replica.
     Random,
-    /// One after the other.
+    /// Each replica in turn.
     RoundRobin,
 }
 
-/// A fault in the middle of the run.
+/// Fault injected in the middle of the run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 enum Fault {
-    /// One engine's answers carry another request's id.
+    /// Answers of one engine carry the id of another request.
     Crossed,
-    /// One agent of an engine and one of a service are killed.
+    /// The agents of one engine and one service are killed.
     Kill,
-    /// Services run calls and lose some replies.
+    /// Services run calls but lose some replies.
     LostReply,
-    /// None.
+    /// No fault.
     #[default]
     None,
     /// One engine is much slower.
@@ -77,19 +77,19 @@
 /// Arguments of the measurement.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Args {
-    /// Way to choose replicas.
+    /// Scheme to choose replicas.
     #[arg(long, value_enum, default_value = "gradeloft")]
-    scheme: Way,
-    /// Fault in the middle of the run; an agent is drained as well.
+    scheme: SchemeArg,
+    /// Fault injected in the middle of the run, together with the drain of an agent.
     #[arg(long, value_enum, default_value = "none")]
     fault: Fault,
-    /// Generate requests a second.
+    /// Generate requests per second.
     #[arg(long, default_value_t = 420.0)]
     rate: f64,
-    /// Calls a second that may not be repeated.
+    /// Non-idempotent calls per second.
     #[arg(long, default_value_t = 40.0)]
     calls: f64,
-    /// Seconds of load that count.
+    /// Duration of the measured load in seconds.
     #[arg(long, default_value_t = 8.0)]
     seconds: f64,
     /// Seed of the load.
@@ -121,10 +121,10 @@
     failures: BTreeMap<String, u64>,
 }
 
-/// Runs the measurement and prints what it gives.
+/// Runs the measurement and prints its report.
 pub(crate) fn run(args: &Args) {
     let schemes = match args.scheme {
-        Way::All => {
+        SchemeArg::All => {
             vec![
                 Scheme::Random,
                 Scheme::RoundRobin,
@@ -132,10 +132,10 @@
                 Scheme::Affinity,
             ]
         }
-        Way::Gradeloft => vec![Scheme::Affinity],
-        Way::LeastInFlight => vec![Scheme::LeastInFlight],
-        Way::Random => vec![Scheme::Random],
-        Way::RoundRobin => vec![Scheme::RoundRobin],
+        SchemeArg::Gradeloft => vec![Scheme::Affinity],
+        SchemeArg::LeastInFlight => vec![Scheme::LeastInFlight],
+        SchemeArg::Random => vec![Scheme::Random],
+        SchemeArg::RoundRobin => vec![Scheme::RoundRobin],
     };
     for scheme in schemes {
         let report = actix_rt::System::new().block_on(measure(args, scheme));
@@ -157,7 +157,7 @@
 }
 
 async fn measure(args: &Args, scheme: Scheme) -> Report {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         entries: ENTRIES,
         engines: ENGINES,
         services: SERVICES,
@@ -166,31 +166,31 @@
         route: scheme,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(shape).await.expect("the fleet starts");
+    let mut fleet = Fleet::start(config).await.expect("the fleet starts");
     for engine in &fleet.engines {
         engine.endpoint.state.prefill_ms.set(PREFILL_MS);
         engine.endpoint.state.cached_ms.set(CACHED_MS);
-        engine.endpoint.state.cache_size.set(CACHE);
+        engine.endpoint.state.cache_size.set(CACHE_SIZE);
     }
     let version = Version::new(MODEL, "v1", 4, 1 << 10);
     fleet.deploy(&version).await;
     let load = Rc::new(Load::new(&fleet, &version, args));
     Rc::clone(&load).start(args);
     actix_rt::time::sleep(WARM_UP).await;
-    load.counting.set(true);
+    load.measuring.set(true);
     let before = counters(&fleet);
     let half = Duration::from_secs_f64(args.seconds / 2.0);
     actix_rt::time::sleep(half).await;
-    let cut_by_drain = disturb(&mut fleet, args.fault).await;
+    let cut_by_drain = inject_fault(&mut fleet, args.fault).await;
     actix_rt::time::sleep(half).await;
-    load.counting.set(false);
+    load.measuring.set(false);
     load.running.set(false);
     let after = counters(&fleet);
-    gradeloft_standin::fleet::wait_until("all answers are in", || load.open.get() == 0).await;
+    gradeloft_standin::fleet::wait_until("all answers are in", || load.in_flight.get() == 0).await;
     load.report(&fleet, args, scheme, before, after, cut_by_drain)
 }
 
-/// Prefix hits, prompts and retries so far.
+/// Cumulative counts of prefix hits, prompts and retries.
 #[derive(Clone, Copy)]
 struct Counters {
     hits: u64,
@@ -211,8 +211,8 @@
     }
 }
 
-/// Brings the fault about and drains one agent; gives what the drain cut off.
-async fn disturb(fleet: &mut Fleet, fault: Fault) -> u64 {
+/// Injects the fault and drains one agent; returns the number of requests that the drain cut off.
+async fn inject_fault(fleet: &mut Fleet, fault: Fault) -> u64 {
     match fault {
         Fault::Crossed => fleet.engines[0]
             .endpoint
@@ -229,7 +229,7 @@
                     .endpoint
                     .state
                     .lose_reply_every
-                    .set(LOST_ONE_IN as u64);
+                    .set(LOSE_REPLY_EVERY as u64);
             }
         }
         Fault::None => return 0,
@@ -258,7 +258,7 @@
     u64::from(drained.drain(forced).await)
 }
 
-/// One call that may not be repeated, and what its caller was told.
+/// A non-idempotent call and whether it ran, as reported to its caller.
 struct Call {
     body: String,
     ran: String,
@@ -269,9 +269,9 @@
     version: Version,
     weights: Vec<f64>,
     running: Cell<bool>,
-    counting: Cell<bool>,
-    open: Cell<u64>,
-    times: RefCell<Histogram<u64>>,
+    measuring: Cell<bool>,
+    in_flight: Cell<u64>,
+    latencies: RefCell<Histogram<u64>>,
     requests: Cell<u64>,
     succeeded: Cell<u64>,
     refused: Cell<u64>,
@@ -282,7 +282,7 @@
     caller: Caller,
 }
 
-fn bump(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
@@ -295,10 +295,10 @@
                 .map(|it| 1.0 / (it as f64).powf(SKEW))
                 .collect(),
             running: Cell::new(true),
-            counting: Cell::new(false),
-            open: Cell::new(0),
-            times: Histogram::new_with_bounds(1, MOST_MICROS, 3)
-                .expect("sound bounds")
+            measuring: Cell::new(false),
+            in_flight: Cell::new(0),
+            latencies: Histogram::new_with_bounds(1, MAX_MICROS, 3)
+                .expect("valid bounds")
                 .into(),
             requests: Cell::new(0),
             succeeded: Cell::new(0),
@@ -311,14 +311,14 @@
         }
     }
 
-    /// Sends requests and calls at random times with steady means, until stopped.
+    /// Sends requests and calls at random intervals with constant means, until stopped.
     fn start(self: Rc<Load>, args: &Args) {
         let (requests, calls) = (Rc::clone(&self), self);
         let (rate, call_rate) = (args.rate, args.calls);
         actix_rt::spawn(async move {
             let mut next = tokio::time::Instant::now();
             for count in 0.. {
-                next += requests.gap(rate);
+                next += requests.next_interval(rate);
                 tokio::time::sleep_until(next).await;
                 if !requests.running.get() {
                     return;
@@ -329,7 +329,7 @@
         actix_rt::spawn(async move {
             let mut next = tokio::time::Instant::now();
             for count in 0.. {
-                next += calls.gap(call_rate);
+                next += calls.next_interval(call_rate);
                 tokio::time::sleep_until(next).await;
                 if !calls.running.get() {
                     return;
@@ -339,16 +339,16 @@
         });
     }
 
-    fn gap(&self, rate: f64) -> Duration {
+    fn next_interval(&self, rate: f64) -> Duration {
         let uniform: f64 = self.rng.borrow_mut().random();
         Duration::from_secs_f64(-(1.0 - uniform).ln() / rate)
     }
 
-    fn entry(&self) -> SocketAddr {
+    fn random_entry(&self) -> SocketAddr {
         self.entries[self.rng.borrow_mut().random_range(0..self.entries.len())]
     }
 
-    fn prompt(&self, count: u64) -> String {
+    fn random_prompt(&self, count: u64) -> String {
         let total: f64 = self.weights.iter().sum();
         let mut left = self.rng.borrow_mut().random_range(0.0..total);
         let picked = self.weights.iter().position(|it| {
@@ -360,37 +360,37 @@
     }
 
     async fn generate(self: Rc<Load>, count: u64) {
-        let counted = self.counting.get();
-        let prompt = self.prompt(count);
-        let entry = self.entry();
-        bump(&self.open);
+        let measured = self.measuring.get();
+        let prompt = self.random_prompt(count);
+        let entry = self.random_entry();
+        increment(&self.in_flight);
         let started = Instant::now();
         let answer = self.caller.generate(entry, MODEL, &prompt, TOKENS).await;
-        self.open.set(self.open.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
         let micros = started.elapsed().as_micros() as u64;
         let expected = engine::expected_tokens(&self.version.chunks, &prompt, TOKENS).concat();
         if answer.end.is_some() && answer.text != expected {
-            bump(&self.wrong);
+            increment(&self.wrong);
         }
-        if !counted {
+        if !measured {
             return;
         }
-        bump(&self.requests);
+        increment(&self.requests);
         if answer.end.is_some() {
-            bump(&self.succeeded);
-            self.times.borrow_mut().saturating_record(micros.max(1));
+            increment(&self.succeeded);
+            self.latencies.borrow_mut().saturating_record(micros.max(1));
             return;
         }
         let error = answer.error;
         if error.as_ref().is_some_and(|it| it.retryable) {
-            bump(&self.refused);
+            increment(&self.refused);
         }
         let kind = error.map_or_else(|| "connection".to_owned(), |it| it.kind);
         *self.failures.borrow_mut().entry(kind).or_default() += 1;
     }
 
-    /// Half of the calls have an idempotency key and are sent again when their outcome is unknown,
-    /// as a careful caller would.
+    /// Sends a call. Half of the calls have an idempotency key and are sent twice, as by a caller
+    /// that repeats a call with an unknown outcome.
     async fn call(self: Rc<Load>, count: u64) {
         let body = format!("seat {count}");
         let path = format!("{SERVICE}/charges");
@@ -401,21 +401,22 @@
         } else {
             self.caller.clone()
         };
-        bump(&self.open);
+        increment(&self.in_flight);
         let mut ran = "no".to_owned();
         for _ in 0..if keyed { 2 } else { 1 } {
-            let answer = caller.call(self.entry(), "POST", &path, &body).await;
-            let told = match (&answer.error, answer.status) {
+            let answer = caller.call(self.random_entry(), "POST", &path, &body).await;
+            let reported = match (&answer.error, answer.status) {
                 (Some(error), _) => error.ran.to_string(),
                 (None, 0) => "unknown".to_owned(),
                 (None, _) => "yes".to_owned(),
             };
-            // A later "not run" is of a later attempt; the first word that is no "no" counts.
+            // A "no" after a "yes" or "unknown" refers to the later attempt only, so the first value
+            // other than "no" is kept.
             if ran == "no" {
-                ran = told;
+                ran = reported;
             }
         }
-        self.open.set(self.open.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
         self.calls.borrow_mut().push(Call { body, ran });
     }
 
@@ -428,10 +429,10 @@
         after: Counters,
         cut_by_drain: u64,
     ) -> Report {
-        let times = self.times.borrow();
-        let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
+        let latencies = self.latencies.borrow();
+        let quantile_ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1000.0;
         let calls = self.calls.borrow();
-        let ran = |call: &Call| -> u64 {
+        let executions = |call: &Call| -> u64 {
             let name = format!("POST /charges {}", call.body);
             fleet
                 .services
@@ -450,9 +451,9 @@
             fault: args.fault,
             requests,
             succeeded_share: self.succeeded.get() as f64 / requests.max(1) as f64,
-            p50_ms: at(0.5),
-            p95_ms: at(0.95),
-            p99_ms: at(0.99),
+            p50_ms: quantile_ms(0.5),
+            p95_ms: quantile_ms(0.95),
+            p99_ms: quantile_ms(0.99),
             prefix_hit_share: (after.hits - before.hits) as f64
                 / (after.prompts - before.prompts).max(1) as f64,
             refused: self.refused.get(),
@@ -460,10 +461,10 @@
             calls: calls.len() as u64,
             calls_unknown: calls.iter().filter(|it| it.ran == "unknown").count() as u64,
             wrong_answers: self.wrong.get(),
-            ran_twice: calls.iter().filter(|it| 1 < ran(it)).count() as u64,
+            ran_twice: calls.iter().filter(|it| 1 < executions(it)).count() as u64,
             false_not_run: calls
                 .iter()
-                .filter(|it| it.ran == "no" && 0 < ran(it))
+                .filter(|it| it.ran == "no" && 0 < executions(it))
                 .count() as u64,
             cut_by_drain,
             failures: self.failures.borrow().clone(),
--- a/crates/gradeloft_bench/src/worker.rs
+++ b/crates/gradeloft_bench/src/worker.rs
@@ -1,4 +1,4 @@
-//! Threads that carry agents, their engines and their links.
+//! Threads that run agents with their engines and links.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -21,43 +21,43 @@
 use gradeloft_wire::border::platform::{Instance, InstanceRole, InstanceState};
 use tokio::sync::mpsc as queue;
 
-/// How often a worker looks whether its agents serve something new.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which a worker polls the versions that its agents serve.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What all agents share.
+/// Configuration shared by all agents.
 #[derive(Clone)]
-pub(crate) struct Common {
-    /// Platform part of the settings, in YAML.
+pub(crate) struct WorkerConfig {
+    /// Platform section of the settings, in YAML.
     pub(crate) platform: String,
-    /// Links.
+    /// Emulated links.
     pub(crate) links: Arc<Links>,
-    /// Speed of each agent's link.
+    /// Speed of each agent's link, in bytes per second.
     pub(crate) link_bytes_per_s: u64,
-    /// Availability zones.
+    /// Number of availability zones.
     pub(crate) zones: usize,
-    /// How chunks are spread.
+    /// Scheme by which agents fetch chunks.
     pub(crate) scheme: Scheme,
-    /// Time of an engine for a prompt, in milliseconds.
+    /// Time that an engine takes for a prompt, in milliseconds.
     pub(crate) prefill_ms: u64,
-    /// Time of an engine for a token, in milliseconds.
+    /// Time that an engine takes for a token, in milliseconds.
     pub(crate) token_ms: u64,
 }
 
-/// An order to a worker.
+/// Command to a worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Order {
-    /// The agent dies.
+pub(crate) enum WorkerCommand {
+    /// Drops the agent with this index.
     Kill(usize),
-    /// All ends.
+    /// Ends the thread with all its agents.
     Stop,
 }
 
-/// News from a worker.
+/// Event reported by a worker.
 #[derive(Debug)]
-pub(crate) enum News {
-    /// An agent listens.
+pub(crate) enum WorkerEvent {
+    /// An agent has started.
     Started(Box<Instance>),
-    /// An agent serves a version.
+    /// An agent started to serve a version.
     Serves {
         agent: usize,
         version: String,
@@ -65,51 +65,56 @@
     },
 }
 
-/// A thread with some of the agents.
+/// A thread that runs some of the agents.
 pub(crate) struct Worker {
-    /// Indices of its agents.
+    /// Indices of the agents.
     pub(crate) agents: Vec<usize>,
-    orders: queue::UnboundedSender<Order>,
+    commands: queue::UnboundedSender<WorkerCommand>,
     thread: thread::JoinHandle<()>,
 }
 
 impl Worker {
-    /// Starts a thread with agents.
-    pub(crate) fn start(common: Common, agents: Vec<usize>, news: mpsc::Sender<News>) -> Worker {
-        let (orders, received) = queue::unbounded_channel();
+    /// Starts a thread that runs agents.
+    pub(crate) fn start(
+        config: WorkerConfig,
+        agents: Vec<usize>,
+        events: mpsc::Sender<WorkerEvent>,
+    ) -> Worker {
+        let (commands, received) = queue::unbounded_channel();
         let indices = agents.clone();
         let thread = thread::spawn(move || {
-            actix_rt::System::new().block_on(run(common, indices, received, news));
+            actix_rt::System::new().block_on(run(config, indices, received, events));
         });
         Worker {
             agents,
-            orders,
+            commands,
             thread,
         }
     }
 
-    /// Gives an order.
-    pub(crate) fn order(&self, order: Order) {
-        // A worker that is gone has nothing left to do.
-        let _ = self.orders.send(order);
+    /// Sends a command to the thread.
+    pub(crate) fn send(&self, command: WorkerCommand) {
+        // The channel is closed if the thread has ended already.
+        let _ = self.commands.send(command);
     }
 
-    /// Ends the thread.
+    /// Stops the thread and waits for its end.
     pub(crate) fn stop(self) {
-        self.order(Order::Stop);
+        self.send(WorkerCommand::Stop);
         let _ = self.thread.join();
     }
 }
 
-struct Running {
+struct RunningAgent {
     idx: usize,
     agent: agent::Handle,
     _relay: Relay,
     _engine: Engine,
-    told: Vec<String>,
+    /// Versions that were reported as served.
+    reported: Vec<String>,
 }
 
-/// Address of an agent's instance.
+/// Returns the loopback address of an agent's instance.
 pub(crate) fn address(idx: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(
         127,
@@ -120,58 +125,58 @@
 }
 
 async fn run(
-    common: Common,
+    config: WorkerConfig,
     agents: Vec<usize>,
-    mut orders: queue::UnboundedReceiver<Order>,
-    news: mpsc::Sender<News>,
+    mut commands: queue::UnboundedReceiver<WorkerCommand>,
+    events: mpsc::Sender<WorkerEvent>,
 ) {
     let mut running = Vec::new();
     for idx in agents {
-        let (started, instance) = start(&common, idx).await.expect("an agent starts");
+        let (started, instance) = start(&config, idx).await.expect("an agent starts");
         running.push(started);
-        let _ = news.send(News::Started(Box::new(instance)));
+        let _ = events.send(WorkerEvent::Started(Box::new(instance)));
     }
     loop {
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(Order::Kill(idx)) => running.retain(|it| it.idx != idx),
-                Some(Order::Stop) | None => return,
+            command = commands.recv() => match command {
+                Some(WorkerCommand::Kill(idx)) => running.retain(|it| it.idx != idx),
+                Some(WorkerCommand::Stop) | None => return,
             },
-            () = actix_rt::time::sleep(LOOK_EVERY) => {
-                running.iter_mut().for_each(|it| tell(it, &news));
+            () = actix_rt::time::sleep(POLL_INTERVAL) => {
+                running.iter_mut().for_each(|it| report_serving(it, &events));
             }
         }
     }
 }
 
-async fn start(common: &Common, idx: usize) -> std::io::Result<(Running, Instance)> {
+async fn start(config: &WorkerConfig, idx: usize) -> std::io::Result<(RunningAgent, Instance)> {
     let engine = Engine::start().await?;
-    engine.state.prefill_ms.set(common.prefill_ms);
-    engine.state.token_ms.set(common.token_ms);
+    engine.state.prefill_ms.set(config.prefill_ms);
+    engine.state.token_ms.set(config.token_ms);
     let ip = address(idx);
-    common.links.set(ip, common.link_bytes_per_s);
+    config.links.set(ip, config.link_bytes_per_s);
     let (id, zone) = (
         format!("agent-{idx:03}"),
-        format!("zone-{}", idx % common.zones),
+        format!("zone-{}", idx % config.zones),
     );
     let yaml = format!(
         "role: agent\nnode: {{id: {id}, zone: {zone}, region: r}}\nlisten: {{peer: \"{ip}:0\", admin: \
          \"{ip}:0\", source: \"{ip}\"}}\n{}\nagent: {{endpoint: {{kind: engine, url: \"{}\"}}, \
          link_bytes_per_s: {}}}\n",
-        common.platform,
+        config.platform,
         engine.url(),
-        common.link_bytes_per_s
+        config.link_bytes_per_s
     );
-    let settings = settings::parse(&yaml).expect("sound settings");
-    let part = settings.agent.clone().expect("an agent's part");
-    let endpoint = Endpoint::http(&part.endpoint);
+    let settings = settings::parse(&yaml).expect("valid settings");
+    let agent_settings = settings.agent.clone().expect("an agent section");
+    let endpoint = Endpoint::http(&agent_settings.endpoint);
     let platform = Platform::http(&settings);
     let node = Node::new(settings, platform, logging::none(), idx as u64);
-    let agent = agent::Builder::new(node, part, endpoint)
-        .scheme(common.scheme)
+    let agent = agent::Builder::new(node, agent_settings, endpoint)
+        .scheme(config.scheme)
         .start()
         .await?;
-    let relay = Relay::start(Arc::clone(&common.links), ip, agent.peer()).await?;
+    let relay = Relay::start(Arc::clone(&config.links), ip, agent.peer()).await?;
     let instance = Instance {
         id,
         zone,
@@ -184,26 +189,26 @@
         service: None,
     };
     Ok((
-        Running {
+        RunningAgent {
             idx,
             agent,
             _relay: relay,
             _engine: engine,
-            told: Vec::new(),
+            reported: Vec::new(),
         },
         instance,
     ))
 }
 
-fn tell(running: &mut Running, news: &mpsc::Sender<News>) {
+fn report_serving(running: &mut RunningAgent, events: &mpsc::Sender<WorkerEvent>) {
     let notice = running.agent.node().notice.borrow();
     for pin in notice
         .serving
         .iter()
-        .filter(|it| !running.told.contains(&it.version))
+        .filter(|it| !running.reported.contains(&it.version))
     {
         let (version, at) = (pin.version.clone(), Instant::now());
-        let _ = news.send(News::Serves {
+        let _ = events.send(WorkerEvent::Serves {
             agent: running.idx,
             version,
             at,
@@ -211,6 +216,6 @@
     }
     let versions: Vec<String> = notice.serving.iter().map(|it| it.version.clone()).collect();
     drop(notice);
-    running.told.extend(versions);
-    running.told.dedup();
+    running.reported.extend(versions);
+    running.reported.dedup();
 }
--- a/crates/gradeloft_emulator/src/lib.rs
+++ b/crates/gradeloft_emulator/src/lib.rs
@@ -1,8 +1,8 @@
 //! Discrete-event simulation of a fleet in virtual time: callers, entries and replicas. It evaluates
 //! the decisions of `gradeloft_policy` without processes, sockets or a real clock.
 //!
-//! Entries run the same policy code as the gateway. Replicas process requests in passes, at the speed
-//! that an operator publishes. A run is determined by its load and its seed, and takes a small
+//! Entries run the same policy code as the gateway. Replicas process requests in passes, at the
+//! speed that an operator publishes. A run is determined by its load and its seed, and takes a small
 //! fraction of the time that it simulates.
 //!
 //! - [`engine`]: queue and passes of a replica.
--- a/crates/gradeloft_emulator/src/load.rs
+++ b/crates/gradeloft_emulator/src/load.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the requests per second that all replicas together answer with every slot in use: each
-    /// request takes the time to process its prompt and its share of the decoding steps.
+    /// Returns the requests per second that all replicas together answer with every slot in use:
+    /// each request takes the time to process its prompt and its share of the decoding steps.
     pub fn capacity(&self) -> f64 {
         let mean = |value: fn(&RequestKind) -> f64| -> f64 {
             self.kinds.iter().map(|it| it.fraction * value(it)).sum()
