--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -278,7 +278,7 @@
     /// Returns the number of requests that are still running then.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> u32 {
         let agent = &self.agent;
-        agent.node.leave();
+        agent.node.start_drain();
         info!(agent.node.log, "leaving"; "running" => agent.running.get());
         let limit = Duration::from_millis(agent.node.limits.drain_ms);
         let ended = async {
@@ -336,7 +336,7 @@
                 Call::Work(work) => work::handle(agent, work, outgoing).await,
                 Call::Chunk { digest } => share::send_chunk(agent, digest, outgoing).await,
                 Call::Follow { manifest } => share::send_holdings(agent, manifest, outgoing).await,
-                other => calls::answer(Rc::clone(&agent.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&agent.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/node/mod.rs
+++ b/crates/gradeloft_daemon/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! State and tasks of both roles: the bundle in force, the peers and the admin port.
 //!
 //! - [`admin`]: health, metrics and status.
-//! - [`calls`]: calls of peers that both roles answer in the same way.
+//! - [`calls`]: calls of peers that both roles serve in the same way.
 //! - [`config`]: synchronization of the bundle in force.
 //! - [`peers`]: the list of instances, connections to peers, and notices.
 
@@ -176,12 +176,12 @@
     }
 
     /// Returns whether the process is draining and accepts no new work.
-    pub fn leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.notice.borrow().leaving
     }
 
-    /// Marks the process as leaving, and notifies the peers that watch it.
-    pub fn leave(&self) {
+    /// Marks the process as draining, and notifies the peers that watch it.
+    pub fn start_drain(&self) {
         self.notice.send_modify(|it| it.leaving = true);
     }
 
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -257,7 +257,7 @@
 
     /// Returns whether this entry accepts callers.
     pub fn presence(&self) -> Presence {
-        if self.node.leaving.get() {
+        if self.node.draining.get() {
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
@@ -302,12 +302,12 @@
     /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a host that is bound
     /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
-        let homes = match self.config.borrow().as_ref() {
+        let allowed_regions = match self.config.borrow().as_ref() {
             Some(config) => config.allowed_regions_of_host(&lookup.host),
             None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
-            homes.allows(region) || lookup.region.as_deref() == Some(region)
+            allowed_regions.allows(region) || lookup.region.as_deref() == Some(region)
         });
         match bound.is_empty() {
             true => self.ready_addresses(|_| true),
@@ -388,7 +388,7 @@
         self.config.borrow().as_ref()?.service(service)?.speed
     }
 
-    /// Records the time that a replica took to begin an answer.
+    /// Records the time that a replica took to begin a response.
     pub fn record_response_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
@@ -476,14 +476,14 @@
     PeerServer::start(&address, PEER_LIMITS, Rc::clone(&node.scope), handler).await
 }
 
-/// Answers calls of peers.
+/// Serves calls of peers.
 struct PeerCalls(Rc<Node>);
 
 impl PeerHandler for PeerCalls {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let node = Rc::clone(&self.0);
         let scope = Rc::clone(&node.scope);
-        // A call that only agents serve gets no answer, which tells the caller that it failed.
+        // A call that only agents serve gets no reply, so that it fails at the peer.
         scope.spawn(async move { node.serve_call(call, outgoing).await });
     }
 
@@ -515,15 +515,15 @@
 impl Handle {
     /// Drains the entry: lookups no longer return it, new requests are still answered, and running requests
     /// finish. Returns the number of connections that were cut off.
-    pub async fn leave(self) -> usize {
+    pub async fn drain(self) -> usize {
         let entry = &self.entry;
         let node = &entry.node;
-        node.leaving.set(true);
-        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
-        entry.drain.set(Some(leave));
+        node.draining.set(true);
+        let drain = Drain::begin(node.clock.now(), node.settings().grace_ms);
+        entry.drain.set(Some(drain));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.drain_started.notify_waiters();
-        while !leave.finished(entry.open_connections.get(), node.clock.now()) {
+        while !drain.finished(entry.open_connections.get(), node.clock.now()) {
             actix_rt::time::sleep(DRAIN_POLL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
