--- a/crates/gradeloft_bench/src/footprint.rs
+++ b/crates/gradeloft_bench/src/footprint.rs
@@ -179,7 +179,7 @@
             let membership = membership(count);
             best_ns(|| {
                 let agents = membership.of(InstanceRole::Agent);
-                black_box(agents.filter(|(_, it)| it.takes_work(Time::ZERO)).count());
+                black_box(agents.filter(|(_, it)| it.accepts_work(Time::ZERO)).count());
             })
         }),
         Figure::new("admit", "ns", "team", &TEAMS, |count| {
--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -40,7 +40,7 @@
 /// Number of failed orders to load a version after which it counts as failed on this replica.
 const MAX_LOAD_ORDERS: u32 = 5;
 /// Interval at which the agent checks for running requests on a version to unload.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 const NO_EPOCH: &str = "no epoch from the log yet, which orders require";
 
@@ -234,7 +234,7 @@
         .notice
         .send_modify(|it| it.serving.retain(|it| *it != pin));
     while 0 < agent.running_on(&pin) {
-        actix_rt::time::sleep(DRAIN_POLL).await;
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     send_order(agent, engine, Action::Unload, victim).await
 }
--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -61,7 +61,7 @@
 /// Time limit for an endpoint to begin a response.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a drain checks for running requests.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time at the start of a drain in which the entries learn of it.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
 /// Delay before an epoch is requested again after a failure of the log.
@@ -284,7 +284,7 @@
         let ended = async {
             actix_rt::time::sleep(DRAIN_NOTICE).await;
             while 0 < agent.running.get() {
-                actix_rt::time::sleep(DRAIN_POLL).await;
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         tokio::select! {
--- a/crates/gradeloft_daemon/src/entry/addresses.rs
+++ b/crates/gradeloft_daemon/src/entry/addresses.rs
@@ -48,7 +48,7 @@
         let now = self.node.clock.now();
         let others = membership
             .of(InstanceRole::Entry)
-            .filter(|(_, it)| it.takes_work(now));
+            .filter(|(_, it)| it.accepts_work(now));
         let mut entries: Vec<address::Entry> = others
             .filter_map(|(_, it)| {
                 Some(address::Entry {
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -259,7 +259,7 @@
         let membership = self.node.membership.borrow();
         let serving: Vec<(PeerKey, &Peer)> = membership
             .of(InstanceRole::Agent)
-            .filter(|(_, it)| it.takes_work(now) && target.served_by(it))
+            .filter(|(_, it)| it.accepts_work(now) && target.served_by(it))
             .filter(|(_, it)| context.may_use_zone(&it.instance.zone))
             .collect();
         let in_flight = serving
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -145,7 +145,7 @@
         let membership = self.node.membership.borrow();
         let mut serving: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, peer) in membership.of(InstanceRole::Agent) {
-            let usable = peer.takes_work(now) && context.may_use_zone(&peer.instance.zone);
+            let usable = peer.accepts_work(now) && context.may_use_zone(&peer.instance.zone);
             let pins = peer
                 .notice
                 .iter()
--- a/crates/gradeloft_daemon/tests/combined_failures.rs
+++ b/crates/gradeloft_daemon/tests/combined_failures.rs
@@ -55,7 +55,7 @@
             let membership = it.node().membership.borrow();
             membership
                 .iter()
-                .filter(|(_, it)| it.takes_work(now))
+                .filter(|(_, it)| it.accepts_work(now))
                 .count()
                 == 3
         })
--- a/crates/gradeloft_daemon/tests/rollout.rs
+++ b/crates/gradeloft_daemon/tests/rollout.rs
@@ -588,7 +588,7 @@
             .find(|(_, it)| it.instance.id == "engine-0");
         peer.is_some_and(|(_, it)| {
             it.instance.peer == other
-                && !it.takes_work(now)
+                && !it.accepts_work(now)
                 && (!refused || it.health.is_suspect(now))
         })
     };
--- a/crates/gradeloft_daemon/tests/serving.rs
+++ b/crates/gradeloft_daemon/tests/serving.rs
@@ -335,7 +335,7 @@
     let (force, forced) = watch::channel(false);
     let entry = fleet.entries[0].as_ref().unwrap();
     let requests = async {
-        wait_until("the entry leaves", || entry.node().is_draining()).await;
+        wait_until("the entry is draining", || entry.node().is_draining()).await;
         let deadline = |ms| fleet.caller().with_header("x-deadline-ms", ms);
         let (short_deadline, long_deadline) = (deadline("1000"), deadline("60000"));
         let short = short_deadline.generate(fleet.entry(0), MODEL, "p", 3).await;
--- a/crates/gradeloft_daemon/tests/sessions.rs
+++ b/crates/gradeloft_daemon/tests/sessions.rs
@@ -253,7 +253,7 @@
             node.membership
                 .borrow()
                 .iter()
-                .any(|(_, it)| it.takes_work(now))
+                .any(|(_, it)| it.accepts_work(now))
         };
         wait_until("the refusing agent is no longer suspect", not_suspect).await;
         let answer = caller.generate(fleet.entry(0), MODEL, "p", 1).await;
--- a/crates/gradeloft_gateway/src/entry/abort.rs
+++ b/crates/gradeloft_gateway/src/entry/abort.rs
@@ -69,7 +69,7 @@
             let age = self.entry.node.clock.now().since(self.received);
             info!(log, "request"; "request" => &self.request, "outcome" => "cut",
                 "ended_by" => AbortReason::Shutdown.name(), "ms" => age.as_millis() as u64,
-                "leaving_ms" => self.entry.leaving_ms());
+                "leaving_ms" => self.entry.draining_ms());
         }
     }
 }
@@ -83,8 +83,8 @@
         self.node.metrics.cut.get_or_create(&label).inc();
     }
 
-    /// Returns for how long this process has been shutting down, in milliseconds; -1 if it is not.
-    pub(super) fn leaving_ms(&self) -> i64 {
+    /// Returns the time for which this process has been draining, in milliseconds; -1 if it is not.
+    pub(super) fn draining_ms(&self) -> i64 {
         let since = |it: Drain| self.node.clock.now().since(it.since).as_millis() as i64;
         self.drain.get().map_or(-1, since)
     }
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -457,7 +457,7 @@
         "ms" => since(now).as_millis() as u64, "claim" => %job.urgency, "expected_ms" => job.expected_ms,
         "ended_by" => abort_reason.map_or("", AbortReason::name),
         "quiet_ms" => job.last_data_at.map_or(-1, |it| now.since(it).as_millis() as i64),
-        "leaving_ms" => entry.leaving_ms(), "config_before" => job.config_version,
+        "leaving_ms" => entry.draining_ms(), "config_before" => job.config_version,
         "config" => entry.config_version(), "behind_ms" => behind_ms(entry),
         "replicas_known" => entry.replicas.borrow().len(), "resumed" => is_resumed(job),
         "fingerprint" => suspect_fingerprint(job, outcome).map_or_else(String::new, |it| it.to_string()),
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -108,7 +108,7 @@
 /// Share of a replica's connection limit that all entries together use.
 const CONNECTIONS_SHARE: f64 = 0.85;
 /// Pause between checks whether a draining entry may exit.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Limits of the listener for peers.
 const PEER_LIMITS: peer_server::Limits = peer_server::Limits {
     frame_bytes: MAX_FRAME,
@@ -532,7 +532,7 @@
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.drain_started.notify_waiters();
         while !drain.finished(entry.open_connections.get(), node.clock.now()) {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
         info!(node.logs.root, "left"; "cut_off" => cut);
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -46,7 +46,7 @@
 pub(super) use self::crash::{Evidence, ReplicaStart};
 use self::{
     crash::LostRequests,
-    store::{HEARD_WRITE_DELAY_MS, STORE_AT_CRASHES},
+    store::{LEARNED_WRITE_DELAY_MS, STORE_AT_CRASHES},
 };
 
 /// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a
@@ -225,7 +225,7 @@
         let wait = match source {
             Source::Own => 0,
             Source::Peer(_) | Source::Store => {
-                let (from, to) = HEARD_WRITE_DELAY_MS;
+                let (from, to) = LEARNED_WRITE_DELAY_MS;
                 self.node.with_rng(|it| it.random_range(from..to))
             }
         };
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -22,7 +22,7 @@
 /// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned
 /// from others and that is still missing in the store. The entry that observed the crash writes at
 /// once.
-pub(super) const HEARD_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
+pub(super) const LEARNED_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
 /// Delay before a failed write is retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 700;
 /// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so
--- a/crates/gradeloft_gateway/src/h1/head.rs
+++ b/crates/gradeloft_gateway/src/h1/head.rs
@@ -74,7 +74,7 @@
     pub method: Bytes,
     /// Path and query.
     pub target: Bytes,
-    /// Whether it is HTTP/1.1 rather than 1.0.
+    /// Whether the version is HTTP/1.1 rather than 1.0.
     pub is_http_1_1: bool,
     /// Headers.
     pub fields: Fields,
@@ -101,7 +101,7 @@
     pub status: u16,
     /// Reason phrase.
     pub reason: Bytes,
-    /// Whether it is HTTP/1.1 rather than 1.0.
+    /// Whether the version is HTTP/1.1 rather than 1.0.
     pub is_http_1_1: bool,
     /// Headers.
     pub fields: Fields,
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -120,7 +120,7 @@
     pub scope: Rc<Scope>,
     /// Connections to peers.
     pub peers: Pool,
-    /// Set once the process received SIGTERM.
+    /// Set once the process drains, after SIGTERM.
     pub draining: Cell<bool>,
     /// Copies of the tables.
     copies: RefCell<[Mirror; 3]>,
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn an_entry_that_asks_gets_the_entries_of_its_own_region() {
+fn an_entry_that_requests_state_gets_the_entries_of_its_own_region() {
     run(async {
         let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let first = UdpPeer::bind(4, "elsewhere").await;
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -49,7 +49,7 @@
     pub host: String,
     /// Prefix of the request path; ends with a slash.
     pub prefix: String,
-    /// Whether its requests may be repeated, and the form of their responses.
+    /// Whether the route's requests may be repeated, and the form of their responses.
     pub kind: RouteKind,
     /// Services; at least one.
     pub targets: Vec<Target>,
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -52,7 +52,7 @@
 
 impl Peer {
     /// Returns whether the peer accepts new work at `now`.
-    pub fn takes_work(&self, now: Time) -> bool {
+    pub fn accepts_work(&self, now: Time) -> bool {
         let leaving = self.notice.as_ref().is_none_or(|it| it.leaving);
         let listed_leaving = self.instance.state == InstanceState::Leaving;
         self.connected && !leaving && !listed_leaving && !self.health.is_suspect(now)
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -359,7 +359,7 @@
         replica.evacuated = self.evacuated.contains(&replica.listing.zone);
         replica.gone_at = None;
         if before != service {
-            self.leave_service(&before, key);
+            self.remove_from_service(&before, key);
             self.by_service.entry(service).or_default().push(key);
         }
         key
@@ -540,11 +540,11 @@
     fn remove(&mut self, key: ReplicaKey) {
         if let Some(replica) = self.arena.remove(key) {
             self.by_id.remove(&replica.listing.id);
-            self.leave_service(&replica.listing.service, key);
+            self.remove_from_service(&replica.listing.service, key);
         }
     }
 
-    fn leave_service(&mut self, service: &str, key: ReplicaKey) {
+    fn remove_from_service(&mut self, service: &str, key: ReplicaKey) {
         if let Some(keys) = self.by_service.get_mut(service) {
             keys.retain(|it| *it != key);
         }
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -66,13 +66,13 @@
 /// Status that an entry sends about itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Status<'a> {
-    /// Number of its current start; later starts have higher numbers.
+    /// Number of the entry's current start; later starts have higher numbers.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: &'a str,
-    /// Whether it accepts callers.
+    /// State towards callers.
     pub state: State,
-    /// Whether it has access to the platform's store.
+    /// Whether the entry has access to the platform's store.
     pub served: bool,
     /// End of the entry's copy of the operator's table.
     pub end: u64,
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -159,9 +159,9 @@
 #[derive(Clone, Copy)]
 struct Holder {
     peer: Ipv4Addr,
-    /// Whether it is in the own region.
+    /// Whether the peer is in the own region.
     near: bool,
-    /// End of its copy.
+    /// End of the peer's copy.
     end: u64,
     at: Time,
 }
--- a/crates/gradeloft_policy/tests/placement.rs
+++ b/crates/gradeloft_policy/tests/placement.rs
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn only_replicas_with_new_enough_weights_that_are_not_leaving_get_requests() {
+fn only_replicas_with_new_enough_weights_that_are_not_draining_get_requests() {
     let mut replicas = Replicas::default();
     replicas.apply_listing(listing("a", None));
     let old = replicas.apply_listing(listing("bb", Some(1)));
-    let mut leaving = listing("ccc", Some(2));
-    leaving.draining = true;
-    replicas.apply_listing(leaving);
+    let mut draining = listing("ccc", Some(2));
+    draining.draining = true;
+    replicas.apply_listing(draining);
     let now = Time::ZERO;
     assert_eq!(choose(&replicas, REQUIREMENTS, now), Some(old));
     let strict = Requirements {
--- a/crates/gradeloft_policy/tests/process.rs
+++ b/crates/gradeloft_policy/tests/process.rs
@@ -41,10 +41,10 @@
     }
 }
 
-fn takes_work(membership: &Membership, now: Time) -> Vec<String> {
+fn accepts_work(membership: &Membership, now: Time) -> Vec<String> {
     let mut ids: Vec<String> = membership
         .iter()
-        .filter(|(_, it)| it.takes_work(now))
+        .filter(|(_, it)| it.accepts_work(now))
         .map(|(_, it)| it.instance.id.clone())
         .collect();
     ids.sort();
@@ -58,11 +58,11 @@
     let keys = membership.apply_list(vec![instance("own", live), instance("a", live)]);
     assert_eq!(keys.len(), 1, "the own instance is no peer");
     let now = Time::ZERO;
-    assert!(takes_work(&membership, now).is_empty());
+    assert!(accepts_work(&membership, now).is_empty());
     membership.receive_notice(keys[0], notice(false), now);
-    assert_eq!(takes_work(&membership, now), ["a"]);
+    assert_eq!(accepts_work(&membership, now), ["a"]);
     membership.receive_notice(keys[0], notice(true), now);
-    assert!(takes_work(&membership, now).is_empty());
+    assert!(accepts_work(&membership, now).is_empty());
 }
 
 #[test]
@@ -75,7 +75,7 @@
             .apply_list(vec![instance("a", InstanceState::Leaving)])
             .is_empty()
     );
-    assert!(takes_work(&membership, Time::ZERO).is_empty());
+    assert!(accepts_work(&membership, Time::ZERO).is_empty());
 }
 
 #[test]
@@ -87,10 +87,10 @@
         membership.receive_notice(*key, notice(false), Time::ZERO);
     }
     membership.apply_list(Vec::new());
-    assert_eq!(takes_work(&membership, Time::ZERO), ["a", "bb"]);
+    assert_eq!(accepts_work(&membership, Time::ZERO), ["a", "bb"]);
     membership.connection_lost(keys[0], Time::ZERO);
     assert!(membership.get(keys[0]).is_none());
-    assert_eq!(takes_work(&membership, Time::ZERO), ["bb"]);
+    assert_eq!(accepts_work(&membership, Time::ZERO), ["bb"]);
 }
 
 #[test]
@@ -104,7 +104,7 @@
         ..instance("a", live)
     };
     assert_eq!(membership.apply_list(vec![moved]), keys);
-    assert!(takes_work(&membership, Time::ZERO).is_empty());
+    assert!(accepts_work(&membership, Time::ZERO).is_empty());
 }
 
 #[test]
--- a/crates/gradeloft_standin/src/fleet.rs
+++ b/crates/gradeloft_standin/src/fleet.rs
@@ -395,7 +395,7 @@
             let now = entry.node().clock.now();
             let peers = membership
                 .of(InstanceRole::Agent)
-                .filter(|(_, it)| it.takes_work(now));
+                .filter(|(_, it)| it.accepts_work(now));
             let notices: Vec<_> = peers.filter_map(|(_, it)| it.notice.as_ref()).collect();
             let serves = |it: &&&gradeloft_wire::frame::Notice| {
                 it.serving.iter().any(|it| it.version == version.version)
