--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -1,8 +1,8 @@
 //! Reconciles the versions that the engine serves with the bundle.
 //!
-//! A version is deployed in phases: its chunks are fetched and staged, the engine is ordered to load
-//! it, and the engine's state is read back. Entries are notified only of versions that were read back.
-//! A newer bundle cancels the deployment of an older one in any phase.
+//! A version is deployed in phases: its chunks are fetched and staged, the engine is ordered to
+//! load it, and the engine's state is read back. Entries are notified only of versions that were
+//! read back. A newer bundle cancels the deployment of an older one in any phase.
 
 use std::{rc::Rc, time::Duration};
 
@@ -40,7 +40,7 @@
 /// Number of failed orders to load a version after which it counts as failed on this replica.
 const MAX_LOAD_ORDERS: u32 = 5;
 /// Interval at which the agent checks for running requests on a version to unload.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 const NO_EPOCH: &str = "no epoch from the log yet, which orders require";
 
@@ -90,8 +90,8 @@
 }
 
 /// Records in the log that this replica serves the targets, so that the next availability zones can
-/// continue. This includes versions that the engine served before the agent started. Without an order
-/// of the zones nothing is recorded. Returns whether all are recorded.
+/// continue. This includes versions that the engine served before the agent started. Without an
+/// order of the zones nothing is recorded. Returns whether all are recorded.
 async fn report_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
     let mut reported = agent.has_zone_order();
     for (target, _) in targets.iter().zip(failed).filter(|(_, failed)| !**failed) {
@@ -234,7 +234,7 @@
         .notice
         .send_modify(|it| it.serving.retain(|it| *it != pin));
     while 0 < agent.running_on(&pin) {
-        actix_rt::time::sleep(DRAIN_POLL).await;
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     send_order(agent, engine, Action::Unload, victim).await
 }
@@ -341,8 +341,8 @@
             .collect()
     }
 
-    /// Returns the instance of every engine (name, availability zone, peer address) and the index of
-    /// the model placed there.
+    /// Returns the instance of every engine (name, availability zone, peer address) and the index
+    /// of the model placed there.
     fn placements(&self, bundle: &Bundle) -> Vec<((String, String, String), Option<usize>)> {
         let settings = &self.node.settings;
         let membership = self.node.membership.borrow();
--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -61,7 +61,7 @@
 /// Time limit for an endpoint to begin a response.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a drain checks for running requests.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time at the start of a drain in which the entries learn of it.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
 /// Delay before an epoch is requested again after a failure of the log.
@@ -278,13 +278,13 @@
     /// Returns the number of requests that are still running then.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> u32 {
         let agent = &self.agent;
-        agent.node.leave();
+        agent.node.start_drain();
         info!(agent.node.log, "leaving"; "running" => agent.running.get());
         let limit = Duration::from_millis(agent.node.limits.drain_ms);
         let ended = async {
             actix_rt::time::sleep(DRAIN_NOTICE).await;
             while 0 < agent.running.get() {
-                actix_rt::time::sleep(DRAIN_POLL).await;
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         tokio::select! {
@@ -336,7 +336,7 @@
                 Call::Work(work) => work::handle(agent, work, outgoing).await,
                 Call::Chunk { digest } => share::send_chunk(agent, digest, outgoing).await,
                 Call::Follow { manifest } => share::send_holdings(agent, manifest, outgoing).await,
-                other => calls::answer(Rc::clone(&agent.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&agent.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -96,9 +96,9 @@
     }
 }
 
-/// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the store
-/// or the origin. Other agents query owners and partners first, so that it spreads over the partners
-/// and the owners are not overloaded.
+/// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the
+/// store or the origin. Other agents query owners and partners first, so that it spreads over the
+/// partners and the owners are not overloaded.
 pub async fn manifest(
     agent: &Rc<Agent>,
     digest: Digest,
@@ -137,7 +137,7 @@
     attempts: usize,
 ) -> Option<Bytes> {
     let nodes: Vec<u64> = members.iter().map(|it| it.node).collect();
-    let key = digest.short();
+    let key = digest.prefix_u64();
     let rank = rendezvous::rank(key, agent.own_hash, nodes.iter().copied());
     if rank == 0 || MANIFEST_OWNERS * 4 * rank < attempts {
         let store = agent
--- a/crates/gradeloft_daemon/src/entry/generate.rs
+++ b/crates/gradeloft_daemon/src/entry/generate.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::stream;
-use gradeloft_http::message::{Answer, Request, stream as streamed, with_header};
+use gradeloft_http::message::{HttpResponse, Request, stream as streamed, with_header};
 use gradeloft_policy::{
     clock::Time, rendezvous, request::retry::Repeat, version::rollout::ServedVersion,
 };
@@ -32,14 +32,14 @@
 const BYTES_PER_TOKEN: f64 = 4.0;
 const MAX_TOKENS: u32 = 1_000_000;
 
-/// Answers a generate request with server-sent events: `token`s, then `end` or `error`.
-pub async fn answer(
+/// Responds to a generate request with server-sent events: `token`s, then `end` or `error`.
+pub async fn respond(
     entry: &Rc<Entry>,
     request: &Request,
     id: &str,
     team: &str,
     model: &str,
-) -> Result<Answer, Failure> {
+) -> Result<HttpResponse, Failure> {
     let (context, generate) = parse(entry, request, id, team, model)?;
     let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let adapter = generate.adapter.clone();
@@ -70,8 +70,8 @@
         Some(relay),
         |relay| async move { relay?.next_event().await },
     );
-    let answer = streamed(200, "text/event-stream", body);
-    Ok(with_header(answer, api::REQUEST_ID, id))
+    let response = streamed(200, "text/event-stream", body);
+    Ok(with_header(response, api::REQUEST_ID, id))
 }
 
 fn parse(
@@ -145,7 +145,7 @@
         let membership = self.node.membership.borrow();
         let mut serving: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, peer) in membership.of(InstanceRole::Agent) {
-            let usable = peer.takes_work(now) && context.may_use_zone(&peer.instance.zone);
+            let usable = peer.accepts_work(now) && context.may_use_zone(&peer.instance.zone);
             let pins = peer
                 .notice
                 .iter()
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -13,7 +13,7 @@
 use gradeloft_wire::{
     border::platform::InstanceRole,
     error::Kind,
-    frame::{Borrow, Call, Reply, Units},
+    frame::{Call, MilliRates, Reply, TeamLeaseRequest},
 };
 use tokio::time::timeout;
 
@@ -41,7 +41,7 @@
     teams: HashMap<String, TeamState>,
     /// Lenders by team, for the teams of which other entries have requested leases.
     lenders: HashMap<String, [Lender; 2]>,
-    /// Time of the first lease request since the last answer.
+    /// Time of the first lease request since the last reply.
     unanswered_since: Option<Time>,
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns a lease request for each team with demand.
-    fn lease_requests(&mut self, now: Time) -> Vec<Borrow> {
+    fn lease_requests(&mut self, now: Time) -> Vec<TeamLeaseRequest> {
         let mut lease_requests = Vec::new();
         for (name, team) in &mut self.teams {
             let [requests, tokens] = &mut team.demand;
@@ -113,8 +113,8 @@
             ];
             let held = team.borrowers.map(|it| it.held(now));
             if MIN_DEMAND < demand[0] {
-                let (demand, held) = (to_units(need), to_units(held));
-                lease_requests.push(Borrow {
+                let (demand, held) = (to_milli_rates(need), to_milli_rates(held));
+                lease_requests.push(TeamLeaseRequest {
                     team: name.clone(),
                     demand,
                     held,
@@ -128,10 +128,10 @@
     fn grant(
         &mut self,
         entry: u64,
-        lease_requests: &[Borrow],
+        lease_requests: &[TeamLeaseRequest],
         counts: EntryCounts,
         now: Time,
-    ) -> Vec<Units> {
+    ) -> Vec<MilliRates> {
         lease_requests
             .iter()
             .map(|it| self.grant_one(entry, it, counts, now))
@@ -141,12 +141,12 @@
     fn grant_one(
         &mut self,
         entry: u64,
-        lease_request: &Borrow,
+        lease_request: &TeamLeaseRequest,
         counts: EntryCounts,
         now: Time,
-    ) -> Units {
+    ) -> MilliRates {
         let Some(team) = self.teams.get(&lease_request.team) else {
-            return Units::default();
+            return MilliRates::default();
         };
         let lenders = self.lenders.entry(lease_request.team.clone());
         let lenders = lenders.or_insert_with(|| [Lender::new(now), Lender::new(now)]);
@@ -166,21 +166,21 @@
             };
             granted[idx] = lenders[idx].grant(lease_request, fleet, now);
         }
-        to_units(granted)
+        to_milli_rates(granted)
     }
 
     fn record_request(&mut self, now: Time) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    fn record_answer(&mut self) {
+    fn record_reply(&mut self) {
         self.unanswered_since = None;
     }
 
-    fn record_grant(&mut self, team: &str, granted: Units, asked_at: Time) {
+    fn record_grant(&mut self, team: &str, granted: MilliRates, requested_at: Time) {
         if let Some(team) = self.teams.get_mut(team) {
             for (borrower, rate) in team.borrowers.iter_mut().zip(to_rates(granted)) {
-                borrower.granted(rate, asked_at);
+                borrower.granted(rate, requested_at);
             }
         }
     }
@@ -217,15 +217,16 @@
 }
 
 impl Entry {
-    /// Answers the lease requests of another entry.
-    pub(super) fn grant(&self, node: &str, lease_requests: &[Borrow]) -> Reply {
+    /// Replies to the lease requests of another entry.
+    pub(super) fn grant(&self, node: &str, lease_requests: &[TeamLeaseRequest]) -> Reply {
         let now = self.node.clock.now();
         let entry = rendezvous::hash(node.as_bytes());
-        Reply::Lent(
-            self.limits
-                .borrow_mut()
-                .grant(entry, lease_requests, self.entry_counts(), now),
-        )
+        Reply::Leased(self.limits.borrow_mut().grant(
+            entry,
+            lease_requests,
+            self.entry_counts(),
+            now,
+        ))
     }
 
     pub(super) fn listed_entries(&self) -> usize {
@@ -246,7 +247,10 @@
     }
 
     /// Groups lease requests by the address of their home; `None` is this entry.
-    fn group_by_home(&self, lease_requests: Vec<Borrow>) -> HashMap<Option<String>, Vec<Borrow>> {
+    fn group_by_home(
+        &self,
+        lease_requests: Vec<TeamLeaseRequest>,
+    ) -> HashMap<Option<String>, Vec<TeamLeaseRequest>> {
         let own = rendezvous::hash(self.node.settings.node.id.as_bytes());
         let membership = self.node.membership.borrow();
         let connected: Vec<(u64, &str)> = membership
@@ -254,7 +258,7 @@
             .filter(|(_, it)| it.listed && it.connected)
             .map(|(_, it)| (it.node, it.instance.peer.as_str()))
             .collect();
-        let mut homes: HashMap<Option<String>, Vec<Borrow>> = HashMap::new();
+        let mut homes: HashMap<Option<String>, Vec<TeamLeaseRequest>> = HashMap::new();
         for lease_request in lease_requests {
             let nodes = connected.iter().map(|it| it.0).chain([own]);
             let home = rate_leases::home(&lease_request.team, nodes);
@@ -267,19 +271,19 @@
         homes
     }
 
-    async fn request_leases(&self, home: Option<String>, lease_requests: Vec<Borrow>) {
-        let asked_at = self.node.clock.now();
+    async fn request_leases(&self, home: Option<String>, lease_requests: Vec<TeamLeaseRequest>) {
+        let requested_at = self.node.clock.now();
         let own = self.node.settings.node.id.clone();
-        self.limits.borrow_mut().record_request(asked_at);
+        self.limits.borrow_mut().record_request(requested_at);
         let reply = match &home {
-            // Without a majority, this entry is no home, and its own answer does not show that
+            // Without a majority, this entry is no home, and its own reply does not show that
             // homes can be reached.
             None if !self.entry_counts().has_majority() => return,
             None => self.grant(&own, &lease_requests),
             Some(address) => {
-                let call = Call::Borrow {
+                let call = Call::Lease {
                     node: own,
-                    asks: lease_requests.clone(),
+                    requests: lease_requests.clone(),
                 };
                 let calling = self.node.pool.call(address, Lane::Live, &call);
                 match timeout(Duration::from_millis(LEASE_MS), calling).await {
@@ -288,30 +292,30 @@
                 }
             }
         };
-        let Reply::Lent(granted) = reply else {
+        let Reply::Leased(granted) = reply else {
             return;
         };
         let entries = self.entry_counts().entries;
         let mut limits = self.limits.borrow_mut();
-        limits.record_answer();
+        limits.record_reply();
         for (lease_request, granted) in lease_requests.iter().zip(granted) {
-            limits.record_grant(&lease_request.team, granted, asked_at);
+            limits.record_grant(&lease_request.team, granted, requested_at);
         }
         limits.apply(entries, self.node.clock.now());
     }
 }
 
-fn to_units([requests, tokens]: [f64; 2]) -> Units {
+fn to_milli_rates([requests, tokens]: [f64; 2]) -> MilliRates {
     let thousandths = |it: f64| (it * THOUSANDTHS_PER_UNIT) as u64;
-    Units {
+    MilliRates {
         requests: thousandths(requests),
         tokens: thousandths(tokens),
     }
 }
 
-fn to_rates(units: Units) -> [f64; 2] {
+fn to_rates(milli_rates: MilliRates) -> [f64; 2] {
     [
-        units.requests as f64 / THOUSANDTHS_PER_UNIT,
-        units.tokens as f64 / THOUSANDTHS_PER_UNIT,
+        milli_rates.requests as f64 / THOUSANDTHS_PER_UNIT,
+        milli_rates.tokens as f64 / THOUSANDTHS_PER_UNIT,
     ]
 }
--- a/crates/gradeloft_daemon/src/entry/mod.rs
+++ b/crates/gradeloft_daemon/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! The entry: answers address queries, and admits, routes and relays callers' requests.
+//! The entry: responds to address queries, and admits, routes and relays callers' requests.
 //!
-//! - [`addresses`]: answers to address queries.
+//! - [`addresses`]: responses to address queries.
 //! - [`api`]: parsing of callers' requests, and error responses.
 //! - [`dispatch`]: attempts at agents until one responds.
 //! - [`generate`]: streamed generate requests.
@@ -24,7 +24,7 @@
 
 use futures_util::FutureExt;
 use gradeloft_http::{
-    message::{Answer, Request},
+    message::{HttpResponse, Request},
     server::{self, Handler},
 };
 use gradeloft_policy::{
@@ -160,7 +160,7 @@
     /// because the drain timeout passed or `forced` became true.
     pub async fn drain(&self, mut forced: watch::Receiver<bool>) -> usize {
         let node = &self.entry.node;
-        node.leave();
+        node.start_drain();
         info!(node.log, "leaving"; "running" => self.entry.in_flight.get());
         let drain_timeout = Duration::from_millis(node.limits.drain_ms);
         node.shutdown_deadline
@@ -192,7 +192,7 @@
 
 impl admin::Report for Entry {
     fn ready(&self) -> Result<(), &'static str> {
-        if self.node.leaving() {
+        if self.node.is_draining() {
             return Err("leaving");
         }
         match self.node.chain.borrow().head() {
@@ -224,23 +224,23 @@
     server::Server::start(&address, limits, handler).await
 }
 
-async fn handle(entry: Rc<Entry>, request: Request) -> Answer {
+async fn handle(entry: Rc<Entry>, request: Request) -> HttpResponse {
     let id = api::request_id(&entry.node, &request);
     let _guard = InFlightGuard::new(&entry);
     let result = route(&entry, request, &id).await;
     result.unwrap_or_else(|failure| api::error_response(&entry, &failure, &id))
 }
 
-async fn route(entry: &Rc<Entry>, request: Request, id: &str) -> Result<Answer, Failure> {
+async fn route(entry: &Rc<Entry>, request: Request, id: &str) -> Result<HttpResponse, Failure> {
     let path = request.path.clone();
     let segments: Vec<&str> = path.split('/').filter(|it| !it.is_empty()).collect();
     match (request.method.as_str(), segments.as_slice()) {
-        ("GET", ["v1", "addresses"]) => addresses::answer(entry, &request),
+        ("GET", ["v1", "addresses"]) => addresses::respond(entry, &request),
         ("POST", ["v1", "teams", team, "models", model, "generate"]) => {
-            generate::answer(entry, &request, id, team, model).await
+            generate::respond(entry, &request, id, team, model).await
         }
         (_, ["v1", "teams", team, "services", service, rest @ ..]) => {
-            service::answer(entry, &request, id, team, service, rest).await
+            service::respond(entry, &request, id, team, service, rest).await
         }
         _ => Err(Failure::with_detail(Kind::NotFound, "no such route")),
     }
@@ -270,11 +270,11 @@
         let scope = Rc::clone(&entry.node.scope);
         scope.spawn(async move {
             match call {
-                Call::Borrow { node, asks } => {
-                    let granted = entry.grant(&node, &asks);
+                Call::Lease { node, requests } => {
+                    let granted = entry.grant(&node, &requests);
                     outgoing.finish(&granted).await;
                 }
-                other => calls::answer(Rc::clone(&entry.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&entry.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/entry/service.rs
+++ b/crates/gradeloft_daemon/src/entry/service.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::stream;
-use gradeloft_http::message::{Answer, Request, stream as streamed, with_header};
+use gradeloft_http::message::{HttpResponse, Request, stream as streamed, with_header};
 use gradeloft_policy::{rendezvous, request::retry};
 use gradeloft_wire::{
     border::bundle::Service,
@@ -26,15 +26,15 @@
 const REPEATABLE: &str = "x-repeatable";
 const MAX_KEY_BYTES: usize = 256;
 
-/// Answers a call with the response of the service.
-pub async fn answer(
+/// Responds to a call with the response of the service.
+pub async fn respond(
     entry: &Rc<Entry>,
     request: &Request,
     id: &str,
     team: &str,
     service: &str,
     rest: &[&str],
-) -> Result<Answer, Failure> {
+) -> Result<HttpResponse, Failure> {
     let (context, job) = parse(entry, request, id, team, service, rest)?;
     let fail = |kind: Kind| Failure::from(kind).for_caller(&context);
     let now = entry.node.clock.now();
@@ -71,8 +71,8 @@
         Some(relay),
         |relay| async move { relay?.next_chunk().await },
     );
-    let answer = streamed(status, &content_type, body);
-    Ok(with_header(answer, api::REQUEST_ID, id))
+    let response = streamed(status, &content_type, body);
+    Ok(with_header(response, api::REQUEST_ID, id))
 }
 
 fn parse(
--- a/crates/gradeloft_daemon/src/node/admin.rs
+++ b/crates/gradeloft_daemon/src/node/admin.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, json, text},
+    message::{HttpResponse, Request, bytes_of, json, text},
     server::{Handler, Limits, Server},
 };
 use gradeloft_wire::border::{
@@ -36,13 +36,13 @@
         idle: node.idle_timeout(),
     };
     let handler: Handler = Rc::new(move |request| {
-        let res = answer(&node, &*report, &request);
+        let res = respond(&node, &*report, &request);
         async { res }.boxed_local()
     });
     Server::start(&address, limits, handler).await
 }
 
-fn answer(node: &Node, report: &dyn Report, request: &Request) -> Answer {
+fn respond(node: &Node, report: &dyn Report, request: &Request) -> HttpResponse {
     if request.method != "GET" {
         return text(405, "only GET\n");
     }
@@ -83,7 +83,7 @@
         },
         zone: settings.zone.clone(),
         ready: report.ready().is_ok(),
-        leaving: node.leaving(),
+        leaving: node.is_draining(),
         bundle,
         source: node.bundle_source.get().name().to_owned(),
         versions: report.versions(),
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -1,8 +1,9 @@
 //! Datagrams that an entry sends, and their intervals.
 //!
-//! Entries of one region send each other their state. A few entries of a region ([`delegates`]) send it to other regions,
-//! each time through one entry, which relays it within its own region. Each kind of message has a bandwidth budget, so
-//! that an entry's traffic does not grow with the fleet.
+//! Entries of one region send each other their state. A few entries of a region ([`delegates`])
+//! send it to other regions, each time through one entry, which relays it within its own region.
+//! Each kind of message has a bandwidth budget, so that an entry's traffic does not grow with the
+//! fleet.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -23,7 +24,8 @@
 };
 use gradeloft_wire::{
     datagram::{
-        self, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess, Switched,
+        self, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess,
+        SwitchedReplicas,
     },
     frame::Table,
 };
@@ -34,8 +36,9 @@
 
 /// Gossip interval, and the shortest pause between messages of one kind.
 const ROUND: Duration = Duration::from_millis(125);
-/// Budget for state sent to the entries of the same region. Five entries send every eighth of a second, and thirty every
-/// 0.6 s; an entry fills its own share of the slots whatever others have sent.
+/// Budget for state sent to the entries of the same region. Five entries send every eighth of a
+/// second, and thirty every 0.6 s; an entry fills its own share of the slots whatever others have
+/// sent.
 const NEAR_BUDGET: Budget = Budget {
     bytes_per_s: 6_000,
     shortest: ROUND,
@@ -51,23 +54,24 @@
 const NEAR_BYTES: usize = 130;
 /// Assumed size of the state for agents, in bytes.
 const AGENT_BYTES: usize = 90;
-/// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in each of five
-/// regions, each delegate sends them every 0.5 s; with 330 in each of seven, every 5 s. A region of that size needs
-/// little capacity of others beyond the slots that they lend.
+/// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in
+/// each of five regions, each delegate sends them every 0.5 s; with 330 in each of seven, every
+/// 5 s. A region of that size needs little capacity of others beyond the slots that they lend.
 const FAR_LOADS_BUDGET: Budget = Budget {
     bytes_per_s: 5_000,
     shortest: Duration::from_millis(500),
     longest: Duration::from_millis(5_000),
 };
-/// Budget for the lists of entries that an entry receives from all other regions. The longest pause is such that both
-/// delegates send before they count as silent.
+/// Budget for the lists of entries that an entry receives from all other regions. The longest pause
+/// is such that both delegates send before they count as silent.
 const FAR_MEMBERS_BUDGET: Budget = Budget {
     bytes_per_s: 3_000,
     shortest: Duration::from_millis(1_000),
     longest: Duration::from_millis(2_500),
 };
-/// Budget for the engine states that an entry receives from all other regions. All engines are sent only while that is
-/// cheap: those that close or reopen are sent in the next round, and the rest is in the platform's table.
+/// Budget for the engine states that an entry receives from all other regions. All engines are sent
+/// only while that is cheap: those that close or reopen are sent in the next round, and the rest is
+/// in the platform's table.
 const FAR_ENGINES_BUDGET: Budget = Budget {
     bytes_per_s: 8_000,
     shortest: Duration::from_millis(1_000),
@@ -75,17 +79,18 @@
 };
 /// Rounds between requests to entries of which only the address is known.
 const UNIDENTIFIED_ROUNDS: u32 = 4;
-/// Rounds after a start in which such entries are asked every time, as seeds from the settings may start later.
+/// Rounds after a start in which such entries get a request every time, as seeds from the settings
+/// may start later.
 const FIRST_ROUNDS: u32 = 24;
-/// Rounds between messages to one random entry of each other region, by which knowledge of a region survives the loss
-/// of all its delegates, and of the links between them.
+/// Rounds between messages to one random entry of each other region, by which knowledge of a region
+/// survives the loss of all its delegates, and of the links between them.
 const RANDOM_ROUNDS: u32 = 16;
 /// Rounds between messages that list other entries.
 const ROSTER_ROUNDS: u32 = 8;
 /// Most entries that one message lists.
 const MAX_LISTED: usize = 60;
-/// Most entries of which only the address is known that are asked for their state in one round.
-const MAX_ASKED: usize = 8;
+/// Most entries known only by address from which the state is requested in one round.
+const MAX_STATE_REQUESTS: usize = 8;
 /// Most loads in one datagram.
 const MAX_LOADS: usize = 150;
 /// Largest encoding of a load, in bytes.
@@ -107,7 +112,7 @@
         let mut round = 0;
         loop {
             self.send_to_entries(round);
-            self.ask_unidentified(round);
+            self.request_unidentified_state(round);
             self.send_to_regions(round);
             self.send_due_to_agents(round);
             self.send_suspects();
@@ -161,8 +166,8 @@
         self.node.with_rng(drawn)
     }
 
-    /// Asks entries of which only the address is known for their state.
-    fn ask_unidentified(&self, round: u32) {
+    /// Requests the state of entries of which only the address is known.
+    fn request_unidentified_state(&self, round: u32) {
         if FIRST_ROUNDS < round && !round.is_multiple_of(UNIDENTIFIED_ROUNDS) {
             return;
         }
@@ -170,7 +175,7 @@
             self.roster
                 .borrow()
                 .unidentified()
-                .choose_multiple(rng, MAX_ASKED)
+                .choose_multiple(rng, MAX_STATE_REQUESTS)
         };
         let unidentified = self.node.with_rng(unidentified);
         if !unidentified.is_empty() {
@@ -184,7 +189,8 @@
         }
     }
 
-    /// Answers an entry that asked for this entry's state, and lists entries of the asker's region.
+    /// Replies to an entry that requested this entry's state, and lists entries of the requester's
+    /// region.
     pub(super) fn introduce(&self, asker: Ipv4Addr, zone: &str) {
         let settings = self.node.settings();
         let region = settings.region(zone);
@@ -200,7 +206,8 @@
         self.send_suspects_to(asker);
     }
 
-    /// Sends the state of this region to other regions, if this entry is one of the region's delegates.
+    /// Sends the state of this region to other regions, if this entry is one of the region's
+    /// delegates.
     fn send_to_regions(&self, round: u32) {
         let now = self.node.clock.now();
         let changed = self.changed_engines.take();
@@ -265,7 +272,8 @@
         messages
     }
 
-    /// Returns for each other region the entry that relays messages there in a round, and a random entry.
+    /// Returns for each other region the entry that relays messages there in a round, and a random
+    /// entry.
     pub(super) fn relays(
         &self,
         round: usize,
@@ -336,7 +344,7 @@
             };
             (age_ms < ENGINE_MAX_AGE_MS).then_some(EngineReport {
                 replica,
-                engine: datagram::Engine {
+                engine: datagram::EngineStatus {
                     born: report.born,
                     version: report.version,
                     loading: report.loading,
@@ -391,8 +399,9 @@
             .send_state(Purpose::Agents, Reach::Near, sender, agents);
     }
 
-    /// Returns the addresses of the agents to which this entry sends: those of this region's replicas with a model, and
-    /// those for which it stands in because their region has no live entry.
+    /// Returns the addresses of the agents to which this entry sends: those of this region's
+    /// replicas with a model, and those for which it is the fallback sender because their region
+    /// has no live entry.
     fn agents(&self) -> Vec<Ipv4Addr> {
         let settings = self.node.settings();
         let now = self.node.clock.now();
@@ -434,7 +443,7 @@
     }
 
     /// Counts for each model the replicas that serve its newest version.
-    fn switched(&self) -> Vec<Switched> {
+    fn switched(&self) -> Vec<SwitchedReplicas> {
         let now = self.node.clock.now();
         let config = self.config.borrow();
         let services = config.iter().flat_map(|it| &it.document.services);
@@ -446,7 +455,7 @@
                 let version = weights.get(model)?.newest();
                 let all = replicas.of(&service.name);
                 let done = all.filter(|(_, it)| it.serves(now) && it.version(now) == Some(version));
-                Some(Switched {
+                Some(SwitchedReplicas {
                     model: rendezvous::hash(model.as_bytes()),
                     version,
                     replicas: done.count().min(usize::from(u16::MAX)) as u16,
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -7,7 +7,7 @@
 };
 
 use gradeloft_http::{
-    message::{Answer, Request, bytes_of, text},
+    message::{HttpResponse, Request, bytes_of, text},
     server::{Handler, Limits, Server},
 };
 use gradeloft_policy::process::freshness::Freshness;
@@ -39,10 +39,10 @@
         return Ok(Vec::new());
     };
     let mut servers = vec![serve_metrics(&entry.node).await?];
-    let asked = Rc::clone(entry);
-    servers.push(listen(directory, move |request| lookup(&asked, request)).await?);
-    let asked = Rc::clone(entry);
-    servers.push(listen(readiness, move |request| ready(&asked, request)).await?);
+    let shared = Rc::clone(entry);
+    servers.push(listen(directory, move |request| lookup(&shared, request)).await?);
+    let shared = Rc::clone(entry);
+    servers.push(listen(readiness, move |request| ready(&shared, request)).await?);
     Ok(servers)
 }
 
@@ -56,16 +56,16 @@
 
 async fn listen(
     address: SocketAddr,
-    answer: impl Fn(&Request) -> Answer + 'static,
+    respond: impl Fn(&Request) -> HttpResponse + 'static,
 ) -> io::Result<Server> {
     let handler: Handler = Rc::new(move |request| {
-        let answer = answer(&request);
-        Box::pin(async move { answer })
+        let response = respond(&request);
+        Box::pin(async move { response })
     });
     Server::start(&address.to_string(), LIMITS, handler).await
 }
 
-fn lookup(entry: &Entry, request: &Request) -> Answer {
+fn lookup(entry: &Entry, request: &Request) -> HttpResponse {
     let directory = &entry.node.platform.directory;
     if request.path != directory.lookup_path() {
         return text(404, "not found\n");
@@ -79,7 +79,7 @@
     bytes_of(200, "application/json", body)
 }
 
-fn ready(entry: &Entry, request: &Request) -> Answer {
+fn ready(entry: &Entry, request: &Request) -> HttpResponse {
     if request.path != entry.node.platform.directory.readiness_path() {
         return text(404, "not found\n");
     }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -67,7 +67,7 @@
     version::named_versions::NamedVersions,
 };
 use gradeloft_wire::{
-    datagram::{Presence, Switched},
+    datagram::{Presence, SwitchedReplicas},
     frame::{Call, Table},
 };
 use slog::{info, warn};
@@ -83,30 +83,32 @@
     traffic::Purpose,
 };
 
-/// Longest wait of one long poll of the operator's table. A connection to the store may go silent for good,
-/// which shows only when a wait ends, and the operator's writes have to be in force within two seconds: see
-/// [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a reader makes 0.84 calls a second with
-/// this wait, and 0.25 with a wait of 4 s; each region has two readers.
+/// Longest wait of one long poll of the operator's table. A connection to the store may go silent
+/// for good, which shows only when a wait ends, and the operator's writes have to be in force
+/// within two seconds: see [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a
+/// reader makes 0.84 calls a second with this wait, and 0.25 with a wait of 4 s; each region has
+/// two readers.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1_300);
 /// Longest wait of one long poll of the replicas' table.
 const REPLICAS_WAIT: Duration = Duration::from_secs(2);
 /// Longest wait of one long poll of the table of entries.
 const ENTRIES_WAIT: Duration = Duration::from_secs(8);
-/// Pause between reads of the operator's table: well below the two seconds within which its records have to
-/// be in force, and long enough to batch several records into a read, as each read is billed.
+/// Pause between reads of the operator's table: well below the two seconds within which its records
+/// have to be in force, and long enough to batch several records into a read, as each read is
+/// billed.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(50);
 /// Pause between reads of the replicas' table, which is limited in the same way.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(150);
 /// Pause between reads of the table of entries, which is limited in the same way.
 const ENTRIES_PAUSE: Duration = Duration::from_secs(1);
-/// Window of the request rate by which slots are split among entries, in seconds. Each entry computes the
-/// split by itself, and less random variation makes them agree better: 200 requests a second vary by 4 %
-/// over this window.
+/// Window of the request rate by which slots are split among entries, in seconds. Each entry
+/// computes the split by itself, and less random variation makes them agree better: 200 requests a
+/// second vary by 4 % over this window.
 const RATE_WINDOW_S: f64 = 3.0;
 /// Share of a replica's connection limit that all entries together use.
 const CONNECTIONS_SHARE: f64 = 0.85;
 /// Pause between checks whether a draining entry may exit.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Limits of the listener for peers.
 const PEER_LIMITS: peer_server::Limits = peer_server::Limits {
     frame_bytes: MAX_FRAME,
@@ -155,13 +157,16 @@
     near_loads: RefCell<RemoteLoads<Ipv4Addr>>,
     /// Requests that entries of other regions have at replicas, by region.
     far_loads: RefCell<RemoteLoads<String>>,
-    /// Replicas of this region whose reported state changed since the last message to other regions.
+    /// Replicas of this region whose reported state changed since the last message to other
+    /// regions.
     changed_engines: RefCell<Vec<SocketAddr>>,
-    /// State sent to agents last: replicas that switched versions, and the end of the operator's table.
-    sent_to_agents: RefCell<(Vec<Switched>, u64)>,
+    /// State sent to agents last: replicas that switched versions, and the end of the operator's
+    /// table.
+    sent_to_agents: RefCell<(Vec<SwitchedReplicas>, u64)>,
     /// Time of the first datagram from another entry.
     first_contact: Cell<Option<Time>>,
-    /// Whether this entry brought operator records into its region that the other entries there may lack.
+    /// Whether this entry brought operator records into its region that the other entries there may
+    /// lack.
     announce_pending: Cell<bool>,
     /// Number of rounds so far in which messages went to other regions.
     sent_to_regions: Cell<usize>,
@@ -257,7 +262,7 @@
 
     /// Returns whether this entry accepts callers.
     pub fn presence(&self) -> Presence {
-        if self.node.leaving.get() {
+        if self.node.draining.get() {
             return Presence::Leaving;
         }
         let known = self.config.borrow().is_some() && !self.replicas.borrow().is_empty();
@@ -268,9 +273,11 @@
         }
     }
 
-    /// Decides how this entry treats callers, given the operator's records that peers have and it lacks.
+    /// Decides how this entry treats callers, given the operator's records that peers have and it
+    /// lacks.
     pub fn freshness(&self) -> Freshness {
-        // Keys may have been revoked and routes moved during the stall; other entries have the changes.
+        // Keys may have been revoked and routes moved during the stall; other entries have the
+        // changes.
         if self.node.stale_after_stall() {
             return Freshness::Stale;
         }
@@ -299,15 +306,16 @@
         }
     }
 
-    /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a host that is bound
-    /// to some regions, these are entries of those regions and of the caller's, unless none of them is ready.
+    /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a
+    /// host that is bound to some regions, these are entries of those regions and of the caller's,
+    /// unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
-        let homes = match self.config.borrow().as_ref() {
+        let allowed_regions = match self.config.borrow().as_ref() {
             Some(config) => config.allowed_regions_of_host(&lookup.host),
             None => AllowedRegions::default(),
         };
         let bound = self.ready_addresses(|region| {
-            homes.allows(region) || lookup.region.as_deref() == Some(region)
+            allowed_regions.allows(region) || lookup.region.as_deref() == Some(region)
         });
         match bound.is_empty() {
             true => self.ready_addresses(|_| true),
@@ -388,7 +396,7 @@
         self.config.borrow().as_ref()?.service(service)?.speed
     }
 
-    /// Records the time that a replica took to begin an answer.
+    /// Records the time that a replica took to begin a response.
     pub fn record_response_start(&self, key: ReplicaKey, expected: FirstTokenForecast) {
         let took = self.node.clock.now().since(expected.sent);
         if let Some(replica) = self.replicas.borrow_mut().get_mut(key) {
@@ -418,7 +426,7 @@
         self.model_request_rate.borrow().rate(self.node.clock.now())
     }
 
-    /// Returns how complete this entry's knowledge of other entries is.
+    /// Returns the extent to which this entry knows the other entries.
     fn discovery(&self, now: Time) -> Discovery {
         let window_ms = self.node.settings().repeats.window_ms;
         if !self.node.loaded(Table::Entries) {
@@ -476,14 +484,14 @@
     PeerServer::start(&address, PEER_LIMITS, Rc::clone(&node.scope), handler).await
 }
 
-/// Answers calls of peers.
+/// Serves calls of peers.
 struct PeerCalls(Rc<Node>);
 
 impl PeerHandler for PeerCalls {
     fn call(&self, call: Call, outgoing: Outgoing) {
         let node = Rc::clone(&self.0);
         let scope = Rc::clone(&node.scope);
-        // A call that only agents serve gets no answer, which tells the caller that it failed.
+        // A call that only agents serve gets no reply, so that it fails at the peer.
         scope.spawn(async move { node.serve_call(call, outgoing).await });
     }
 
@@ -513,18 +521,18 @@
 }
 
 impl Handle {
-    /// Drains the entry: lookups no longer return it, new requests are still answered, and running requests
-    /// finish. Returns the number of connections that were cut off.
-    pub async fn leave(self) -> usize {
+    /// Drains the entry: lookups no longer return it, new requests are still answered, and running
+    /// requests finish. Returns the number of connections that were cut off.
+    pub async fn drain(self) -> usize {
         let entry = &self.entry;
         let node = &entry.node;
-        node.leaving.set(true);
-        let leave = Drain::begin(node.clock.now(), node.settings().grace_ms);
-        entry.drain.set(Some(leave));
+        node.draining.set(true);
+        let drain = Drain::begin(node.clock.now(), node.settings().grace_ms);
+        entry.drain.set(Some(drain));
         info!(node.logs.root, "leaving"; "open" => entry.open_connections.get());
         entry.drain_started.notify_waiters();
-        while !leave.finished(entry.open_connections.get(), node.clock.now()) {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+        while !drain.finished(entry.open_connections.get(), node.clock.now()) {
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         let cut = entry.open_connections.get() - entry.closing_connections.get();
         info!(node.logs.root, "left"; "cut_off" => cut);
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -31,7 +31,7 @@
     codec,
     datagram::Sender,
     id::Fingerprint,
-    quarantine::{Crash, IN_DATAGRAM, Suspect},
+    quarantine::{Crash, MAX_PER_DATAGRAM, Suspect},
 };
 use rand::Rng;
 use slog::info;
@@ -46,7 +46,7 @@
 pub(super) use self::crash::{Evidence, ReplicaStart};
 use self::{
     crash::LostRequests,
-    store::{HEARD_WRITE_DELAY_MS, STORE_AT_CRASHES},
+    store::{LEARNED_WRITE_DELAY_MS, STORE_AT_CRASHES},
 };
 
 /// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a
@@ -65,7 +65,7 @@
 /// Guard of an exclusive attempt: while it exists, this entry sends no other copy of the suspect
 /// request.
 ///
-/// It is held until the outcome of the attempt is certain.
+/// The guard is held until the outcome of the attempt is certain.
 pub(super) struct ExclusiveAttempt {
     entry: Weak<Entry>,
     request: Fingerprint,
@@ -102,7 +102,8 @@
 }
 
 impl Entry {
-    /// Returns all suspect requests with their number of crashes that count, for tests and operators.
+    /// Returns all suspect requests with their number of crashes that count, for tests and
+    /// operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
         let known = self.quarantine.known.borrow();
         let all = known.fingerprints();
@@ -116,7 +117,8 @@
         lost.values().map(|it| it.requests.len()).sum()
     }
 
-    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if not.
+    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if
+    /// not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
         job.exclusive_attempt = None;
         let known = self.quarantine.known.borrow();
@@ -148,7 +150,7 @@
         let now = self.node.clock.now();
         let roster = self.roster.borrow();
         let others = roster.serving(|_| true, now).map(|it| roster::hash(&it));
-        rendezvous::rank(request.short(), own, others) == 0
+        rendezvous::rank(request.prefix_u64(), own, others) == 0
     }
 
     /// Returns whether a request is suspected of crashing replicas.
@@ -186,9 +188,9 @@
                 let wait = self
                     .node
                     .with_rng(|it| it.random_range(0..MAX_REPLY_DELAY_MS));
-                announcements.schedule_answer(suspect.request, now.after_ms(wait));
+                announcements.schedule_reply(suspect.request, now.after_ms(wait));
             } else if !merged.changed {
-                announcements.cancel_answer(suspect.request);
+                announcements.cancel_reply(suspect.request);
             }
         }
     }
@@ -223,7 +225,7 @@
         let wait = match source {
             Source::Own => 0,
             Source::Peer(_) | Source::Store => {
-                let (from, to) = HEARD_WRITE_DELAY_MS;
+                let (from, to) = LEARNED_WRITE_DELAY_MS;
                 self.node.with_rng(|it| it.random_range(from..to))
             }
         };
@@ -247,7 +249,7 @@
         let known = self.quarantine.known.borrow();
         let weight = |it| known.crashes(it);
         let mut announcements = self.quarantine.announcements.borrow_mut();
-        let due = announcements.take_due(now, IN_DATAGRAM * MAX_DATAGRAMS_PER_TURN, weight);
+        let due = announcements.take_due(now, MAX_PER_DATAGRAM * MAX_DATAGRAMS_PER_TURN, weight);
         drop(announcements);
         let suspects: Vec<Suspect> = due
             .into_iter()
@@ -266,7 +268,7 @@
             .into_iter()
             .filter_map(|(relay, _)| relay)
             .collect();
-        for suspects in suspects.chunks(IN_DATAGRAM) {
+        for suspects in suspects.chunks(MAX_PER_DATAGRAM) {
             let sender = Sender::Suspects {
                 relayed: false,
                 suspects: suspects.to_vec(),
@@ -292,7 +294,7 @@
             .filter(|it| STORE_AT_CRASHES <= known.crashes(*it));
         let mut worst: Vec<Fingerprint> = all.collect();
         worst.sort_unstable_by_key(|it| (Reverse(known.crashes(*it)), *it));
-        let worst_first = worst.into_iter().take(IN_DATAGRAM);
+        let worst_first = worst.into_iter().take(MAX_PER_DATAGRAM);
         let suspects: Vec<Suspect> = worst_first
             .filter_map(|it| known.snapshot(it, now))
             .collect();
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -9,7 +9,7 @@
     codec,
     frame::Table,
     id::Fingerprint,
-    quarantine::{self, Kept, Suspect},
+    quarantine::{self, Suspect, SuspectRecord},
 };
 use rand::Rng;
 use slog::warn;
@@ -22,7 +22,7 @@
 /// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned
 /// from others and that is still missing in the store. The entry that observed the crash writes at
 /// once.
-pub(super) const HEARD_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
+pub(super) const LEARNED_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
 /// Delay before a failed write is retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 700;
 /// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so
@@ -59,11 +59,12 @@
     ) {
         let now = self.node.clock.now();
         for record in records {
-            let Some(request) = quarantine::request(&record.key) else {
+            let Some(request) = quarantine::parse_key(&record.key) else {
                 continue;
             };
             let value = record.value.as_deref();
-            let Some(stored) = value.and_then(|it| codec::decode_body::<Kept>(it).ok()) else {
+            let Some(stored) = value.and_then(|it| codec::decode_body::<SuspectRecord>(it).ok())
+            else {
                 self.quarantine.stored.borrow_mut().remove(&request);
                 continue;
             };
@@ -123,7 +124,7 @@
         if !worth_storing || !missing {
             return None;
         }
-        let value = codec::encode_body(&Kept {
+        let value = codec::encode_body(&SuspectRecord {
             crashed_ms: unix_ms().saturating_sub(u64::from(suspect.age_ms)),
             crashes: suspect.crashes,
         });
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -18,7 +18,8 @@
 };
 use gradeloft_wire::{
     datagram::{
-        Datagram, Engine, EngineReport, Loads, Member, Presence, RegionMessage, Sender, StoreAccess,
+        Datagram, EngineReport, EngineStatus, Loads, Member, Presence, RegionMessage, Sender,
+        StoreAccess,
     },
     frame::Table,
 };
@@ -48,8 +49,8 @@
             }
             _ => false,
         };
-        // State that lay in the socket during a stall is outdated, and each sender sends again within a second. The ends
-        // of copies, and crashes, stay true whenever they are received.
+        // State that lay in the socket during a stall is outdated, and each sender sends again
+        // within a second. The ends of copies, and crashes, stay true whenever they are received.
         let current = self.node.datagrams_are_current();
         match &datagram.sender {
             Sender::Agent { .. } | Sender::Entry { .. } | Sender::Region { .. } if !current => {}
@@ -171,13 +172,14 @@
         }
     }
 
-    /// Returns the rank of this entry among the known entries of its region for the first read of a table after a start.
+    /// Returns the rank of this entry among the known entries of its region for the first read of a
+    /// table after a start.
     fn startup_rank(&self, table: Table) -> usize {
         let now = self.node.clock.now();
         let settings = self.node.settings();
         let roster = self.roster.borrow();
         let near = roster.served(|zone| self.node.near(zone), now);
-        // Seeds are entries of this region, and answer within a moment.
+        // Seeds are entries of this region, and reply within a moment.
         let listed = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
@@ -187,7 +189,7 @@
     }
 
     /// Applies a report of an agent, and notes whether the replica closed or reopened.
-    fn receive_report(&self, address: SocketAddr, engine: Engine, now: Time) {
+    fn receive_report(&self, address: SocketAddr, engine: EngineStatus, now: Time) {
         let closing_state = |it: Option<Report>| it.map(|it| (it.loading, it.version));
         let before = closing_state(self.last_report(address));
         self.apply_report(address, report(engine, now));
@@ -235,7 +237,7 @@
     }
 }
 
-fn report(engine: Engine, at: Time) -> Report {
+fn report(engine: EngineStatus, at: Time) -> Report {
     Report {
         born: engine.born,
         version: engine.version,
@@ -302,7 +304,7 @@
     }
 }
 
-/// Pause between reads of the replicas' table, per replica: all replicas change during a version switch, and
-/// each call to the store is billed. With 120 replicas it is 0.36 s, of the four seconds within which requests
-/// to a draining replica have to stop.
+/// Pause between reads of the replicas' table, per replica: all replicas change during a version
+/// switch, and each call to the store is billed. With 120 replicas it is 0.36 s, of the four
+/// seconds within which requests to a draining replica have to stop.
 const PAUSE_PER_REPLICA: Duration = Duration::from_millis(3);
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! State and functions that entries and agents share: copies of the platform's tables, calls between peers, datagrams.
+//! State and functions that entries and agents share: copies of the platform's tables, calls
+//! between peers, datagrams.
 //!
 //! - [`write_times`]: the times at which records count as written, and stalls of the process.
 //! - [`abridged`]: the operator's records, without the parts that only entries need.
@@ -61,7 +62,8 @@
     traffic::{Purpose, Reach, Traffic},
 };
 
-/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room for their keys.
+/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room
+/// for their keys.
 pub const MAX_FRAME: usize = 1 << 20;
 /// Time limit for a connection to a peer: far above the links' delays.
 const PEER_CONNECT: Duration = Duration::from_millis(500);
@@ -118,8 +120,8 @@
     pub scope: Rc<Scope>,
     /// Connections to peers.
     pub peers: Pool,
-    /// Set once the process received SIGTERM.
-    pub leaving: Cell<bool>,
+    /// Set once the process drains, after SIGTERM.
+    pub draining: Cell<bool>,
     /// Copies of the tables.
     copies: RefCell<[Mirror; 3]>,
     /// Updates of each table that are being fetched from peers.
@@ -129,7 +131,8 @@
     /// Write times of each table's records.
     write_times: RefCell<[WriteTimes; 3]>,
     activity_gaps: RefCell<ActivityGaps>,
-    /// Time of the last current information about the ends of other copies, by datagram or by a read of the store.
+    /// Time of the last current information about the ends of other copies, by datagram or by a
+    /// read of the store.
     informed_at: Cell<Option<Time>>,
     /// State of reading each table from the store.
     read_states: RefCell<[ReadState; 3]>,
@@ -184,7 +187,7 @@
             timers: Timers::new(clock),
             scope: Rc::default(),
             peers: Pool::new(clock, MAX_FRAME, PEER_CONNECT, None),
-            leaving: Cell::new(false),
+            draining: Cell::new(false),
             copies: RefCell::default(),
             inboxes: RefCell::default(),
             uploads: RefCell::default(),
@@ -258,8 +261,8 @@
         self.send(purpose, reach, &datagram, to);
     }
 
-    /// Sends a datagram. One that the socket refuses counts as lost; one that is too large to be read is counted as
-    /// unsent. `reach` applies to receivers that have not sent a datagram yet.
+    /// Sends a datagram. One that the socket refuses counts as lost; one that is too large to be
+    /// read is counted as unsent. `reach` applies to receivers that have not sent a datagram yet.
     pub fn send(
         &self,
         purpose: Purpose,
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -1,7 +1,7 @@
 //! Exchange of the tables' records with peers.
 //!
-//! A reply to a call for records holds small values, and announces large ones, which are then fetched in parts
-//! ([`parts`](super::parts)).
+//! A reply to a call for records holds small values, and announces large ones, which are then
+//! fetched in parts ([`parts`](super::parts)).
 
 use std::{fmt, net::Ipv4Addr, rc::Rc, time::Duration};
 
@@ -35,30 +35,31 @@
 
 /// Time limit for a peer's reply to a call for records.
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest value that is sent with its record, in bytes: an agent's link carries it in 55 ms at most.
+/// Largest value that is sent with its record, in bytes: an agent's link carries it in 55 ms at
+/// most.
 const INLINE_BYTES: usize = 64 << 10;
 /// Bytes of all values in a reply; the rest of the frame is for keys.
 const REPLY_BYTES: usize = MAX_FRAME / 4 * 3;
 /// Pause after a peer that is busy with other uploads, in milliseconds.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 20..=120;
-/// Time for which a peer of another region has to be ahead before it is asked for records, in
+/// Time for which a peer of another region has to be ahead before records are requested from it, in
 /// milliseconds: two intervals between near entries' datagrams, and a reply.
 const FAR_DELAY_MS: u64 = 300;
 
 /// State of fetching one table from peers.
 #[derive(Default)]
 pub(super) struct Inbox {
-    /// Whether a peer is being asked for records.
-    asking: bool,
+    /// Whether a request for records is in progress.
+    requesting: bool,
     /// Time since which a peer of another region has been ahead.
     behind_since: Option<Time>,
     /// Peers that hold records of the table.
     pub(super) holders: Holders,
     /// Update that is not complete yet.
     pub(super) pending: Option<Announced>,
-    /// Large value that is being fetched. It outlives the update that announced it: a superseded record is still
-    /// newer than the copy, and if each newer record restarted the transfer, none would complete while they
-    /// change quickly.
+    /// Large value that is being fetched. It outlives the update that announced it: a superseded
+    /// record is still newer than the copy, and if each newer record restarted the transfer, none
+    /// would complete while they change quickly.
     pub(super) transfer: Option<Transfer>,
     /// Whether a task is fetching the value.
     pub(super) fetching: bool,
@@ -70,14 +71,14 @@
     /// Whether the peer trusts the removals in it.
     sound: bool,
     /// Time of the call.
-    asked: Time,
+    requested_at: Time,
     /// Source of its last value.
     pub(super) source: Source,
 }
 
 impl Node {
-    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of process: their
-    /// stream is dropped, which tells the caller.
+    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of
+    /// process: their stream is dropped, so that they fail at the peer.
     pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
@@ -94,8 +95,12 @@
                 };
                 self.serve_parts(request, outgoing).await;
             }
-            Call::Records { table, from, brief } => {
-                self.serve_records(table, from, brief, outgoing).await;
+            Call::Records {
+                table,
+                from,
+                abridged,
+            } => {
+                self.serve_records(table, from, abridged, outgoing).await;
             }
             _ => {}
         }
@@ -106,15 +111,15 @@
         self: &Rc<Node>,
         table: Table,
         from: u64,
-        brief: bool,
+        abridged: bool,
         outgoing: Outgoing,
     ) {
-        let Some(update) = self.update_for_peer(table, from, brief) else {
+        let Some(update) = self.update_for_peer(table, from, abridged) else {
             return;
         };
-        // When many peers ask at once, as after a start, serving few at a time completes the first copies sooner, and
-        // those peers then serve the others.
-        let caller = if brief { Role::Agent } else { Role::Entry };
+        // When many peers send requests at once, as after a start, serving few at a time completes
+        // the first copies sooner, and those peers then serve the others.
+        let caller = if abridged { Role::Agent } else { Role::Entry };
         let _slot = match update.bytes() {
             ..=INLINE_BYTES => None,
             _ => match self.take_upload_slot(caller) {
@@ -141,7 +146,8 @@
         outgoing.finish(&reply).await;
     }
 
-    /// Returns a record's value as it is sent to a peer; `room` is the space left for values in the reply.
+    /// Returns a record's value as it is sent to a peer; `room` is the space left for values in the
+    /// reply.
     fn value_for_peer(&self, table: Table, record: &Record, room: &mut usize) -> Value {
         let Some(value) = &record.value else {
             return Value::Deleted;
@@ -149,13 +155,13 @@
         let large = INLINE_BYTES < value.len() || *room < value.len();
         // Only values that this process holds as they are can be sent in parts, not abridged ones.
         if large && self.value_at(table, record.offset).as_ref() == Some(value) {
-            return Value::Apart {
+            return Value::Deferred {
                 length: value.len() as u64,
                 digest: Digest::of(value),
             };
         }
         *room = room.saturating_sub(value.len());
-        Value::Here(value.to_vec())
+        Value::Inline(value.to_vec())
     }
 
     /// Returns the value of a record, if the copy holds it.
@@ -179,34 +185,35 @@
         settings.region(zone) == settings.region(&settings.zone)
     }
 
-    /// Fetches the records that this process lacks from a peer whose copies go up to `ends`; returns whether it lacks
-    /// any. Peers of other regions are asked only after a moment, within which near peers most likely have the
-    /// records too, and at first only by a few processes of this region.
+    /// Fetches the records that this process lacks from a peer whose copies go up to `ends`;
+    /// returns whether it lacks any. Peers of other regions get requests only after a moment,
+    /// within which near peers most likely have the records too, and at first only by a few
+    /// processes of this region.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
-        let mut asked = false;
+        let mut requested = false;
         let near = self.near(zone);
         for table in Table::ALL {
-            let asking = self.with_inbox(table, |it| it.asking);
-            if asking || !self.follows(table) {
+            let requesting = self.with_inbox(table, |it| it.requesting);
+            if requesting || !self.follows(table) {
                 continue;
             }
             let behind = self.announced_end(table) < ends[index(table)];
-            let waits = !near && !self.may_ask_far(table);
+            let waits = !near && !self.may_request_far(table);
             if !behind || waits {
                 continue;
             }
-            asked = true;
+            requested = true;
             self.with_inbox(table, |it| {
                 it.behind_since = None;
-                it.asking = true;
+                it.requesting = true;
             });
             let node = Rc::clone(self);
             self.scope.spawn(async move {
-                node.ask_records(peer, table).await;
-                node.with_inbox(table, |it| it.asking = false);
+                node.fetch_records(peer, table).await;
+                node.with_inbox(table, |it| it.requesting = false);
             });
         }
-        asked
+        requested
     }
 
     /// Runs a function with the state of fetching a table.
@@ -220,8 +227,9 @@
         self.end(table).max(announced.unwrap_or(0))
     }
 
-    /// Returns whether this process may ask a peer of another region that is ahead with a table.
-    fn may_ask_far(&self, table: Table) -> bool {
+    /// Returns whether this process may request records of a table from a peer of another region
+    /// that is ahead.
+    fn may_request_far(&self, table: Table) -> bool {
         let caller = self.fetcher();
         if caller.role == Role::Agent && !self.loaded(table) {
             return true;
@@ -239,7 +247,8 @@
     fn is_far_behind_for(&self, table: Table, wait_ms: u64) -> bool {
         let now = self.clock.now();
         self.with_inbox(table, |it| {
-            // A time outside this window is discarded: near peers have most likely sent those records since.
+            // A time outside this window is discarded: near peers have most likely sent those
+            // records since.
             let recent = it
                 .behind_since
                 .filter(|it| now < it.after_ms(wait_ms + FAR_DELAY_MS));
@@ -248,8 +257,8 @@
         })
     }
 
-    /// Returns whether this process keeps a table up to date from peers. Agents need the table of replicas only while
-    /// they fetch weights, and never that of entries.
+    /// Returns whether this process keeps a table up to date from peers. Agents need the table of
+    /// replicas only while they fetch weights, and never that of entries.
     fn follows(&self, table: Table) -> bool {
         match self.settings.borrow().role {
             settings::Role::Agent { .. } => table == Table::Operator,
@@ -257,18 +266,22 @@
         }
     }
 
-    /// Fetches the records of a table that this process lacks from a peer; returns whether the peer replied. Large
-    /// values follow later, from any peer that sends them.
-    pub async fn ask_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
+    /// Fetches the records of a table that this process lacks from a peer; returns whether the peer
+    /// replied. Large values follow later, from any peer that sends them.
+    pub async fn fetch_records(self: &Rc<Node>, peer: Ipv4Addr, table: Table) -> bool {
         let address = self.peer_address(peer);
         let from = self.end(table);
-        let asked = self.clock.now();
-        let brief = self.wants_abridged();
-        let call = Call::Records { table, from, brief };
-        let asking = self
+        let requested_at = self.clock.now();
+        let abridged = self.wants_abridged();
+        let call = Call::Records {
+            table,
+            from,
+            abridged,
+        };
+        let request = self
             .peers
             .call_within(&address, Lane::Live, &call, RECORDS_TIMEOUT);
-        let reply = asking.await;
+        let reply = request.await;
         let (snapshot, rows, end, sound) = match reply {
             Ok(Ok(Reply::Records {
                 snapshot,
@@ -279,25 +292,25 @@
             Ok(Ok(Reply::Absent(Absence::Busy))) => {
                 let pause = self.with_rng(|it| it.random_range(BUSY_MS));
                 actix_rt::time::sleep(Duration::from_millis(pause)).await;
-                return self.fetch_failed(peer, table, asked, "busy");
+                return self.fetch_failed(peer, table, requested_at, "busy");
             }
-            Ok(Ok(_)) => return self.fetch_failed(peer, table, asked, "unexpected"),
-            Ok(Err(fault)) => return self.fetch_failed(peer, table, asked, reason(fault)),
-            Err(_) => return self.fetch_failed(peer, table, asked, "late"),
+            Ok(Ok(_)) => return self.fetch_failed(peer, table, requested_at, "unexpected"),
+            Ok(Err(fault)) => return self.fetch_failed(peer, table, requested_at, reason(fault)),
+            Err(_) => return self.fetch_failed(peer, table, requested_at, "late"),
         };
-        self.note_received_rows(table, &rows, asked);
+        self.note_received_rows(table, &rows, requested_at);
         let rows: Vec<pending_update::Row> = rows.into_iter().map(row).collect();
         let pending = PendingUpdate::new(snapshot, rows, end);
         if pending.oversized() {
-            return self.fetch_failed(peer, table, asked, "too large");
+            return self.fetch_failed(peer, table, requested_at, "too large");
         }
         let announced = Announced {
             pending,
             sound,
-            asked,
+            requested_at,
             source: Source::Peer(peer),
         };
-        self.with_inbox(table, |it| it.holders.note(peer, None, end, asked));
+        self.with_inbox(table, |it| it.holders.note(peer, None, end, requested_at));
         self.announce(table, announced);
         self.apply_complete(table);
         self.start_fetch(table);
@@ -328,7 +341,8 @@
         });
     }
 
-    /// Applies the part of the announced update that is complete, from peers or meanwhile from the store.
+    /// Applies the part of the announced update that is complete, from peers or meanwhile from the
+    /// store.
     pub(super) fn apply_complete(&self, table: Table) {
         let announced = self.with_inbox(table, |it| it.pending.take());
         let Some(mut announced) = announced else {
@@ -343,18 +357,20 @@
             .fill(|want| self.value_at(table, want.offset));
         let update = announced.pending.take_ready(end);
         let ahead = announced.pending.usable_ahead();
-        let (sound, asked, source) = (announced.sound, announced.asked, announced.source);
+        let (sound, requested_at, source) =
+            (announced.sound, announced.requested_at, announced.source);
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
         }
-        // A peer that reads the store without interruption is right about removals, also where this process is cut off.
+        // A peer that reads the store without interruption is right about removals, also where this
+        // process is cut off.
         self.peer_is_sound.set(sound);
         if let Some(update) = update {
             if !sound {
                 self.peer_doubt_until
                     .set(self.clock.now().after_ms(RESTORED_MS));
             }
-            self.apply_update(table, update, source, asked);
+            self.apply_update(table, update, source, requested_at);
         }
         let seen = ahead.iter().map(|it| it.offset + 1).max();
         self.apply_ahead(table, ahead, source);
@@ -367,7 +383,7 @@
         &self,
         peer: impl fmt::Display,
         table: Table,
-        asked: Time,
+        requested_at: Time,
         reason: &'static str,
     ) -> bool {
         let label = Reason { reason };
@@ -379,7 +395,7 @@
             warn!(log, "record fetch failed"; "table" => ?table, "peer" => %peer, "reason" => reason,
                 "end" => self.end(table),
                 "behind_ms" => self.behind(table).map_or(-1, |it| it.as_millis() as i64),
-                "ms" => self.clock.now().since(asked).as_millis() as u64);
+                "ms" => self.clock.now().since(requested_at).as_millis() as u64);
         }
         false
     }
@@ -398,7 +414,7 @@
         key, value, offset, ..
     } = row;
     let value = match value {
-        Value::Apart { length, digest } => {
+        Value::Deferred { length, digest } => {
             return pending_update::Row::Missing(MissingValue {
                 key,
                 offset,
@@ -407,7 +423,7 @@
             });
         }
         Value::Deleted => None,
-        Value::Here(value) => Some(Bytes::from(value)),
+        Value::Inline(value) => Some(Bytes::from(value)),
     };
     pending_update::Row::Present(Record { key, value, offset })
 }
--- a/crates/gradeloft_gateway/tests/entry/gossip.rs
+++ b/crates/gradeloft_gateway/tests/entry/gossip.rs
@@ -14,7 +14,7 @@
     process::{delegates, document::RouteKind, replicas::Listing, roster},
     rendezvous,
 };
-use gradeloft_standin::{scripted::Step, tables::Mood};
+use gradeloft_standin::{scripted::Step, tables::StoreMode};
 use gradeloft_wire::{
     codec,
     datagram::{
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn an_entry_that_asks_gets_the_entries_of_its_own_region() {
+fn an_entry_that_requests_state_gets_the_entries_of_its_own_region() {
     run(async {
         let _harness = Harness::start(TestConfig::of(RouteKind::Once), one_replica()).await;
         let first = UdpPeer::bind(4, "elsewhere").await;
@@ -403,8 +403,8 @@
     run(async {
         let harness = Harness::start_unready(TestConfig::of(RouteKind::Once), Vec::new()).await;
         // No other entry has a confirmed copy.
-        harness.tables.mood.set(Mood::Refusing);
-        harness.tables.cut();
+        harness.tables.mode.set(StoreMode::Refusing);
+        harness.tables.abort_reads();
         let added = harness.add_entry(2, &harness.tables).await;
         let node = &added.entry().node;
         // The entry detects process pauses from here on.
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -9,12 +9,13 @@
 
 /// Silence after which an entry is no longer offered to callers, in milliseconds.
 const SILENCE_MS: u64 = 1_300;
-/// The same for entries whose status is relayed by others, in milliseconds: three intervals between
-/// the member lists of a region, plus the silence after which another entry sends them.
+/// Silence after which an entry known only by relayed status is no longer offered, in milliseconds:
+/// three intervals between the member lists of a region, plus the silence after which another entry
+/// sends them.
 const RELAYED_SILENCE_MS: u64 = 4_000;
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
-/// Most entries in one answer; the platform reads no more.
+/// Most entries in one lookup response; the platform reads no more.
 const MAX_OFFERED: usize = 64;
 /// Number of entries in the caller's availability zone that are enough to offer few others. Callers
 /// choose at random among the offered entries, so each of these gets its share of the zone's
@@ -24,26 +25,26 @@
 /// once if the whole zone fails.
 const FALLBACKS: usize = 2;
 
-/// How many of the other entries an entry knows.
+/// Extent to which an entry knows the other entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Discovery {
-    /// It has not read the table of entries yet.
+    /// The entry has not read the table of entries yet.
     None,
-    /// It has read the table, but started less than a window ago: it knows many entries only by
-    /// their listing.
+    /// The entry has read the table, but started less than a window ago: it knows many entries only
+    /// by their listing.
     Listed,
-    /// It has met the entries that exist.
+    /// The entry has received messages from the entries that exist.
     Complete,
 }
 
-/// Whether an entry accepts callers.
+/// State of an entry towards callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It finishes the requests in progress and accepts no new ones.
+    /// The entry finishes the requests in progress and accepts no new ones.
     Leaving,
-    /// It accepts callers.
+    /// The entry accepts callers.
     Ready,
-    /// It lacks state that it needs, or that others have.
+    /// The entry lacks state that it needs, or that others have.
     Starting,
 }
 
@@ -52,28 +53,28 @@
     zone: String,
     state: State,
     incarnation: u64,
-    /// Whether it has access to the platform's store, by its last status.
+    /// Whether the entry has access to the platform's store, by its last status.
     served: bool,
-    /// End of its copy of the operator's table, by its last status.
+    /// End of the entry's copy of the operator's table, by its last status.
     end: u64,
-    /// When it was last known to be alive.
+    /// Time at which the entry was last known to be alive.
     seen: Option<Time>,
-    /// Time until which it counts as alive.
+    /// Time until which the entry counts as alive.
     alive_until: Time,
 }
 
 /// Status that an entry sends about itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Status<'a> {
-    /// Number of its current start; later starts have higher numbers.
+    /// Number of the entry's current start; later starts have higher numbers.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: &'a str,
-    /// Whether it accepts callers.
+    /// State towards callers.
     pub state: State,
-    /// Whether it has access to the platform's store.
+    /// Whether the entry has access to the platform's store.
     pub served: bool,
-    /// End of its copy of the operator's table.
+    /// End of the entry's copy of the operator's table.
     pub end: u64,
 }
 
@@ -182,7 +183,7 @@
     }
 
     /// Returns the number of entries among which a common budget is split, or `None` while it is
-    /// unknown. An entry that has just started has met few others. If many start at once, each
+    /// unknown. An entry that has just started knows few others. If many start at once, each
     /// would otherwise take most of the budget: of seven entries, six restarted together would each
     /// take half of it or all, and together more than there is.
     pub fn budget_sharers(&self, discovery: Discovery) -> Option<usize> {
@@ -214,8 +215,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// Whether a majority of entries, including this one, accept callers and hold more of the
-    /// operator's table than up to `end`. Leaving entries don't count.
+    /// Returns whether a majority of entries, including this one, accept callers and hold more of
+    /// the operator's table than up to `end`. Leaving entries don't count.
     pub fn majority_beyond(&self, end: u64, now: Time) -> bool {
         let staying = |it: &&Entry| it.alive(now) && it.state != State::Leaving;
         let others = self.entries.values().filter(staying);
@@ -225,7 +226,7 @@
         others.count() + 1 < 2 * beyond.count()
     }
 
-    /// Whether an entry is alive.
+    /// Returns whether an entry is alive.
     pub fn alive(&self, address: Ipv4Addr, now: Time) -> bool {
         self.entries.get(&address).is_some_and(|it| it.alive(now))
     }
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -14,33 +14,33 @@
 /// the pause between reads of the operator's table is 50 ms, and at most 150 ms after a single
 /// failure.
 const STEADY_PAUSE_MS: u64 = 300;
-/// Time after the end of its wait within which an undelayed read is answered, in milliseconds.
+/// Time after the end of its wait within which an undelayed read is complete, in milliseconds.
 /// Entries require new weights early enough to allow for records that they learn of this late.
 const DELAYED_MS: u64 = 300;
 
-/// Size from which the transfer time of an answer is significant, in bytes: 0.2 s on a link of 1.2
-/// MB a second, such as that of a store.
+/// Size from which the transfer time of a response is significant, in bytes: 0.2 s on a link of
+/// 1.2 MB a second, such as that of a store.
 const LARGE_BYTES: usize = 256 << 10;
 
 /// Timing and size of a read from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Read {
-    /// When the read was requested.
-    pub asked: Time,
+    /// Time at which the read was requested.
+    pub requested_at: Time,
     /// Longest time that the store waits for new records.
     pub wait: Duration,
-    /// When the answer arrived.
-    pub answered: Time,
-    /// Size of the records in the answer, in bytes.
+    /// Time at which the response was received.
+    pub received_at: Time,
+    /// Size of the records in the response, in bytes.
     pub bytes: usize,
     /// Whether the previous read failed, or this process was suspended or cut off in the meantime.
     pub disturbed: bool,
 }
 
 impl Read {
-    /// Whether the store may have begun the answer long before it arrived.
+    /// Returns whether the store may have begun the response long before it arrived.
     fn is_delayed(self) -> bool {
-        let late = self.asked.after(self.wait).after_ms(DELAYED_MS) < self.answered;
+        let late = self.requested_at.after(self.wait).after_ms(DELAYED_MS) < self.received_at;
         late || LARGE_BYTES <= self.bytes
     }
 }
@@ -56,9 +56,9 @@
     earliest: EarliestWrites,
     /// Latest time at which this process's own reads showed the copy to be complete.
     confirmed: Option<Time>,
-    /// When the last successful read ended.
+    /// Time at which the last successful read ended.
     read_at: Option<Time>,
-    /// Whether the answer to the last read was delayed, so that the store went unobserved
+    /// Whether the response to the last read was delayed, so that the store went unobserved
     /// meanwhile.
     read_delayed: bool,
 }
@@ -75,10 +75,11 @@
         self.earliest.note(end, now.before_ms(age_ms));
     }
 
-    /// Records that a peer sent a record that it has known for `age_ms`, in answer to a call made
-    /// at `asked`.
-    pub fn note_received(&mut self, offset: u64, age_ms: u64, asked: Time) {
-        self.effective.note(offset + 1, asked.before_ms(age_ms));
+    /// Records that a peer sent a record that it has known for `age_ms`, in reply to a call made
+    /// at `requested_at`.
+    pub fn note_received(&mut self, offset: u64, age_ms: u64, requested_at: Time) {
+        self.effective
+            .note(offset + 1, requested_at.before_ms(age_ms));
     }
 
     /// Records that a read brought the records at `offsets`.
@@ -88,11 +89,11 @@
             let earliest = self
                 .earliest
                 .unwritten_until(offset)
-                .unwrap_or(read.answered);
-            let written = earliest.max(bound).min(read.answered);
+                .unwrap_or(read.received_at);
+            let written = earliest.max(bound).min(read.received_at);
             self.effective.note(offset + 1, written);
         }
-        self.read_at = Some(read.answered);
+        self.read_at = Some(read.received_at);
         self.read_delayed = read.is_delayed();
     }
 
@@ -102,14 +103,14 @@
         if read.disturbed || read.is_delayed() {
             return Time::ZERO;
         }
-        let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.asked;
+        let paused = |it: Time| it.after_ms(STEADY_PAUSE_MS) < read.requested_at;
         let reading_steadily = !self.read_at.is_none_or(paused) && !self.read_delayed;
-        let waited = read.asked.after_ms(DELAYED_MS) < read.answered;
+        let waited = read.requested_at.after_ms(DELAYED_MS) < read.received_at;
         match (reading_steadily, waited) {
-            (true, _) => read.answered,
-            // The store would have answered at once if the records had been there at the start of
+            (true, _) => read.received_at,
+            // The store would have responded at once if the records had been there at the start of
             // the read.
-            (false, true) => read.asked,
+            (false, true) => read.requested_at,
             (false, false) => Time::ZERO,
         }
     }
--- a/crates/gradeloft_standin/src/caller.rs
+++ b/crates/gradeloft_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entries.
+//! A client of the entries.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
 use gradeloft_wire::border::caller::{Addresses, End, Error, Token};
 use serde_json::json;
 
-/// A caller of one team.
+/// A client that sends requests of one team.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
@@ -19,36 +19,36 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// What came back for a generate request.
+/// The response to a generate request.
 #[derive(Clone, Debug, Default)]
-pub struct Generated {
+pub struct GenerateResponse {
     /// HTTP status; 0 when the connection failed.
     pub status: u16,
-    /// The text of all tokens.
+    /// The concatenated text of all tokens.
     pub text: String,
     /// Number of tokens.
     pub tokens: u64,
-    /// The closing event of a whole answer.
+    /// The `end` event; `None` if the response is incomplete.
     pub end: Option<End>,
-    /// The error, as a body or as an event.
+    /// The error from the body or from an event.
     pub error: Option<Error>,
 }
 
-/// What came back for a service call.
+/// The response to a service call.
 #[derive(Clone, Debug)]
-pub struct Called {
-    /// HTTP status; 0 when the connection failed or the body broke off.
+pub struct ServiceResponse {
+    /// HTTP status; 0 when the connection failed or the body was truncated.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: String,
-    /// The error, if the body is one.
+    /// The error, if the body contains one.
     pub error: Option<Error>,
-    /// `Retry-After`, if there is one.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<String>,
 }
 
 impl Caller {
-    /// A caller of a team with its token.
+    /// Creates a client of `team` that authenticates with `token`; an empty token is not sent.
     pub fn new(team: &str, token: &str) -> Caller {
         let client = Client::builder().timeout(Duration::from_secs(60)).finish();
         Caller {
@@ -59,50 +59,55 @@
         }
     }
 
-    /// The same caller with one header more.
-    pub fn with(&self, name: &str, value: &str) -> Caller {
+    /// Returns a copy of this caller with an additional header.
+    pub fn with_header(&self, name: &str, value: &str) -> Caller {
         let mut caller = self.clone();
         caller.headers.push((name.to_owned(), value.to_owned()));
         caller
     }
 
-    /// Asks an entry which addresses to use.
+    /// Requests the addresses of the entries that callers in `zone` use.
     pub async fn addresses(&self, entry: SocketAddr, zone: &str) -> Option<Addresses> {
         let url = format!("http://{entry}/v1/addresses?team={}&zone={zone}", self.team);
         self.client.get(url).send().await.ok()?.json().await.ok()
     }
 
-    /// Sends a generate request and reads the whole answer.
+    /// Sends a generate request and reads the whole response.
     pub async fn generate(
         &self,
         entry: SocketAddr,
         model: &str,
         prompt: &str,
         max_tokens: u32,
-    ) -> Generated {
+    ) -> GenerateResponse {
         let body = json!({ "prompt": prompt, "max_tokens": max_tokens }).to_string();
         self.generate_raw(entry, model, body).await
     }
 
-    /// Sends any body as a generate request.
-    pub async fn generate_raw(&self, entry: SocketAddr, model: &str, body: String) -> Generated {
+    /// Sends a generate request with the given body.
+    pub async fn generate_raw(
+        &self,
+        entry: SocketAddr,
+        model: &str,
+        body: String,
+    ) -> GenerateResponse {
         let path = format!("/v1/teams/{}/models/{model}/generate", self.team);
         let Some(mut response) = self.send(entry, Method::POST, &path, body.into()).await else {
-            return Generated::default();
+            return GenerateResponse::default();
         };
         let status = response.status().as_u16();
         if status != 200 {
             let error = response.json().await.ok();
-            return Generated {
+            return GenerateResponse {
                 status,
                 error,
-                ..Generated::default()
+                ..GenerateResponse::default()
             };
         }
         read_events(response).await
     }
 
-    /// Starts a generate request and gives the answer's bytes as they come.
+    /// Sends a generate request and returns the stream of response bytes.
     pub async fn generate_stream(
         &self,
         entry: SocketAddr,
@@ -121,14 +126,14 @@
         method: &str,
         service_path: &str,
         body: &str,
-    ) -> Called {
+    ) -> ServiceResponse {
         let path = format!("/v1/teams/{}/services/{service_path}", self.team);
         let method = Method::from_bytes(method.as_bytes()).unwrap_or_default();
         let sent = self
             .send(entry, method, &path, body.to_owned().into())
             .await;
         let Some(mut response) = sent else {
-            return Called {
+            return ServiceResponse {
                 status: 0,
                 body: String::new(),
                 error: None,
@@ -146,7 +151,7 @@
             0
         };
         let body = body.unwrap_or_default();
-        Called {
+        ServiceResponse {
             status,
             error: serde_json::from_slice(&body).ok(),
             body: String::from_utf8_lossy(&body).into_owned(),
@@ -173,13 +178,13 @@
     }
 }
 
-async fn read_events<S>(response: ClientResponse<S>) -> Generated
+async fn read_events<S>(response: ClientResponse<S>) -> GenerateResponse
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
-    let mut generated = Generated {
+    let mut generated = GenerateResponse {
         status: 200,
-        ..Generated::default()
+        ..GenerateResponse::default()
     };
     let mut events = response.eventsource();
     while let Some(Ok(event)) = events.next().await {
