--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -3,8 +3,8 @@
 //! A broken connection does not prove that the replica behind it crashed, so a request that was
 //! lost with its connection is held here until it is certain that this start of the replica has
 //! ended. Suspects are sent to other entries at once, and each entry merges them with its own
-//! observations ([`Quarantine`]). What must survive the loss of all entries is stored in the table
-//! that the entries write.
+//! observations ([`Quarantine`]). State that must survive the loss of all entries is stored in the
+//! table that the entries write.
 //!
 //! - `crash`: detection of replica crashes.
 //! - `store`: records of suspects in the platform's store.
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -1,5 +1,5 @@
-//! The time up to which each copy is known to have been complete, which bounds how long ago a
-//! record that the store returns can have been written.
+//! The time up to which each copy is known to have been complete. It is the earliest time at which
+//! a record that the store returns can have been written.
 
 use gradeloft_policy::clock::Time;
 use gradeloft_wire::frame::Table;
--- a/crates/gradeloft_gateway/src/node/unreadable.rs
+++ b/crates/gradeloft_gateway/src/node/unreadable.rs
@@ -1,7 +1,7 @@
 //! Records of other writers in the tables that can't be decoded.
 //!
-//! In the copy of its table, such a record is replaced by a removal of its key, so that the copy
-//! advances past it and its value takes no memory, here or at peers.
+//! The copy of a table holds a removal of the key in place of such a record, so that the copy
+//! advances past the record and the value takes no memory, here or at peers.
 
 use gradeloft_policy::process::mirror::{Record, Update};
 use gradeloft_wire::{
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -73,9 +73,9 @@
     }
 }
 
-/// Returns whether the entry whose name hashes to `own` reads a table from the store, where
-/// `others` are the other entries of its region that are alive and have access to the store, and
-/// `regions` is the number of regions.
+/// Returns whether the entry whose name hashes to `own` reads a table from the store. `others` are
+/// the other live entries of its region with access to the store, and `regions` is the number of
+/// regions.
 pub fn reads(table: u64, own: u64, others: impl Iterator<Item = u64>, regions: usize) -> bool {
     let here = (READERS / regions.max(1)).clamp(1, MAX_PER_REGION);
     rendezvous::rank(table, own, others) < here
--- a/crates/gradeloft_policy/src/request/wait.rs
+++ b/crates/gradeloft_policy/src/request/wait.rs
@@ -25,9 +25,9 @@
 /// The request arrived at `received`, is in time within `objective` of that, expires at `deadline`,
 /// and first found no room at `since`. Waiting is futile if `exclusions` has no full replica, as
 /// then none accepts such requests at all. While the entry is `refusing` callers, only streams
-/// wait: when capacity is short for a whole day, the worst-served kind of request is worth 0.58
-/// instead of 0.69 otherwise, because long prompts that need an idle replica wait in vain behind
-/// short ones.
+/// wait. If others waited too while capacity is short for a whole day, long prompts that need an
+/// idle replica would wait in vain behind short ones, and the worst-served kind of request would be
+/// worth 0.58 instead of 0.69.
 pub fn wait_deadline(
     urgency: Urgency,
     exclusions: ExclusionCounts,
--- a/crates/gradeloft_policy/src/version/fetch/hedge.rs
+++ b/crates/gradeloft_policy/src/version/fetch/hedge.rs
@@ -1,11 +1,11 @@
-//! Hedged reads: when an agent reads a chunk although a better-ranked owner is reading it.
+//! Hedged reads: reads of a chunk by an agent although a better-ranked owner is reading it.
 //!
-//! An owner behind a slow link replies that its chunks are pending, and delays the whole fleet. So
-//! once nearly all of a version is in the fleet, and the remaining chunks have not arrived in the
-//! time expected from the pace of the others, the next agents in rank read them as well, one after
-//! the other. By then the origin has little other load, and few chunks remain. Earlier hedges would
-//! only compete with the owners at the origin: with a fixed wait it sends 1.5 copies of the
-//! version, and the last chunk 0.2 s later than possible.
+//! An owner behind a slow link replies that its chunks are pending, and delays the whole fleet.
+//! Hedging starts once nearly all of a version is in the fleet, and the remaining chunks are late
+//! by the pace of the others: the next agents in rank read them as well, one after the other. By
+//! then the origin has little other load, and few chunks remain. Earlier hedges would only compete
+//! with the owners at the origin: with a fixed wait it sends 1.5 copies of the version, and the
+//! last chunk 0.2 s later than possible.
 
 use crate::clock::Time;
 
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -32,9 +32,9 @@
     pub per_source: u32,
     /// Timeout of a request, in milliseconds.
     pub stall_ms: u64,
-    /// Transfer time of a chunk on one agent's link, in milliseconds. All owners may read from the
-    /// origin at once, and its link has at least the bandwidth of one agent's, so the timeout of a
-    /// request to it grows by this time for each origin slot of each member.
+    /// Transfer time of a chunk on one agent's link, in milliseconds. The timeout of a request to
+    /// the origin grows by this time for each origin slot of each member: all owners may read from
+    /// the origin at once, and its link has at least the bandwidth of one agent's.
     pub chunk_ms: u64,
     /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied
     /// by the square of the rank.
--- a/crates/gradeloft_policy/src/version/readers.rs
+++ b/crates/gradeloft_policy/src/version/readers.rs
@@ -11,9 +11,9 @@
 /// the readers and read from the origin themselves.
 const READER_SHARE: f64 = 0.85;
 
-/// Returns the agents of `nodes` that read the version `key` from an origin that accepts
-/// `connections` connections, of which each reader uses `connections_per_reader`. Returns at least
-/// one, in order of rank.
+/// Returns the agents of `nodes` that read the version `key` from the origin: at least one, in
+/// order of rank. The origin accepts `connections` connections, and each reader uses
+/// `connections_per_reader`.
 pub fn choose(key: u64, nodes: &[u64], connections: u32, connections_per_reader: u32) -> Vec<u64> {
     let max_readers =
         f64::from(connections) * READER_SHARE / f64::from(connections_per_reader.max(1));
