--- a/crates/gradeloft_standin/src/engine.rs
+++ b/crates/gradeloft_standin/src/engine.rs
@@ -145,7 +145,7 @@
         Ok(Engine { state, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         url(&self.server)
     }
--- a/crates/gradeloft_standin/src/list.rs
+++ b/crates/gradeloft_standin/src/list.rs
@@ -39,7 +39,7 @@
         Ok(List { state, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         url(&self.server)
     }
--- a/crates/gradeloft_standin/src/log.rs
+++ b/crates/gradeloft_standin/src/log.rs
@@ -57,7 +57,7 @@
         Ok(Log { state, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         url(&self.server)
     }
--- a/crates/gradeloft_standin/src/service.rs
+++ b/crates/gradeloft_standin/src/service.rs
@@ -48,7 +48,7 @@
         Ok(Service { state, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         url(&self.server)
     }
--- a/crates/gradeloft_standin/src/weights.rs
+++ b/crates/gradeloft_standin/src/weights.rs
@@ -121,7 +121,7 @@
         Ok(Weights { state, server })
     }
 
-    /// Base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         url(&self.server)
     }
