--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Replaces the scheme by which chunks are distributed, for comparisons.
+    /// Replaces the default scheme of chunk distribution; benchmarks compare schemes this way.
     pub fn scheme(mut self, scheme: Scheme) -> Builder {
         self.scheme = scheme;
         self
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -2,9 +2,9 @@
 //!
 //! Entries follow the log. In addition, every node periodically requests from a random peer a newer
 //! bundle, pushes each bundle that it accepts to its peers, and compares bundle numbers in the
-//! notices of the peers that it watches. An outage of the log therefore stops new bundles, but
-//! neither the spread of the accepted one nor the start of new nodes. Agents read the log
-//! frequently only while they have no bundle.
+//! notices of the peers that it watches. During an outage of the log no new bundle is accepted, but
+//! the accepted one still spreads and new nodes can start. Agents read the log frequently only
+//! while they have no bundle.
 //!
 //! Before the log's retention drops the bundle in force, an entry appends it again as a checkpoint,
 //! from which later readers of the log start.
@@ -104,7 +104,7 @@
     }
 }
 
-/// Applies a record of the log. `contiguous` states that no earlier record is missing.
+/// Applies a record of the log. `contiguous` is whether all earlier records were read.
 fn apply_record(node: &Node, contiguous: bool, record: &log::Record) {
     let (signed, verdict) = match Record::decode(&record.data) {
         Ok(Record::Bundle(signed)) => {
--- a/crates/gradeloft_gateway/src/agent/deploy.rs
+++ b/crates/gradeloft_gateway/src/agent/deploy.rs
@@ -81,8 +81,8 @@
         named.insert(model, (version, written));
     }
 
-    /// Returns the time from which a version counts as named; the current time if the version is
-    /// not the newest or was never named.
+    /// Returns the time at which the record that names a version counts as written; the current
+    /// time if the version is not the newest or was never named.
     pub fn named_at(&self, version: &Version) -> Time {
         let named = self.named_versions.borrow();
         let newest = named.get(&version.model);
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -146,7 +146,8 @@
     /// Whether a recovery of the staged chunks is running.
     recovering: Cell<bool>,
     config: RefCell<Option<Document>>,
-    /// Newest version of each model, and the time from which it counts as named.
+    /// Newest version that the operator named for each model, and the time at which its record
+    /// counts as written.
     named_versions: RefCell<HashMap<String, (u64, Time)>>,
     /// Entries from which a datagram was received recently.
     entries: RefCell<HashMap<Ipv4Addr, KnownEntry>>,
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -140,10 +140,10 @@
 }
 
 impl Election for Weak<Agent> {
-    /// Returns whether the agent reads a table from the store, which it does only while no entry
-    /// sends it. After a start it waits for entries: if all processes start at once, the store
-    /// would otherwise send the configuration to each agent over the links that requests and
-    /// weights need.
+    /// Returns whether the agent reads a table from the store: only while no entry sends the table.
+    /// A starting agent waits for entries first. If all processes start at once, the store would
+    /// otherwise send the configuration to each agent over the links that requests and weights
+    /// need.
     fn reads(&self, table: Table) -> bool {
         let Some(agent) = self.upgrade() else {
             return false;
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -193,9 +193,9 @@
     before.version
 }
 
-/// Returns the digests of a version's chunks. Readers get them from the origin, all other agents
-/// from the readers. Other peers get requests too if the origin is unreachable, and the origin if
-/// the readers are.
+/// Returns the digests of a version's chunks. Readers request them from the origin and other
+/// readers, all other agents from the readers. If that fails, any agent requests them from the
+/// origin, then from other peers.
 async fn manifest(
     agent: &Agent,
     version: &Version,
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -79,11 +79,11 @@
 };
 /// Rounds between requests to entries of which only the address is known.
 const UNIDENTIFIED_ROUNDS: u32 = 4;
-/// Rounds after a start in which such entries get a request every time, as seeds from the settings
-/// may start later.
+/// Number of rounds after a start in which those requests are sent every round, since seeds from
+/// the settings may start later.
 const FIRST_ROUNDS: u32 = 24;
-/// Rounds between messages to one random entry of each other region, by which knowledge of a region
-/// survives the loss of all its delegates, and of the links between them.
+/// Rounds between messages to one random entry of each other region. They keep regions known to
+/// each other if all delegates of a region, or the links between delegates, fail.
 const RANDOM_ROUNDS: u32 = 16;
 /// Rounds between messages that list other entries.
 const ROSTER_ROUNDS: u32 = 8;
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -86,9 +86,9 @@
         replicas.set_others(others);
     }
 
-    /// Sets the pause between this entry's requests to each cold replica. The entries of the
-    /// replica's region share the rate that it sustains, or all entries do if none of that region
-    /// accepts callers.
+    /// Sets the pause between this entry's requests to each cold replica. The request rate that the
+    /// replica sustains is shared by the entries of its region, or by all entries if no entry of
+    /// its region accepts callers.
     fn pace_cold_replicas(&self, now: Time) {
         let settings = self.node.settings();
         let config = self.config.borrow();
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -102,7 +102,7 @@
 }
 
 impl Entry {
-    /// Returns all suspect requests with their number of crashes that count, for tests and
+    /// Returns each suspect request with the number of crashes held against it, for tests and
     /// operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
         let known = self.quarantine.known.borrow();
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -18,17 +18,17 @@
 use super::{Entry, OldestVersions};
 use crate::{logs::Topic, node::tables::Source};
 
-/// Time before the deadline for new weights from which requests prefer replicas that hold them, if
-/// one has room, in milliseconds: by then the last replicas switch.
+/// Time before the deadline for new weights at which requests begin to prefer replicas with the new
+/// weights, if one has capacity, in milliseconds. The last replicas switch by then.
 const VERSION_PREFERRED_MS: u64 = 1_600;
-/// Time before the deadline for new weights from which requests require them, in milliseconds. A
-/// request is sent to a replica where it begins within its objective of 0.4 s, and all entries
-/// learn of a new version within 0.3 s. A value of 1,600 leaves replicas with older weights idle
-/// for 0.8 s while requests are refused.
+/// Time before the deadline for new weights at which requests begin to require the new weights, in
+/// milliseconds. A request is sent to a replica where it begins within its objective of 0.4 s, and
+/// all entries learn of a new version within 0.3 s. A value of 1,600 leaves replicas with older
+/// weights idle for 0.8 s while requests are refused.
 const VERSION_REQUIRED_MS: u64 = 800;
 /// Time before the deadline for new weights at which requests that wait at a replica with older
-/// weights are withdrawn, in milliseconds: 0.1 s for the network, also over a slow link, and 0.3 s
-/// by which this entry may have learned of the version late.
+/// weights are withdrawn, in milliseconds. The withdrawal takes 0.1 s, even over a slow link, and
+/// this entry may learn of the version 0.3 s late.
 const VERSION_WITHDRAWN_MS: u64 = 500;
 
 impl Entry {
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -17,7 +17,7 @@
 /// Largest record that is not abridged, in bytes: it takes 4 ms of an agent's link of 9.4 Mbit/s.
 const SMALL_BYTES: usize = 4 << 10;
 
-/// Abridged records of a sender and of a receiver.
+/// State of abridged records that this process sends or received.
 #[derive(Debug, Default)]
 pub(super) struct AbridgedRecords {
     /// Offset and abridged value of the newest large record of each key.
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -7,16 +7,16 @@
 use super::{Node, tables::index};
 
 impl Node {
-    /// Returns the time up to which the copy of a table is known to have been complete, by this
-    /// process's reads and by peers' reports of theirs: a record that it lacked then had not been
-    /// written. While a read is being applied, it is the time before that read. With uninterrupted
-    /// reads it is at most the wait of one read, and a round trip, ago.
+    /// Returns the time up to which the copy of a table is known to be complete, from reads of this
+    /// process and of peers: a record that the copy lacked at that time was written later. While a
+    /// read is being applied, returns the time that held before the read. While reads succeed, the
+    /// time is at most one long poll and one round trip ago.
     pub fn confirmed_until(&self, table: Table) -> Option<Time> {
         self.write_times.borrow()[index(table)].complete_until(self.end(table))
     }
 
-    /// Returns whether the last successful read of a table followed a failed one: its records may
-    /// have been written long before.
+    /// Returns whether the last successful read of a table followed a failed one. Its records may
+    /// then have been written long before the read.
     pub fn after_interruption(&self, table: Table) -> bool {
         self.after_interruption.get()[index(table)]
     }
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -32,12 +32,12 @@
 const SHORTEST_WAIT_PERCENT: u64 = 75;
 /// Pause between checks whether a process on standby has to read the store.
 const STANDBY_PAUSE: Duration = Duration::from_millis(200);
-/// Time after an interruption of reading a table within which the store may still drop records of
-/// live replicas, in milliseconds.
+/// Time after the reads of a table resume in which the store may still drop records of live
+/// replicas, in milliseconds.
 const DOUBT_MS: u64 = 1_500;
-/// Time after the interruption by which dropped records of live replicas are back, in milliseconds:
-/// two seconds, and a read. It counts from the end of the interruption and not from the removal, so
-/// that requests to a replica which leaves just then stop in time.
+/// Time after the reads resume within which dropped records of live replicas return, in
+/// milliseconds: two seconds and one read. It starts when the reads resume, not when a record is
+/// removed, so that requests to a replica that really leaves meanwhile stop in time.
 pub(super) const RESTORED_MS: u64 = 2_300;
 
 /// Source of records.
--- a/crates/gradeloft_policy/src/connection/health.rs
+++ b/crates/gradeloft_policy/src/connection/health.rs
@@ -5,8 +5,8 @@
 const FIRST_SUSPICION_MS: u64 = 250;
 const MAX_SUSPICION_MS: u64 = 8_000;
 
-/// Failure state of one peer. Suspicion expires by itself, so that the peer is tried again, and
-/// doubles with each failure.
+/// Failure state of one peer. A peer is suspect for a limited time after a failure, then it is
+/// tried again; the time doubles with each further failure.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     /// Failures since the last success.
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -34,7 +34,7 @@
 /// A service that a route leads to, and its share of the route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Service.
+    /// Name of the service.
     pub service: Rc<str>,
     /// Share of the requests, relative to the weights of the other targets.
     pub weight: f64,
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -18,9 +18,9 @@
 /// Time over which requests are counted, in seconds: about twenty requests of a busy entry.
 const WINDOW_S: f64 = 1.0;
 
-/// Returns the number of slots of each replica that are assigned to the entry at position `own` of
-/// `entries`, where `slots` are the slots of each replica. Both lists have the same order at each
-/// entry.
+/// Returns the number of slots of each replica that are assigned to one entry. `own` is the
+/// position of the entry in the list of all `entries` entries, and `slots` is the number of slots
+/// of each replica. All entries must use the same order of entries and of replicas.
 ///
 /// ```
 /// use gradeloft_policy::process::slot_split::parts;
@@ -236,11 +236,11 @@
 /// Returns the probability with which an entry sends a request beyond its own slots to a free slot
 /// of other entries.
 ///
-/// `free` is the total number of such slots, by reports of the `others` that are `age` old on
-/// average. The others are assumed to have as many such requests as this entry, `rate` a second,
-/// and to act alike. The probability falls with the number of requests that they will have sent by
-/// now, so that all of them together send no more requests than there are slots before the next
-/// reports.
+/// `free` is the total number of such slots as reported by the `others` other entries, and `age`
+/// the mean age of these reports. Each other entry is assumed to have the same rate of such
+/// requests as this one, `rate` per second, and the same probability. The probability falls with
+/// the number of requests that the others may have sent since their reports, so that all entries
+/// together send no more requests than there are slots before the next reports.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -339,9 +339,9 @@
             .retain(|_, exclusion| *exclusion != Exclusion::NotHeld);
     }
 
-    /// Chooses the next peer: any of the own region that holds the value, or one of another region
-    /// if none of the own can send it and it is this process's turn. Bytes between regions cost
-    /// money, and all processes of a region share the narrow link there.
+    /// Chooses the next peer: any peer of this region that holds the value. If none of them can
+    /// send it and it is this process's turn, chooses a peer of another region. Traffic between
+    /// regions costs money, and all processes of a region share one narrow link to other regions.
     pub fn choose(
         &self,
         holders: &Holders,
--- a/crates/gradeloft_policy/src/request/caller_age.rs
+++ b/crates/gradeloft_policy/src/request/caller_age.rs
@@ -12,16 +12,17 @@
 const WINDOW_MS: u64 = 10_000;
 /// Most samples per window.
 const MAX_SAMPLES: usize = 64;
-/// Below this many samples the largest one stands for first attempts, as variation between callers
-/// isn't visible yet.
+/// With fewer samples, the largest one is the estimate for first attempts, as variation between
+/// callers isn't visible yet.
 const MIN_SAMPLES: usize = 16;
 /// Callers count as uniform if at least this share of the samples is within [`TOLERANCE`] of the
 /// largest. Half of the requests are first attempts even in a shortage in which each caller retries
 /// once.
 const UNIFORM_SHARE: f64 = 1.0 / 3.0;
 const TOLERANCE: f64 = 0.01;
-/// Share of a window's requests that may be retries with less time left than first attempts, where
-/// timeouts vary. A shortage causes more retries; then the previous window decides.
+/// Largest share of retries in a window for which the estimate is correct although timeouts vary:
+/// this share of the samples, those with the least time left, is ignored. A shortage causes more
+/// retries than that, but the estimate of the window before it is larger and is used.
 const RETRY_SHARE: f64 = 0.1;
 
 /// Remaining times of the requests on one route.
@@ -77,7 +78,8 @@
 }
 
 impl TimeBudgets {
-    /// Records that a caller of a route has `left`, and returns how long it has waited at least.
+    /// Records the remaining time `left` of a caller of a route, and returns the shortest time that
+    /// the caller must have waited already.
     pub fn age(&mut self, route: &Rc<str>, left: Duration, now: Time) -> Duration {
         let samples = self.routes.entry(Rc::clone(route)).or_default();
         samples.add(left, now);
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -58,7 +58,7 @@
 }
 
 impl Urgency {
-    /// Returns the urgency of a request that has `left` until it is late.
+    /// Returns the urgency of a request that is late once `left` has passed.
     pub fn of(left: Duration) -> Urgency {
         if left.is_zero() {
             Urgency::Late
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -25,8 +25,8 @@
 /// Current lack of capacity of a service, as seen by one entry.
 ///
 /// A shortage is likely to last as long again as it has lasted so far, so refused callers retry
-/// after that time: soon enough to be in time during a short one, and when it may be over during a
-/// long one.
+/// after that time. In a short shortage, the retry is soon enough to be in time; in a long one, it
+/// comes when the shortage may be over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Shortage {
     /// Times of the first and last refusal.
@@ -41,8 +41,8 @@
             .is_some_and(|(_, last)| now < last.after_ms(ACTIVE_MS))
     }
 
-    /// Records the refusal of a caller that has `left`, and returns the delay after which it may
-    /// retry.
+    /// Records the refusal of a caller whose remaining time is `left`, and returns the delay after
+    /// which the caller may retry.
     pub fn record_refusal(&mut self, left: Duration, now: Time, rng: &mut impl Rng) -> Duration {
         let since = match self.span {
             Some((since, last)) if now < last.after_ms(EPISODE_GAP_MS) => since,
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -263,8 +263,8 @@
 
     /// Returns whether a slot for a request to a peer is free. Requests to the origin have separate
     /// slots, because they queue at the origin behind those of all readers, not on this agent's
-    /// link. Readers that request nothing from peers meanwhile complete a version 1.7 s after the
-    /// other agents, of 3.7 s in all.
+    /// link. With shared slots, readers would request nothing from peers while the origin delays
+    /// its responses, and complete a version after 3.7 s, 1.7 s later than the other agents.
     fn has_peer_slot(&self) -> bool {
         self.in_flight - self.outside_in_flight < self.tuning.peer_slots
     }
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -30,10 +30,10 @@
 /// once.
 const MAX_SPREAD: Duration = Duration::from_secs(5);
 /// Fraction of a version's rollout time over which the replicas of a fleet load a superseded
-/// version, one after the other. Each stages the newer version once it has started to load the
-/// superseded one, and fetching the chunks of the newer one takes a third of its time. In waves of
-/// a quarter each, closed for another 0.7 s, up to three quarters of a fleet are closed at once; if
-/// the loads are spread over 1.6 s of 9.7 s, up to two fifths.
+/// version, one after the other. A replica stages the newer version once it has started to load the
+/// superseded one, and fetching the newer chunks takes a third of the newer version's rollout time.
+/// In four waves, with each replica closed for another 0.7 s, up to three quarters of a fleet are
+/// closed at once. With loads spread over 1.6 s of 9.7 s, it is up to two fifths.
 const SUPERSEDED_FRACTION: f64 = 0.3;
 /// Number of replicas that must be ordered to load after a given one before that one is open again.
 const FOLLOWERS: u64 = 3;
@@ -80,9 +80,9 @@
     }
 }
 
-/// Returns the time over which `all` replicas load a superseded version, in milliseconds. It is
-/// shorter for few replicas, as the one that was ordered last has to remain closed until the next
-/// one is.
+/// Returns the time over which `all` replicas load a superseded version, in milliseconds. The time
+/// is shorter for few replicas, because each replica must still be closed when the next one is
+/// ordered to load.
 fn superseded_ms(version_ms: u64, all: usize) -> u64 {
     let over_ms = (version_ms as f64 * SUPERSEDED_FRACTION) as u64;
     over_ms.min(LAST_CLOSED_MS * all as u64)
