--- a/crates/gradeloft_daemon/src/agent/chunks.rs
+++ b/crates/gradeloft_daemon/src/agent/chunks.rs
@@ -9,8 +9,8 @@
 use gradeloft_policy::version::manifest::Manifest;
 use gradeloft_wire::id::Digest;
 
-/// Content by digest. Beyond the size limit the oldest content is evicted first: it belongs to the
-/// oldest version, which the engine already holds.
+/// Content by digest. Beyond the size limit the oldest content is evicted first, because it belongs
+/// to the oldest version, which the engine already holds.
 pub struct Chunks {
     content: HashMap<Digest, Bytes>,
     /// Digests in order of arrival, oldest first.
@@ -24,7 +24,8 @@
 struct KnownManifest {
     manifest: Rc<Manifest>,
     positions: HashMap<Digest, u32>,
-    /// Positions in order of arrival, so that the state of a follower is the number sent to it.
+    /// Positions of the chunks in order of arrival. A follower's progress is the number of
+    /// positions sent to it.
     arrived: Vec<u32>,
 }
 
--- a/crates/gradeloft_daemon/src/agent/deploy.rs
+++ b/crates/gradeloft_daemon/src/agent/deploy.rs
@@ -90,8 +90,9 @@
 }
 
 /// Records in the log that this replica serves the targets, so that the next availability zones can
-/// continue. This includes versions that the engine served before the agent started. Without an
-/// order of the zones nothing is recorded. Returns whether all are recorded.
+/// continue. This includes versions that the engine served before the agent started. Nothing is
+/// recorded if the bundle specifies no order of the zones. Returns whether all targets are
+/// recorded.
 async fn report_done(agent: &Agent, targets: &[Target], failed: &[bool]) -> bool {
     let mut reported = agent.has_zone_order();
     for (target, _) in targets.iter().zip(failed).filter(|(_, failed)| !**failed) {
--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -55,7 +55,7 @@
 /// Time without a message after which a followed peer counts as gone.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Returns the current members of a fetch without the own agent.
+/// Function that returns the current members of a fetch other than this agent.
 pub type ListMembers = Rc<dyn Fn() -> Vec<Member>>;
 
 enum Event {
--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -62,7 +62,7 @@
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a drain checks for running requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time at the start of a drain in which the entries learn of it.
+/// Time that a drain allows for its notice to reach the entries.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
 /// Delay before an epoch is requested again after a failure of the log.
 const EPOCH_RETRY: Duration = Duration::from_millis(500);
@@ -114,7 +114,7 @@
     /// Number of running requests in the latest report to watchers.
     reported_running: Cell<u32>,
     chunks: RefCell<Chunks>,
-    /// Number of chunks that have arrived; a change wakes the followers.
+    /// Number of chunks that have arrived; a change wakes the tasks that notify followers.
     arrivals: watch::Sender<u64>,
     uploads: RefCell<UploadSlots<oneshot::Sender<()>>>,
     /// The fetch in progress.
--- a/crates/gradeloft_daemon/src/agent/read.rs
+++ b/crates/gradeloft_daemon/src/agent/read.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads a chunk at the rate that live requests leave free, and verifies its digest.
+/// Reads a chunk, limited to the bandwidth that live requests don't use, and verifies its digest.
 pub async fn chunk(
     agent: &Agent,
     request: ChunkRequest,
@@ -97,8 +97,8 @@
 }
 
 /// Reads a manifest, with retries until an attempt succeeds. Its first owner reads it from the
-/// store or the origin. Other agents query owners and partners first, so that it spreads over the
-/// partners and the owners are not overloaded.
+/// store or the origin. Other agents query owners and partners first, so that the manifest spreads
+/// from partner to partner and the owners are not overloaded.
 pub async fn manifest(
     agent: &Rc<Agent>,
     digest: Digest,
--- a/crates/gradeloft_daemon/src/agent/share.rs
+++ b/crates/gradeloft_daemon/src/agent/share.rs
@@ -17,8 +17,8 @@
 /// Maximum interval between messages to a follower.
 const FOLLOW_HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Sends a chunk to a peer, once an upload slot is free and the link has capacity beside live
-/// requests.
+/// Sends a chunk to a peer, once an upload slot is free and live requests leave capacity on the
+/// link.
 pub async fn send_chunk(agent: Rc<Agent>, digest: Digest, outgoing: Outgoing) {
     let content = match agent.held_content(digest) {
         Ok(content) => content,
@@ -41,8 +41,8 @@
     drop(slot);
 }
 
-/// Sends a peer the positions of the chunks of a manifest that are held, and of those that arrive
-/// later.
+/// Sends a peer the positions of a manifest's chunks: first those that this agent holds, then each
+/// further one as it arrives.
 pub async fn send_holdings(agent: Rc<Agent>, manifest: Digest, outgoing: Outgoing) {
     let mut arrivals = agent.arrivals.subscribe();
     let mut seen = 0;
--- a/crates/gradeloft_daemon/src/agent/work.rs
+++ b/crates/gradeloft_daemon/src/agent/work.rs
@@ -11,7 +11,7 @@
 use super::{Agent, Endpoint, generate, service};
 use crate::{metrics::Reason, transport::server::Outgoing};
 
-/// The load is reported to watchers at once when it changes by the capacity divided by this.
+/// A change of the load by the capacity divided by this number is reported to watchers at once.
 const REPORT_DIVISOR: u32 = 4;
 
 /// Runs an attempt and sends its response or error.
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -27,12 +27,13 @@
     transport::client::{CallError, Incoming, Lane},
 };
 
-/// Requirement of a request on the agent that serves it.
+/// Weights or service that an agent must serve to receive a request.
 #[derive(Clone, Debug)]
 pub enum Target {
     /// Weights, and the hash of the prompt's prefix.
     Weights(Pin, u64),
-    /// A service, and the hash of the idempotency key, whose calls prefer one agent.
+    /// A service, and the hash of the idempotency key. Calls with the same key prefer the same
+    /// agent.
     Service(String, Option<u64>),
 }
 
@@ -152,8 +153,8 @@
     }
 }
 
-/// Returns which of two failures to report to the caller: a later failure that did not run must not
-/// hide that an earlier attempt may have run.
+/// Returns which of two failures to report to the caller. The failure of a later attempt that did
+/// not run must not hide that an earlier attempt may have run.
 fn failure_to_report(last: Option<Kind>, kind: Kind) -> Kind {
     match last {
         Some(last) if last.ran() != Ran::No => last,
--- a/crates/gradeloft_daemon/src/entry/limits.rs
+++ b/crates/gradeloft_daemon/src/entry/limits.rs
@@ -22,11 +22,12 @@
 
 /// Least demand for which an entry requests leases, in requests per second.
 const MIN_DEMAND: f64 = 0.01;
-/// Number of entries for which the interval between lease requests grows by the renewal interval.
+/// Number of entries that add one renewal interval to the interval between lease requests.
 const ENTRIES_PER_INTERVAL: usize = 40;
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// State of one team at this entry. Each pair is for requests and for tokens.
+/// State of one team at this entry. The first value of each pair is for requests, the second for
+/// tokens.
 #[derive(Default)]
 struct TeamState {
     allowed: [f64; 2],
@@ -39,7 +40,7 @@
 pub struct Limits {
     limiter: TeamLimiter,
     teams: HashMap<String, TeamState>,
-    /// Lenders by team, for the teams of which other entries have requested leases.
+    /// Lenders by team, for each team for which an entry has requested leases here.
     lenders: HashMap<String, [Lender; 2]>,
     /// Time of the first lease request since the last reply.
     unanswered_since: Option<Time>,
@@ -186,7 +187,7 @@
     }
 }
 
-/// Numbers of entries as seen from this one, including itself.
+/// Numbers of listed and of connected entries as seen from this entry. Both include this entry.
 #[derive(Clone, Copy)]
 struct EntryCounts {
     entries: usize,
@@ -276,8 +277,8 @@
         let own = self.node.settings.node.id.clone();
         self.limits.borrow_mut().record_request(requested_at);
         let reply = match &home {
-            // Without a majority, this entry is no home, and its own reply does not show that
-            // homes can be reached.
+            // Without a majority, this entry can't act as a home, and its own reply would not show
+            // that other homes are reachable.
             None if !self.entry_counts().has_majority() => return,
             None => self.grant(&own, &lease_requests),
             Some(address) => {
--- a/crates/gradeloft_daemon/src/node/config.rs
+++ b/crates/gradeloft_daemon/src/node/config.rs
@@ -108,7 +108,7 @@
 fn apply_record(node: &Node, contiguous: bool, record: &log::Record) {
     let (signed, verdict) = match Record::decode(&record.data) {
         Ok(Record::Bundle(signed)) => {
-            // If earlier records are missing, this bundle may have lost against a concurrent one.
+            // If earlier records are missing, one of them may hold a concurrent bundle that won.
             let decidable = contiguous || node.chain.borrow().head().is_some();
             if !decidable {
                 return;
--- a/crates/gradeloft_daemon/src/node/peers.rs
+++ b/crates/gradeloft_daemon/src/node/peers.rs
@@ -143,8 +143,8 @@
     }
 }
 
-/// Returns whether a peer is the instance on the list, since an address can be reused by another
-/// one.
+/// Returns whether a peer is still the instance with this name, since another instance may reuse
+/// its address.
 fn is_instance(node: &Node, key: PeerKey, name: &str) -> bool {
     let membership = node.membership.borrow();
     membership.get(key).is_some_and(|it| it.instance.id == name)
