--- a/crates/gradeloft_daemon/src/agent/fetch.rs
+++ b/crates/gradeloft_daemon/src/agent/fetch.rs
@@ -45,8 +45,8 @@
 /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied by
 /// the square of the rank.
 const TAKEOVER_MS: u64 = 600;
-/// Number of times that an owner may reply that a chunk is pending before another agent reads it,
-/// in addition to those during the transfer time of the whole version.
+/// Maximum number of times that an owner may reply that a chunk is pending before another agent
+/// reads the chunk, not counting those that fit into the transfer time of the whole version.
 const MAX_ANNOUNCEMENTS: u64 = 8;
 /// Delay before staging a chunk in the engine is retried.
 const STAGE_RETRY: Duration = Duration::from_millis(60);
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -57,9 +57,10 @@
 /// Time per rank after which the next owner of a chunk takes over, in milliseconds: a third of the
 /// time in which the origin sends one copy of a version.
 const TAKEOVER_MS: u64 = 400;
-/// Maximum number of times that an owner may announce that it is about to read a chunk, in addition
-/// to the transfer time of a whole version on its link, before the next owner reads it. An owner on
-/// a slow link would delay all other agents, whereas a chunk that is read twice costs little.
+/// Maximum number of times that an owner may announce that it is about to read a chunk before the
+/// next owner reads the chunk, not counting those that fit into the transfer time of a whole
+/// version on its link. An owner on a slow link would delay all other agents, whereas a chunk that
+/// is read twice costs little.
 const MAX_ANNOUNCEMENTS: u64 = 0;
 /// Number of copies of a version that all agents together may read from the origin before they slow
 /// down. Above one, as a version has few chunks and agents own unequal numbers of them.
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -24,7 +24,7 @@
 /// Shortest time after which an entry writes its own row, in milliseconds. It doubles with each
 /// failed write.
 const FIRST_PAUSE_MS: u64 = 4_000;
-/// Longest such time, in milliseconds.
+/// Longest time after which an entry writes its own row, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 16_000;
 
 impl Entry {
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -341,8 +341,8 @@
         });
     }
 
-    /// Applies the part of the announced update that is complete, from peers or meanwhile from the
-    /// store.
+    /// Applies the part of the announced update that is complete, with records from peers and those
+    /// read from the store in the meantime.
     pub(super) fn apply_complete(&self, table: Table) {
         let announced = self.with_inbox(table, |it| it.pending.take());
         let Some(mut announced) = announced else {
--- a/crates/gradeloft_policy/src/process/delegates.rs
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -34,8 +34,8 @@
     rendezvous::rank(agent, own, others) < FALLBACK_SENDERS
 }
 
-/// Returns whether `own` is one of the entries of an agent's region that send changes to it at
-/// once, where `others` are the other live entries there.
+/// Returns whether the entry `own` is one of those that send changes to an agent at once. `others`
+/// are the other live entries of the agent's region.
 pub fn sends_changes_at_once(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < IMMEDIATE_SENDERS
 }
--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -12,8 +12,8 @@
 /// Time for which connections without a request stay open, in milliseconds: callers keep addresses
 /// for two seconds, and some for three times as long.
 const LINGER_MS: u64 = 3_500;
-/// Share of the grace period after which the process ends. It is killed at the end of the whole
-/// period, which counts from a signal that may have reached it late.
+/// Share of the grace period after which the process ends. The process is killed at the end of the
+/// whole period, which begins with a signal that may reach the process late.
 const GRACE_SHARE: f64 = 0.9;
 /// Time for a request to arrive on a connection that was just accepted or kept alive, in
 /// milliseconds.
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -90,9 +90,9 @@
         self.end <= offset && known.is_none_or(|it| it.offset < offset)
     }
 
-    /// Applies records from beyond the end, before the records in between have arrived, and returns
-    /// those that changed something. The end stays, since the copy has a gap there. The same
-    /// records are applied again later, together with those before them, and change nothing then.
+    /// Applies records beyond the end of the copy before the records in between have arrived, and
+    /// returns those that changed something. The end does not move, since the copy has a gap at it.
+    /// Later, the same records are applied again after the missing ones, and change nothing.
     /// Deletions are not applied early: a deleted key leaves no trace here that would identify an
     /// older value as outdated.
     pub fn apply_ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -13,7 +13,7 @@
 /// Number of readers of a table over all regions. With six, the loss of a few delays nothing, and
 /// records that the readers of one region miss arrive from the others.
 const READERS: usize = 6;
-/// Most readers in one region. With two, the loss of one delays nothing there.
+/// Most readers in one region. With two, the loss of one reader delays nothing in the region.
 const MAX_PER_REGION: usize = 2;
 
 /// Time after the first contact with a peer from which an entry reads a table itself if no peer is
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -261,7 +261,7 @@
     }
 }
 
-/// Returns the hash of an entry's address, by which duties are assigned.
+/// Returns the hash of an entry's address. Duties are assigned to entries by this hash.
 pub fn hash(address: &Ipv4Addr) -> u64 {
     rendezvous::hash(&address.octets())
 }
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -74,7 +74,7 @@
 /// Returns the number of slots of each replica of each region that are assigned to the entry at
 /// position `own` in the region `home`.
 ///
-/// The entries of a region keep its slots as far as they need them by their share of the total
+/// The entries of a region keep the slots of the region that they need by their share of the total
 /// demand: a request that is served in its own region costs no bytes between regions, and entries
 /// of one region know each other's requests best. The surplus is lent, evenly from all replicas of
 /// the region, to the entries of regions with a shortage.
@@ -225,9 +225,10 @@
     }
 }
 
-/// Returns the number of requests that a replica may have received since others reported theirs
-/// `age` ago, at `rate` requests a second: the mean plus one standard deviation. As many may have
-/// ended, but a slot that is used twice delays one request, while an unused slot delays none.
+/// Returns the number of requests that a replica may have received since the other entries reported
+/// their requests `age` ago, at `rate` requests a second: the mean plus one standard deviation. As
+/// many requests may have ended, but a slot that is used twice delays one request, while an unused
+/// slot delays none.
 pub fn unseen_requests(rate: f64, age: Duration) -> f64 {
     let mean = rate * age.as_secs_f64();
     mean + mean.sqrt()
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -16,16 +16,17 @@
 /// Largest value that is fetched from peers, in bytes. On an instance with 128 MB of memory, the
 /// value, its copy in the table and the data parsed from it fit beside everything else.
 pub const MAX_VALUE: u64 = 16 << 20;
-/// Large values that a process sends to entries at once. With few, each is complete sooner and can
-/// be sent on; with one, a peer behind a slow link would hold up all others.
+/// Number of large values that a process sends to entries at once. With few, each transfer
+/// completes sooner and its receiver can send the value on; with one, a peer behind a slow link
+/// would delay all others.
 const ENTRY_UPLOADS: usize = 2;
-/// Large values that a process sends to agents at once, in addition to those. An agent's link has a
-/// quarter of the capacity of an entry's, and agents send to nobody. With 14 entries, two of which
-/// hold a value of 0.9 MB, and 30 agents, two slots shared by both roles delay the last entry of a
-/// zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
+/// Number of large values that a process sends to agents at once, beside those for entries. An
+/// agent's link has a quarter of the capacity of an entry's, and agents send to nobody. With 14
+/// entries, two of which hold a value of 0.9 MB, and 30 agents, two slots shared by both roles
+/// delay the last entry of a zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
 const AGENT_UPLOADS: usize = 1;
-/// Processes of a region that fetch from another region in the first turn; with only one, that
-/// region could be unreachable for it. The number doubles with each turn, so a saturated or slow
+/// Number of processes of a region that fetch from another region in the first turn. A single one
+/// might be unable to reach that region. The number doubles with each turn, so a saturated or slow
 /// link does not carry a copy for each process.
 const FAR_AT_ONCE: usize = 2;
 /// Duration of a turn, in milliseconds. 0.9 MB cross 30 Mbit/s in 0.24 s, and their receiver
@@ -46,10 +47,10 @@
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
 /// Time after which the rate of a transfer can be judged, in milliseconds.
 const MIN_SAMPLE_MS: u64 = 500;
-/// Time for the rest of a value above which a peer counts as slow, in milliseconds: 0.9 MB within
-/// it use a quarter of an agent's link. Where all links are slow, switching peers costs more than
-/// it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a second after 7 s
-/// instead of 5.7 s.
+/// Time for the rest of a value above which a peer counts as slow, in milliseconds: a transfer of
+/// 0.9 MB in this time uses a quarter of an agent's link. Where all links are slow, switching peers
+/// costs more than it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a
+/// second after 7 s instead of 5.7 s.
 const SLOW_REST_MS: u64 = 3_000;
 /// Pause before the next request to a peer that did not reply in time, in milliseconds.
 const FAULTY_MS: u64 = 1_000;
--- a/crates/gradeloft_policy/src/process/warmup.rs
+++ b/crates/gradeloft_policy/src/process/warmup.rs
@@ -8,8 +8,9 @@
 
 use crate::rendezvous;
 
-/// Fraction of a cold replica's rate by which the requests of one second may exceed it. Each sender
-/// may start a second with a request, so this is the number of senders per request a second.
+/// Largest excess of requests in one second over the rate of a cold replica, as a fraction of the
+/// rate. Each sender may start a second with a request, so this is also the number of senders per
+/// request a second.
 const OVERSHOOT: f64 = 0.5;
 
 /// Returns the shortest interval between two requests of the entry `own` to a cold replica that
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -48,9 +48,9 @@
 pub enum Verdict {
     /// The request has too few crashes for restrictions.
     Admitted,
-    /// The request may run, as the only attempt of its kind at this entry.
+    /// The request may run, as the only attempt of this request at this entry.
     Exclusive,
-    /// An attempt of its kind is running; retry after this delay.
+    /// Another attempt of the same request is running; retry after this delay.
     Busy(Duration),
     /// The request is quarantined; retry after this delay.
     Quarantined(Duration),
--- a/crates/gradeloft_policy/src/request/wait.rs
+++ b/crates/gradeloft_policy/src/request/wait.rs
@@ -12,7 +12,7 @@
 use crate::clock::Time;
 
 /// Interval at which a waiting request looks for room without a notification, in milliseconds.
-/// Requests of other entries end without one and are reported every 125 ms.
+/// When a request of another entry ends, there is no notification, but a report every 125 ms.
 pub const POLL_INTERVAL_MS: u64 = 40;
 /// Longest wait of a stream that resumes, in milliseconds: its caller gives up after 2 s without an
 /// event, and a replica needs a third of a second to read the text so far.
