--- a/crates/gradeloft_daemon/src/agent/mod.rs
+++ b/crates/gradeloft_daemon/src/agent/mod.rs
@@ -61,8 +61,8 @@
 /// Time limit for an endpoint to begin a response.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a drain checks for running requests.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// Time at the start of a drain in which the entries learn of it.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time that a drain allows for its notice to reach the entries.
 const DRAIN_NOTICE: Duration = Duration::from_millis(200);
 /// Delay before an epoch is requested again after a failure of the log.
 const EPOCH_RETRY: Duration = Duration::from_millis(500);
@@ -114,7 +114,7 @@
     /// Number of running requests in the latest report to watchers.
     reported_running: Cell<u32>,
     chunks: RefCell<Chunks>,
-    /// Number of chunks that have arrived; a change wakes the followers.
+    /// Number of chunks that have arrived; a change wakes the tasks that notify followers.
     arrivals: watch::Sender<u64>,
     uploads: RefCell<UploadSlots<oneshot::Sender<()>>>,
     /// The fetch in progress.
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Replaces the scheme by which chunks are distributed, for comparisons.
+    /// Replaces the default scheme of chunk distribution; benchmarks compare schemes this way.
     pub fn scheme(mut self, scheme: Scheme) -> Builder {
         self.scheme = scheme;
         self
@@ -284,7 +284,7 @@
         let ended = async {
             actix_rt::time::sleep(DRAIN_NOTICE).await;
             while 0 < agent.running.get() {
-                actix_rt::time::sleep(DRAIN_POLL).await;
+                actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         tokio::select! {
@@ -336,7 +336,7 @@
                 Call::Work(work) => work::handle(agent, work, outgoing).await,
                 Call::Chunk { digest } => share::send_chunk(agent, digest, outgoing).await,
                 Call::Follow { manifest } => share::send_holdings(agent, manifest, outgoing).await,
-                other => calls::answer(Rc::clone(&agent.node), other, outgoing).await,
+                other => calls::serve(Rc::clone(&agent.node), other, outgoing).await,
             }
         });
     }
--- a/crates/gradeloft_daemon/src/entry/dispatch.rs
+++ b/crates/gradeloft_daemon/src/entry/dispatch.rs
@@ -27,12 +27,13 @@
     transport::client::{CallError, Incoming, Lane},
 };
 
-/// What a request needs an agent to serve.
+/// Weights or service that an agent must serve to receive a request.
 #[derive(Clone, Debug)]
 pub enum Target {
     /// Weights, and the hash of the prompt's prefix.
     Weights(Pin, u64),
-    /// A service, and the hash of the idempotency key, whose calls prefer one agent.
+    /// A service, and the hash of the idempotency key. Calls with the same key prefer the same
+    /// agent.
     Service(String, Option<u64>),
 }
 
@@ -152,8 +153,8 @@
     }
 }
 
-/// Returns which of two failures to report to the caller: a later failure that did not run must not
-/// hide that an earlier attempt may have run.
+/// Returns which of two failures to report to the caller. The failure of a later attempt that did
+/// not run must not hide that an earlier attempt may have run.
 fn failure_to_report(last: Option<Kind>, kind: Kind) -> Kind {
     match last {
         Some(last) if last.ran() != Ran::No => last,
@@ -259,7 +260,7 @@
         let membership = self.node.membership.borrow();
         let serving: Vec<(PeerKey, &Peer)> = membership
             .of(InstanceRole::Agent)
-            .filter(|(_, it)| it.takes_work(now) && target.served_by(it))
+            .filter(|(_, it)| it.accepts_work(now) && target.served_by(it))
             .filter(|(_, it)| context.may_use_zone(&it.instance.zone))
             .collect();
         let in_flight = serving
@@ -368,7 +369,7 @@
 }
 
 impl Context {
-    /// Whether the bundle allows the team to be served from an availability zone.
+    /// Returns whether the bundle allows the team to be served from an availability zone.
     pub fn may_use_zone(&self, zone: &str) -> bool {
         self.team.zones.is_empty() || self.team.zones.iter().any(|it| it == zone)
     }
--- a/crates/gradeloft_gateway/src/agent/deploy.rs
+++ b/crates/gradeloft_gateway/src/agent/deploy.rs
@@ -81,8 +81,8 @@
         named.insert(model, (version, written));
     }
 
-    /// Returns the time from which a version counts as named; the current time if the version is
-    /// not the newest or was never named.
+    /// Returns the time at which the record that names a version counts as written; the current
+    /// time if the version is not the newest or was never named.
     pub fn named_at(&self, version: &Version) -> Time {
         let named = self.named_versions.borrow();
         let newest = named.get(&version.model);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Returns the target version, if the replica answers and does not serve it or a newer one.
+    /// Returns the target version, if the replica responds and does not serve it or a newer one.
     fn pending_version(&self) -> Option<Version> {
         let target = self.target()?;
         let state = self.state.get()?;
@@ -295,7 +295,7 @@
                 Some(state) if state.born.is_some() && born.is_some() && state.born != born => {
                     return Err(DeployError::ReplicaExited("the replica restarted"));
                 }
-                None => return Err(DeployError::ReplicaExited("the replica does not answer")),
+                None => return Err(DeployError::ReplicaExited("the replica does not respond")),
                 Some(_) => {}
             }
             // The order fixed the chunks to load, so the chunks of the next version can be staged
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -46,7 +46,7 @@
 pub(super) use self::crash::{Evidence, ReplicaStart};
 use self::{
     crash::LostRequests,
-    store::{HEARD_WRITE_DELAY_MS, STORE_AT_CRASHES},
+    store::{LEARNED_WRITE_DELAY_MS, STORE_AT_CRASHES},
 };
 
 /// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a
@@ -65,7 +65,7 @@
 /// Guard of an exclusive attempt: while it exists, this entry sends no other copy of the suspect
 /// request.
 ///
-/// It is held until the outcome of the attempt is certain.
+/// The guard is held until the outcome of the attempt is certain.
 pub(super) struct ExclusiveAttempt {
     entry: Weak<Entry>,
     request: Fingerprint,
@@ -102,7 +102,8 @@
 }
 
 impl Entry {
-    /// Returns all suspect requests with their number of crashes that count, for tests and operators.
+    /// Returns each suspect request with the number of crashes held against it, for tests and
+    /// operators.
     pub fn suspects(&self) -> Vec<(Fingerprint, usize)> {
         let known = self.quarantine.known.borrow();
         let all = known.fingerprints();
@@ -116,7 +117,8 @@
         lost.values().map(|it| it.requests.len()).sum()
     }
 
-    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if not.
+    /// Checks whether a request may be sent to a replica; returns the refusal for its caller if
+    /// not.
     pub(super) fn admit(self: &Rc<Entry>, job: &mut Job) -> Option<Refusal> {
         job.exclusive_attempt = None;
         let known = self.quarantine.known.borrow();
@@ -186,9 +188,9 @@
                 let wait = self
                     .node
                     .with_rng(|it| it.random_range(0..MAX_REPLY_DELAY_MS));
-                announcements.schedule_answer(suspect.request, now.after_ms(wait));
+                announcements.schedule_reply(suspect.request, now.after_ms(wait));
             } else if !merged.changed {
-                announcements.cancel_answer(suspect.request);
+                announcements.cancel_reply(suspect.request);
             }
         }
     }
@@ -223,7 +225,7 @@
         let wait = match source {
             Source::Own => 0,
             Source::Peer(_) | Source::Store => {
-                let (from, to) = HEARD_WRITE_DELAY_MS;
+                let (from, to) = LEARNED_WRITE_DELAY_MS;
                 self.node.with_rng(|it| it.random_range(from..to))
             }
         };
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -1,8 +1,8 @@
 //! The operator's records, without the parts that only entries need.
 //!
-//! A configuration of thousands of routes has several hundred kilobytes, of which an agent needs only the
-//! services. Agents of an availability zone share the links of its entries with requests, so an entry
-//! abridges a large record once and sends the result to agents.
+//! A configuration of thousands of routes has several hundred kilobytes, of which an agent needs
+//! only the services. Agents of an availability zone share the links of its entries with requests,
+//! so an entry abridges a large record once and sends the result to agents.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 /// Largest record that is not abridged, in bytes: it takes 4 ms of an agent's link of 9.4 Mbit/s.
 const SMALL_BYTES: usize = 4 << 10;
 
-/// Abridged records of a sender and of a receiver.
+/// State of abridged records that this process sends or received.
 #[derive(Debug, Default)]
 pub(super) struct AbridgedRecords {
     /// Offset and abridged value of the newest large record of each key.
@@ -27,13 +27,13 @@
 }
 
 impl Node {
-    /// Returns whether this process asks for abridged records.
+    /// Returns whether this process requests abridged records.
     pub(super) fn wants_abridged(&self) -> bool {
         matches!(self.settings.borrow().role, Role::Agent { .. })
     }
 
-    /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs unabridged records and
-    /// this process has only abridged ones.
+    /// Returns the update for a peer that has a table up to `from`; `None` if the peer needs
+    /// unabridged records and this process has only abridged ones.
     pub(super) fn update_for_peer(
         &self,
         table: Table,
@@ -55,8 +55,8 @@
         unabridged.then_some(update)
     }
 
-    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms of a whole core for
-    /// 0.99 MB in a release build.
+    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms
+    /// of a whole core for 0.99 MB in a release build.
     fn abridge(&self, record: &mut Record) {
         let Some(value) = &record.value else {
             return;
@@ -86,8 +86,8 @@
         record.value = Some(value);
     }
 
-    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up to `seen`. They
-    /// may be abridged if this process asks for that.
+    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up
+    /// to `seen`. They may be abridged if this process requests that.
     pub(super) fn note_peer_update(&self, table: Table, seen: Option<u64>) {
         if table == Table::Operator && self.wants_abridged() {
             let end = self.end(table).max(seen.unwrap_or(0));
@@ -96,8 +96,9 @@
         }
     }
 
-    /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read nothing from the
-    /// store since it received abridged records, as it has none for peers that need unabridged ones.
+    /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read
+    /// nothing from the store since it received abridged records, as it has none for peers that
+    /// need unabridged ones.
     pub(super) fn advertised_end(&self, table: Table) -> u64 {
         let end = self.end(table);
         let abridged = table == Table::Operator && end <= self.abridged.borrow().unabridged_from;
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -6,7 +6,7 @@
 
 use super::allowed_regions::AllowedRegions;
 
-/// Whether a request may run more than once, and the form of its answer.
+/// Whether a request may run more than once, and the form of its response.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RouteKind {
     /// May be run again after any failure.
@@ -20,12 +20,12 @@
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again although it may have run.
+    /// Returns whether a request may be sent again although it may have run.
     pub fn repeatable(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Whether the answer is an event stream.
+    /// Returns whether the response is an event stream.
     pub fn streams(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
@@ -34,7 +34,7 @@
 /// A service that a route leads to, and its share of the route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Service.
+    /// Name of the service.
     pub service: Rc<str>,
     /// Share of the requests, relative to the weights of the other targets.
     pub weight: f64,
@@ -49,13 +49,13 @@
     pub host: String,
     /// Prefix of the request path; ends with a slash.
     pub prefix: String,
-    /// Whether its requests may be repeated, and the form of their answers.
+    /// Whether the route's requests may be repeated, and the form of their responses.
     pub kind: RouteKind,
     /// Services; at least one.
     pub targets: Vec<Target>,
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer has its full value, in milliseconds.
+    /// Time within which a response has its full value, in milliseconds.
     pub goal_ms: u64,
     /// Highest number of replicas that one request is sent to; at least 1.
     pub max_attempts: u32,
@@ -107,7 +107,7 @@
     pub read_per_ms: f64,
     /// Tokens of a typical prompt.
     pub usual_prompt: f64,
-    /// Tokens of a typical answer.
+    /// Tokens of a typical response.
     pub usual_response: f64,
 }
 
@@ -170,7 +170,7 @@
 }
 
 impl Document {
-    /// Whether another replica can resume any stream of a service.
+    /// Returns whether another replica can resume any stream of a service.
     pub fn resumes(&self, service: &str) -> bool {
         let leads = |it: &&Route| it.targets.iter().any(|it| &*it.service == service);
         let mut routes = self.routes.iter().filter(leads);
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -1,8 +1,8 @@
 //! Detects gaps between recurring events, such as the ticks of a process or the datagrams of its
 //! peers.
 //!
-//! What is read right after a gap can be old, since the process was suspended or nothing reached
-//! it.
+//! Data that is read right after a gap can be old, since the process was suspended or nothing
+//! reached it.
 
 use crate::clock::Time;
 
@@ -30,7 +30,7 @@
     /// Longest pause between events that is not a gap, in milliseconds.
     limit_ms: u64,
     last: Option<Time>,
-    /// When the last gap ended.
+    /// Time at which the last gap ended.
     ended: Option<Time>,
 }
 
@@ -53,21 +53,21 @@
         self.last = Some(now);
     }
 
-    /// Whether a gap ended at or after `requested_at`, or is in progress and was first recognised
-    /// after it. A gap that was recognised earlier and still lasts does not count: a process without
-    /// peers receives nothing.
+    /// Returns whether a gap ended at or after `requested_at`, or is in progress and was first
+    /// recognised after it. A gap that was recognised earlier and still lasts does not count: a
+    /// process without peers receives nothing.
     pub fn gap_since(&self, requested_at: Time, now: Time) -> bool {
         let goes_on = |it: Time| requested_at < it && it < now;
         self.ended.is_some_and(|it| requested_at <= it) || self.gap_start().is_some_and(goes_on)
     }
 
-    /// Returns when the last gap ended, which is `now` while a gap is in progress.
+    /// Returns the time at which the last gap ended, which is `now` while a gap is in progress.
     pub fn last_end(&self, now: Time) -> Option<Time> {
         let goes_on = self.gap_start().is_some_and(|it| it < now);
         if goes_on { Some(now) } else { self.ended }
     }
 
-    /// Whether a message received now was sent recently.
+    /// Returns whether a message received now was sent recently.
     pub fn fresh(&self, now: Time) -> bool {
         self.ended.is_none_or(|it| it.after_ms(STALE_MS) <= now)
     }
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -63,7 +63,7 @@
         self.end
     }
 
-    /// Whether the copy was ever updated.
+    /// Returns whether the copy was ever updated.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
@@ -84,15 +84,15 @@
         recent.or_else(|| self.newest.values().find(|it| it.offset == offset))
     }
 
-    /// Whether a record at an offset would be newer than the known one of its key.
+    /// Returns whether a record at an offset would be newer than the known one of its key.
     pub fn lacks(&self, key: &str, offset: u64) -> bool {
         let known = self.newest.get(key);
         self.end <= offset && known.is_none_or(|it| it.offset < offset)
     }
 
-    /// Applies records from beyond the end, before the records in between have arrived, and returns
-    /// those that changed something. The end stays, since the copy has a gap there. The same
-    /// records are applied again later, together with those before them, and change nothing then.
+    /// Applies records beyond the end of the copy before the records in between have arrived, and
+    /// returns those that changed something. The end does not move, since the copy has a gap at it.
+    /// Later, the same records are applied again after the missing ones, and change nothing.
     /// Deletions are not applied early: a deleted key leaves no trace here that would identify an
     /// older value as outdated.
     pub fn apply_ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -16,16 +16,17 @@
 /// Largest value that is fetched from peers, in bytes. On an instance with 128 MB of memory, the
 /// value, its copy in the table and the data parsed from it fit beside everything else.
 pub const MAX_VALUE: u64 = 16 << 20;
-/// Large values that a process sends to entries at once. With few, each is complete sooner and can
-/// be sent on; with one, a peer behind a slow link would hold up all others.
+/// Number of large values that a process sends to entries at once. With few, each transfer
+/// completes sooner and its receiver can send the value on; with one, a peer behind a slow link
+/// would delay all others.
 const ENTRY_UPLOADS: usize = 2;
-/// Large values that a process sends to agents at once, in addition to those. An agent's link has a
-/// quarter of the capacity of an entry's, and agents send to nobody. With 14 entries, two of which
-/// hold a value of 0.9 MB, and 30 agents, two slots shared by both roles delay the last entry of a
-/// zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
+/// Number of large values that a process sends to agents at once, beside those for entries. An
+/// agent's link has a quarter of the capacity of an entry's, and agents send to nobody. With 14
+/// entries, two of which hold a value of 0.9 MB, and 30 agents, two slots shared by both roles
+/// delay the last entry of a zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
 const AGENT_UPLOADS: usize = 1;
-/// Processes of a region that fetch from another region in the first turn; with only one, that
-/// region could be unreachable for it. The number doubles with each turn, so a saturated or slow
+/// Number of processes of a region that fetch from another region in the first turn. A single one
+/// might be unable to reach that region. The number doubles with each turn, so a saturated or slow
 /// link does not carry a copy for each process.
 const FAR_AT_ONCE: usize = 2;
 /// Duration of a turn, in milliseconds. 0.9 MB cross 30 Mbit/s in 0.24 s, and their receiver
@@ -38,20 +39,20 @@
 const FAR_POLL: Duration = Duration::from_millis(50);
 /// Peers remembered for each table: more than the entries of a region.
 const HOLDERS: usize = 64;
-/// Silence after which a peer is not asked, in milliseconds. Agents and peers of other regions send
-/// once a second.
+/// Silence after which a peer gets no requests, in milliseconds. Agents and peers of other regions
+/// send once a second.
 const SILENCE_MS: u64 = 5_000;
-/// Pause before a busy peer is asked again, in milliseconds. Within it, 0.2 to 1.2 MB cross a link
-/// of 40 Mbit/s.
+/// Pause before the next request to a busy peer, in milliseconds. Within it, 0.2 to 1.2 MB cross a
+/// link of 40 Mbit/s.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
 /// Time after which the rate of a transfer can be judged, in milliseconds.
 const MIN_SAMPLE_MS: u64 = 500;
-/// Time for the rest of a value above which a peer counts as slow, in milliseconds: 0.9 MB within
-/// it use a quarter of an agent's link. Where all links are slow, switching peers costs more than
-/// it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a second after 7 s
-/// instead of 5.7 s.
+/// Time for the rest of a value above which a peer counts as slow, in milliseconds: a transfer of
+/// 0.9 MB in this time uses a quarter of an agent's link. Where all links are slow, switching peers
+/// costs more than it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a
+/// second after 7 s instead of 5.7 s.
 const SLOW_REST_MS: u64 = 3_000;
-/// Pause before a peer that failed to answer in time is asked again, in milliseconds.
+/// Pause before the next request to a peer that did not reply in time, in milliseconds.
 const FAULTY_MS: u64 = 1_000;
 
 /// A process that fetches a value.
@@ -86,7 +87,7 @@
 }
 
 impl UploadSlots {
-    /// Takes a slot; returns `false` if none is free. A process that gets no slot asks another
+    /// Takes a slot; returns `false` if none is free. A process that gets no slot tries another
     /// peer, which is faster than waiting.
     pub fn take(&mut self, caller: Role) -> bool {
         let (used, most) = self.of(caller);
@@ -98,7 +99,7 @@
         free
     }
 
-    /// Returns how many times no slot was free so far.
+    /// Returns the number of times that no slot was free so far.
     pub fn refused(&mut self, caller: Role) -> u64 {
         *self.refused_mut(caller)
     }
@@ -146,7 +147,8 @@
         Pace { start, since }
     }
 
-    /// Whether the rest takes too long at this rate, with `done` of `length` bytes transferred.
+    /// Returns whether the rest takes too long at this rate, with `done` of `length` bytes
+    /// transferred.
     pub fn slow(self, done: u64, length: u64, now: Time) -> bool {
         let passed = now.since(self.since).as_millis() as u64;
         let moved = done.saturating_sub(self.start);
@@ -158,9 +160,9 @@
 #[derive(Clone, Copy)]
 struct Holder {
     peer: Ipv4Addr,
-    /// Whether it is in the own region.
+    /// Whether the peer is in the own region.
     near: bool,
-    /// End of its copy.
+    /// End of the peer's copy.
     end: u64,
     at: Time,
 }
@@ -234,11 +236,11 @@
 /// Reason why a peer sent no more of a value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// It has no free upload slot.
+    /// The peer has no free upload slot.
     Busy,
-    /// It did not answer, or the connection broke.
+    /// The peer did not reply, or the connection broke.
     Faulty,
-    /// It does not hold the record as announced.
+    /// The peer does not hold the record as announced.
     NotHeld,
 }
 
@@ -262,13 +264,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
     /// Request the value from this peer.
-    Ask(Ipv4Addr),
-    /// No peer that has been heard from recently holds it.
+    Request(Ipv4Addr),
+    /// No peer that has sent data recently holds the value.
     NoHolder,
-    /// Choose again after this time; the peers that hold it are busy, or it is not this process's
-    /// turn.
+    /// Choose again after this time; the peers that hold the value are busy, or it is not this
+    /// process's turn.
     Wait(Duration),
-    /// Choose again after this time; the peers that hold it did not answer.
+    /// Choose again after this time; the peers that hold the value did not reply.
     Retry(Duration),
 }
 
@@ -338,9 +340,9 @@
             .retain(|_, exclusion| *exclusion != Exclusion::NotHeld);
     }
 
-    /// Chooses the next peer: any of the own region that holds the value, or one of another region
-    /// if none of the own can send it and it is this process's turn. Bytes between regions cost
-    /// money, and all processes of a region share the narrow link there.
+    /// Chooses the next peer: any peer of this region that holds the value. If none of them can
+    /// send it and it is this process's turn, chooses a peer of another region. Traffic between
+    /// regions costs money, and all processes of a region share one narrow link to other regions.
     pub fn choose(
         &self,
         holders: &Holders,
@@ -363,7 +365,7 @@
             these.filter(|it| until(it).is_none())
         };
         if let Some(holder) = free(true).choose(rng) {
-            return Choice::Ask(holder.peer);
+            return Choice::Request(holder.peer);
         }
         let busy = |it: &&&Holder| it.near && matches!(exclusion(it), Some(Exclusion::Busy(_)));
         if let Some(soonest) = candidates
@@ -378,7 +380,7 @@
             let wait_ms = holders.far_wait_ms(self.want.offset, fetcher, now);
             let turn = self.begun.after_ms(wait_ms);
             if turn <= now {
-                return Choice::Ask(holder.peer);
+                return Choice::Request(holder.peer);
             }
             return Choice::Wait(turn.since(now).min(FAR_POLL));
         }
@@ -393,7 +395,7 @@
         }
     }
 
-    /// Whether to switch from `peer`, which sends slowly, to another peer now. The transfer
+    /// Returns whether to switch from `peer`, which sends slowly, to another peer now. The transfer
     /// continues there, so no received bytes are lost.
     pub fn should_switch(
         &self,
@@ -407,7 +409,7 @@
         let others = Holders {
             known: others.copied().collect(),
         };
-        matches!(self.choose(&others, fetcher, now, rng), Choice::Ask(_))
+        matches!(self.choose(&others, fetcher, now, rng), Choice::Request(_))
     }
 
     /// Records that a peer sent no more of the value.
