--- a/crates/gradeloft_policy/src/lib.rs
+++ b/crates/gradeloft_policy/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`connection`]: one connection: health, pacing.
 //! - [`version`]: one bundle or version: acceptance, placement, distribution.
 //! - [`process`]: one process: membership, gossip, replicas, rate leases, table copies.
-//! - [`clock`] and [`rendezvous`] are used by all of them.
+//! - [`clock`] and [`rendezvous`] are used by all of these modules.
 
 pub mod clock;
 pub mod connection;
--- a/crates/gradeloft_policy/src/process/address.rs
+++ b/crates/gradeloft_policy/src/process/address.rs
@@ -21,8 +21,8 @@
 }
 
 /// Returns the entries in order of preference for a team in a zone, each with its weight. Entries
-/// of that zone come first. Within each group, each team has an order of its own, which spreads
-/// teams over the entries.
+/// of that zone come first. Within the zone and among the other entries, the order depends on the
+/// team, which spreads teams over the entries.
 pub fn order(entries: &[Entry], team: &str, zone: &str) -> Vec<(Entry, u32)> {
     let key = rendezvous::hash(team.as_bytes());
     let mut ranked: Vec<&Entry> = entries.iter().collect();
--- a/crates/gradeloft_policy/src/process/announcements.rs
+++ b/crates/gradeloft_policy/src/process/announcements.rs
@@ -2,8 +2,8 @@
 //!
 //! Datagrams get lost, and entries can be suspended, cut off or just starting, so an announcement
 //! that must reach all entries soon is repeated. An entry that receives outdated information
-//! replies with its own. To avoid replies from all entries at once, each waits for a while and
-//! drops its reply if another entry has sent the same in the meantime.
+//! replies with newer information. To avoid replies from all entries at once, each entry delays its
+//! reply, and drops it if another entry has sent the same reply in the meantime.
 
 use std::collections::HashMap;
 
@@ -13,16 +13,16 @@
 
 /// Times at which an announcement is sent, counted from its creation, in milliseconds. On a bad
 /// link that loses one datagram in thirty, four announcements in a million are lost every time. The
-/// last one is sent after a process that had just started, or was suspended for a second, receives
-/// again.
+/// last time is late enough for a process that had just started, or was suspended for a second, to
+/// receive again.
 const SEND_AT_MS: [u64; 5] = [0, 125, 500, 1_000, 2_000];
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
     since: Time,
-    /// Number of times it was sent.
+    /// Number of times that the announcement was sent.
     sent: usize,
-    /// Number of times it is to be sent.
+    /// Number of times that the announcement is to be sent.
     times: usize,
 }
 
@@ -53,7 +53,7 @@
     /// Schedules a single reply to an entry with outdated information at `at`, unless an
     /// announcement of the request is already scheduled.
     pub fn schedule_reply(&mut self, request: Fingerprint, at: Time) {
-        // One reply is enough, since each further outdated message gets another one.
+        // One reply is enough, since each further outdated message gets another reply.
         let item = Item {
             since: at,
             sent: 0,
@@ -70,8 +70,7 @@
         }
     }
 
-    /// Returns the requests to announce now, at most `most` of them, those of the highest `weight`
-    /// first.
+    /// Returns at most `most` requests to announce now, in descending order of `weight`.
     pub fn take_due(
         &mut self,
         now: Time,
--- a/crates/gradeloft_policy/src/process/cadence.rs
+++ b/crates/gradeloft_policy/src/process/cadence.rs
@@ -1,9 +1,9 @@
-//! Derives the interval between messages to others from a byte budget.
+//! Derives the interval between messages to other processes from a byte budget.
 //!
 //! The cost of control messages to a process must not grow with the fleet, since they share the
 //! links of its instance and the links between regions with requests. Each kind of message
-//! therefore has a budget in bytes a second, from which the interval follows by the number of
-//! receivers and the size of the message.
+//! therefore has a budget in bytes a second. The interval is computed from the budget, the number
+//! of receivers and the size of the message.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 impl Budget {
-    /// Returns the interval between two messages of `bytes` bytes to each of `receivers`.
+    /// Returns the interval between two messages of `bytes` bytes to each of `receivers` processes.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/delegates.rs
+++ b/crates/gradeloft_policy/src/process/delegates.rs
@@ -1,17 +1,17 @@
-//! Selects the entries that send to other regions for their own.
+//! Selects the entries that send messages to other regions on behalf of their own region.
 //!
-//! The entries of a region exchange their state directly; a few delegates send what other regions
-//! need of it once for all. Delegates are selected by rendezvous hashing from the live entries,
-//! without coordination. While views differ there are more or fewer of them, which costs bytes or a
-//! pause.
+//! The entries of a region exchange their state directly; a few delegates send the part that other
+//! regions need, on behalf of all entries. Delegates are selected by rendezvous hashing from the
+//! live entries, without coordination. While the entries' views of the fleet differ, a region has
+//! more or fewer delegates, which costs additional bytes or interrupts the messages.
 
 use std::net::Ipv4Addr;
 
 use super::roster;
 use crate::rendezvous;
 
-/// Delegates of a region, which take turns. With two, the loss of one halves the rate of their
-/// messages.
+/// Number of delegates of a region, which take turns. With two, the loss of one halves the rate of
+/// their messages.
 pub const DELEGATES: usize = 2;
 /// Entries over all regions that send to each agent in a region without a live entry.
 const FALLBACK_SENDERS: usize = 2;
@@ -28,20 +28,20 @@
 }
 
 /// Returns whether `own` sends to an agent in a region without a live entry, where `others` are the
-/// live entries elsewhere. Each agent gets a few senders, whatever the size of the fleet, since it
-/// reports to each entry that sends to it.
+/// live entries of other regions. An agent has only a few senders in a fleet of any size,
+/// since it reports to each entry that sends to it.
 pub fn is_fallback_sender(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < FALLBACK_SENDERS
 }
 
-/// Returns whether the entry `own` is one of those that send changes to an agent at once. `others`
-/// are the other live entries of the agent's region.
+/// Returns whether the entry `own` sends changes to an agent at once. `others` are the other live
+/// entries of the agent's region.
 pub fn sends_changes_at_once(agent: u64, own: u64, others: impl Iterator<Item = u64>) -> bool {
     rendezvous::rank(agent, own, others) < IMMEDIATE_SENDERS
 }
 
-/// Returns the entry that relays messages to a region with the live entries `members`; its
-/// delegates alternate by `turn`.
+/// Returns the entry that relays messages to a region with the live entries `members`. The
+/// delegates of the region alternate by `turn`.
 pub fn relay_for_turn(members: &[Ipv4Addr], turn: usize) -> Option<Ipv4Addr> {
     let hashes: Vec<u64> = members.iter().map(roster::hash).collect();
     let order = rendezvous::order(KEY, &hashes);
--- a/crates/gradeloft_policy/src/process/document.rs
+++ b/crates/gradeloft_policy/src/process/document.rs
@@ -63,7 +63,7 @@
     pub priority: u32,
     /// Whether requests need no API key.
     pub public: bool,
-    /// Regions in which its requests may be served.
+    /// Regions in which the route's requests may be served.
     pub allowed_regions: AllowedRegions,
 }
 
@@ -111,7 +111,7 @@
     pub usual_response: f64,
 }
 
-/// Load that a replica of a service tolerates while it is cold.
+/// Load that a replica of a service tolerates while the replica is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
     /// Time from the start of a replica until it is warm, in milliseconds.
@@ -222,8 +222,8 @@
             .ok_or(Denied::NoRoute)
     }
 
-    /// Returns the team that sends a request on `route`, or `None` if no key is needed and none is
-    /// known.
+    /// Returns the team that sends a request on `route`, or `None` if the request has no known key
+    /// and needs none.
     pub fn team(&self, route: &Route, key: Option<&str>) -> Result<Option<Rc<str>>, Denied> {
         let team = key.and_then(|it| self.document.keys.get(it)).cloned();
         let needed = !route.public && !self.document.keys.is_empty();
--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -1,11 +1,11 @@
 //! Handles callers while an entry shuts down.
 //!
 //! Callers keep an entry's address for seconds after its shutdown began, and connections for
-//! longer. The entry refuses their new requests without running them, so that they go to another
-//! entry at once: the other entries own the slots by then, and a refusal costs milliseconds. If no
-//! other entry accepts callers, the entry serves only requests whose response is sure to be
-//! complete before the process ends: a stream that breaks off costs its caller the whole time
-//! waited.
+//! longer. The entry refuses their new requests without running them, so that callers send them to
+//! another entry at once: the other entries own the slots by then, and a refusal costs
+//! milliseconds. If no other entry accepts callers, the entry serves only requests whose response
+//! is sure to be complete before the process ends: a stream that breaks off costs its caller the
+//! whole time waited.
 
 use crate::clock::Time;
 
--- a/crates/gradeloft_policy/src/process/earliest_writes.rs
+++ b/crates/gradeloft_policy/src/process/earliest_writes.rs
@@ -7,10 +7,11 @@
 
 use crate::clock::Time;
 
-/// Number of ends that are remembered: a few seconds of changes in close succession.
+/// Number of ends that are remembered, enough for a few seconds of changes in close succession.
 const MAX_ENDS: usize = 64;
 
-/// Ends of a table, each with the latest time at which the table is known not to have exceeded it.
+/// Ends of a table, each with the latest time at which the table is known to have reached no
+/// further than this end.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::earliest_writes::EarliestWrites};
@@ -42,7 +43,7 @@
     }
 
     /// Returns the latest time at which the record at `offset` is known not to have been written
-    /// yet. A copy that ends there was complete until then.
+    /// yet. A copy that ends at `offset` was complete until that time.
     pub fn unwritten_until(&self, offset: u64) -> Option<Time> {
         let within = self.ends.iter().take_while(|it| it.0 <= offset);
         within.last().map(|it| it.1)
--- a/crates/gradeloft_policy/src/process/freshness.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -4,17 +4,18 @@
 //! retry" costs little. An entry that lacks records therefore denies no request. An entry that has
 //! lacked them for long handles requests by outdated rules, so it leaves callers to entries with
 //! newer records, as long as these can handle the load. An entry does not act on missing records
-//! that it doesn't know of: one that is cut off from the store and from all peers continues to
-//! serve. Only the silence of both would show this: no datagram from any peer and no response from
-//! the store for longer than the limit for applying changes.
+//! that it doesn't know of: an entry that is cut off from the store and from all peers continues to
+//! serve. Only the silence of both the store and the peers would show that records may be missing:
+//! no datagram from any peer and no response from the store for longer than the limit for applying
+//! changes.
 
 use std::time::Duration;
 
 /// Share of the time limit for applying a configuration during which an entry that lacks it still
 /// accepts callers. The limit counts from the confirmation, which follows after peers hold the
 /// record. With a limit of 2 s this is 1.6 s, and entries of other regions announce the end of
-/// their copies at least every 0.5 s. This is well above the time that a usual change needs, or a
-/// large one over slow links, so entries seldom stop accepting callers.
+/// their copies at least every 0.5 s. These 1.6 s are well above the time that a usual change needs,
+/// or a large one over slow links, so entries seldom stop accepting callers.
 const STALE_AFTER: f64 = 0.8;
 
 /// Freshness of an entry's copy of the operator's records.
@@ -30,14 +31,14 @@
 }
 
 impl Freshness {
-    /// Returns the freshness of an entry that has `lacked` records for a time. Only catching up
-    /// restores it, and does so at once. The time counts from when the entry learned of the first
-    /// record that it still lacks, so an entry that follows frequent changes closely never counts
-    /// as far behind.
+    /// Returns the freshness of an entry that has lacked records for the time `lacked`, or that
+    /// lacks none if this is `None`. Only catching up makes the entry current again, and does so at
+    /// once. The time counts from when the entry learned of the first record that it still lacks,
+    /// so an entry that follows frequent changes closely never counts as stale.
     ///
     /// `apply` is the time limit for applying a configuration. `most_beyond` returns whether most
-    /// entries hold the missing records. If most lack them too, such as while a large record is
-    /// being distributed, they would otherwise refuse all callers.
+    /// entries hold the missing records. If most entries lack these records too, such as while a
+    /// large record is being distributed, they would otherwise all refuse callers.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/gaps.rs
+++ b/crates/gradeloft_policy/src/process/gaps.rs
@@ -54,8 +54,8 @@
     }
 
     /// Returns whether a gap ended at or after `requested_at`, or is in progress and was first
-    /// recognised after it. A gap that was recognised earlier and still lasts does not count: a
-    /// process without peers receives nothing.
+    /// recognised after it. A gap that was recognised earlier and still lasts is ignored, since a
+    /// process without peers never receives anything.
     pub fn gap_since(&self, requested_at: Time, now: Time) -> bool {
         let goes_on = |it: Time| requested_at < it && it < now;
         self.ended.is_some_and(|it| requested_at <= it) || self.gap_start().is_some_and(goes_on)
--- a/crates/gradeloft_policy/src/process/latest_writes.rs
+++ b/crates/gradeloft_policy/src/process/latest_writes.rs
@@ -3,16 +3,17 @@
 //! A record can reach a process late, behind large records or over a slow link. Time limits set by
 //! its writer count from the time of writing, and peers that hold the record announce the end of
 //! their copies well before the record itself arrives. Messages arrive in any order, so an earlier
-//! time replaces a later one even if it is received after it.
+//! time replaces a later one even if the earlier time is received last.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Number of ends that are remembered: a few seconds of changes in close succession.
+/// Number of ends that are remembered, enough for a few seconds of changes in close succession.
 const MAX_ENDS: usize = 64;
 
-/// Ends of a table, each with the earliest time by which the table is known to have reached it.
+/// Ends of a table, each with the earliest time by which the table is known to have reached this
+/// end.
 ///
 /// ```
 /// use gradeloft_policy::{clock::Time, process::latest_writes::LatestWrites};
--- a/crates/gradeloft_policy/src/process/membership.rs
+++ b/crates/gradeloft_policy/src/process/membership.rs
@@ -17,9 +17,9 @@
 /// Time that each instance on the list adds to the interval, in milliseconds.
 const LIST_MS_PER_INSTANCE: u64 = 25;
 
-/// Returns the time until the next read of a list of this size. It grows with the list, so that
-/// reads cost a node the same bytes a second in a fleet of any size. Only new instances are noticed
-/// later in a large fleet, since connections show which ones are gone.
+/// Returns the time until the next read of a list of this size. The time grows with the list, so
+/// that reads cost a node the same bytes a second in a fleet of any size. Only new instances are
+/// noticed later in a large fleet, since connections show which instances are gone.
 pub fn list_interval_ms(instances: usize) -> u64 {
     LIST_LEAST_MS.max(instances as u64 * LIST_MS_PER_INSTANCE)
 }
@@ -44,7 +44,7 @@
     pub noticed_at: Time,
     /// Whether the peer's connection is up.
     pub connected: bool,
-    /// Health by the peer's connection and replies.
+    /// Health, judged by the peer's connection and replies.
     pub health: Health,
     /// Number of this process's requests that run at the peer.
     pub own_requests: u32,
@@ -63,7 +63,8 @@
         self.notice.as_ref().map_or(0, |it| it.capacity)
     }
 
-    /// Returns the number of requests of others that were running at the peer at its last notice.
+    /// Returns the number of other processes' requests that were running at the peer at its last
+    /// notice.
     pub fn others(&self) -> u32 {
         self.notice
             .as_ref()
--- a/crates/gradeloft_policy/src/process/mirror.rs
+++ b/crates/gradeloft_policy/src/process/mirror.rs
@@ -3,7 +3,7 @@
 //! The store numbers the records of a table without gaps. A copy is updated with the records that
 //! follow its end, or with a snapshot if the store has dropped records that the copy lacks. Another
 //! process can update its copy from this one in the same two ways, so processes without access to
-//! the store follow those with access.
+//! the store copy the table from processes with access.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -11,8 +11,8 @@
 
 /// Number of recent records kept for peers; a peer that is further behind gets a snapshot.
 const TAIL_RECORDS: usize = 512;
-/// Limit for the size of these records, in bytes; the latest one is always kept. It holds four
-/// configurations of 0.9 MB on an instance with 128 MB of memory.
+/// Limit for the size of the recent records kept for peers, in bytes; the latest record is always
+/// kept. The limit allows four configurations of 0.9 MB on an instance with 128 MB of memory.
 const TAIL_BYTES: usize = 4 << 20;
 
 /// A record of a table.
@@ -29,7 +29,8 @@
 /// Part of a table that updates a copy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Update {
-    /// Whether `records` are the latest of all keys, and not the records from some offset on.
+    /// Whether `records` holds the latest record of each key, rather than all records from some
+    /// offset on.
     pub snapshot: bool,
     /// Records, ascending by offset.
     pub records: Vec<Record>,
@@ -38,7 +39,7 @@
 }
 
 impl Update {
-    /// Returns the size of its keys and values, in bytes.
+    /// Returns the size of all keys and values, in bytes.
     pub fn bytes(&self) -> usize {
         bytes(self.records.iter())
     }
@@ -84,17 +85,18 @@
         recent.or_else(|| self.newest.values().find(|it| it.offset == offset))
     }
 
-    /// Returns whether a record at an offset would be newer than the known one of its key.
+    /// Returns whether a record of a key at an offset would be newer than the known record of this
+    /// key.
     pub fn lacks(&self, key: &str, offset: u64) -> bool {
         let known = self.newest.get(key);
         self.end <= offset && known.is_none_or(|it| it.offset < offset)
     }
 
     /// Applies records beyond the end of the copy before the records in between have arrived, and
-    /// returns those that changed something. The end does not move, since the copy has a gap at it.
-    /// Later, the same records are applied again after the missing ones, and change nothing.
-    /// Deletions are not applied early: a deleted key leaves no trace here that would identify an
-    /// older value as outdated.
+    /// returns those that changed something. The end of the copy does not move, since the record at
+    /// the end is still missing. Later, the same records are applied again after the missing ones,
+    /// and change nothing. Deletions are not applied early: a deleted key leaves no trace here that
+    /// would identify an older value as outdated.
     pub fn apply_ahead(&mut self, records: Vec<Record>) -> Vec<Record> {
         let mut changed = Vec::new();
         for record in records {
@@ -120,8 +122,9 @@
         changed
     }
 
-    /// Returns an update for a copy that ends at `from`: the records since then, or the latest of
-    /// all keys if these are smaller, such as after many versions of one large record.
+    /// Returns an update for a copy that ends at `from`: the records from there on, or a snapshot
+    /// if the tail starts later or the snapshot is smaller, such as after many versions of one
+    /// large record.
     pub fn since(&self, from: u64) -> Update {
         let first = self.end - self.tail.len() as u64;
         if first <= from {
--- a/crates/gradeloft_policy/src/process/mod.rs
+++ b/crates/gradeloft_policy/src/process/mod.rs
@@ -4,7 +4,8 @@
 //! - [`allowed_regions`]: regions in which the requests of a route or team may be served.
 //! - [`announcements`]: schedules announcements to other entries and their repetition.
 //! - [`cadence`]: derives the interval between messages from a byte budget.
-//! - [`delegates`]: selects the entries that send to other regions for their own.
+//! - [`delegates`]: selects the entries that send messages to other regions on behalf of their own
+//!   region.
 //! - [`document`]: the operator's configuration.
 //! - [`drain`]: handles callers while an entry shuts down.
 //! - [`earliest_writes`]: lower bounds for the times at which records of a table were written.
--- a/crates/gradeloft_policy/src/process/pending_update.rs
+++ b/crates/gradeloft_policy/src/process/pending_update.rs
@@ -1,8 +1,9 @@
 //! A table update from a peer whose large values are still being fetched.
 //!
 //! Small values are part of the announcement. The end of a copy never covers a gap, so records that
-//! follow a missing value are applied again after it arrives. Until then, those of them that set a
-//! value can be applied ahead of it ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
+//! follow a missing value are applied again after it arrives. Until then, following records that
+//! set a value can be applied ahead of it
+//! ([`Mirror::apply_ahead`](super::mirror::Mirror::apply_ahead)).
 
 use std::collections::HashMap;
 
@@ -42,7 +43,7 @@
 
 impl PendingUpdate {
     /// Creates an update from the records that a peer announced, ascending by offset and up to
-    /// `end`. A `snapshot` holds the latest records of all keys.
+    /// `end`. With `snapshot`, these are the latest records of all keys.
     pub fn new(snapshot: bool, rows: Vec<Row>, end: u64) -> PendingUpdate {
         PendingUpdate {
             snapshot,
--- a/crates/gradeloft_policy/src/process/rate_leases.rs
+++ b/crates/gradeloft_policy/src/process/rate_leases.rs
@@ -5,16 +5,16 @@
 //! a lease is at most the limit, so outdated views only reduce the usable rate:
 //!
 //! - An entry without demand has no lease, and may use a small share at once when demand appears.
-//! - An entry that is cut off lets its lease expire. Once the home must have noticed, it uses a
-//!   larger, fixed fraction of an equal share, which the home reserves for it.
+//! - An entry that is cut off lets its lease expire. Once the home is sure to have noticed, the
+//!   entry uses a larger, fixed fraction of an equal share, which the home reserves for it.
 //! - A home leases only while it is connected to a majority of the listed entries, so an entry that
 //!   is cut off can't be its own home.
 //! - A new home leases no entry more than the entry already holds, until the leases of the previous
 //!   home have expired.
 //!
 //! Leased rates, the fallback while cut off and the return of unused rates follow the manual of the
-//! Varnish Enterprise ratelimit module. Unlike there, a home grants the leases, because optimistic
-//! leases exceed the limit while entries disagree (`docs/design/0004-limits.md`).
+//! Varnish Enterprise ratelimit module. Unlike in that module, a home grants the leases, because
+//! optimistic leases exceed the limit while entries disagree (`docs/design/0004-limits.md`).
 
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
 /// Time without a reply from any home after which an entry counts as cut off, in milliseconds. By
 /// then its lease has expired and the homes have missed its heartbeats.
 pub const CUT_OFF_MS: u64 = 5_000;
-/// Least ratio of a granted rate to the need while the total rate is not exhausted, which lets
+/// Least ratio of a granted rate to the need while the total rate is not exhausted. The margin lets
 /// demand grow between two lease requests.
 const MARGIN: f64 = 1.15;
 /// Time over which steady demand is averaged, in seconds.
@@ -43,7 +43,7 @@
 
 /// Reserve for random arrivals that an entry keeps in its bucket, in seconds of its demand.
 const RESERVE_S: f64 = 0.1;
-/// Time over which an entry spends the content of its bucket beyond that reserve, in seconds.
+/// Time over which an entry spends the content of its bucket beyond the reserve, in seconds.
 const SPEND_S: f64 = 0.5;
 
 /// Returns the rate that an entry needs to borrow: its demand, less what its bucket has saved.
@@ -69,14 +69,15 @@
 
 /// Demand of one team at one entry.
 ///
-/// The average covers a long time, since each fluctuation would move leases and leave part of the
-/// rate unused in the meantime. A change beyond random fluctuation shows in a short average and is
-/// adopted at once.
+/// The average covers a long time, since otherwise each fluctuation would move leases and leave
+/// part of the rate unused in the meantime. A change beyond random fluctuation shows in a short
+/// average and is adopted at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     steady: f64,
     recent: f64,
-    /// Largest number of units recently added at once; larger ones increase random fluctuation.
+    /// Largest number of units recently added at once; a larger number increases random
+    /// fluctuation.
     unit: f64,
     at: Time,
 }
@@ -118,7 +119,7 @@
 
 impl Borrower {
     /// Applies a rate that the home granted in reply to a request made at `requested_at`. The lease
-    /// counts from then, so it never outlasts the lease at the home.
+    /// begins at that time, so it never outlasts the home's record of the lease.
     pub fn granted(&mut self, rate: f64, requested_at: Time) {
         self.lease = Lease {
             rate,
@@ -126,7 +127,7 @@
         };
     }
 
-    /// Returns the rate that may be used now, for the limit `allowed` over `entries` entries.
+    /// Returns the rate that may be used now, with a limit of `allowed` over all `entries` entries.
     pub fn rate(&self, allowed: f64, entries: usize, reach: HomeReach, now: Time) -> f64 {
         if now < self.lease.until {
             return self.lease.rate;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Returns the rate that it holds by lease.
+    /// Returns the rate that the entry holds by lease.
     pub fn held(&self, now: Time) -> f64 {
         if now < self.lease.until {
             self.lease.rate
@@ -180,11 +181,11 @@
 /// Request for a lease, sent to the home of a team.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseRequest {
-    /// Hash of the entry's name.
+    /// Hash of the name of the entry that sends the request.
     pub entry: u64,
     /// Demand of its callers, in units per second.
     pub demand: f64,
-    /// Rate that it holds by lease from this home or the previous one.
+    /// Rate that the entry holds by lease from this home or the previous one.
     pub held: f64,
 }
 
@@ -195,7 +196,7 @@
     pub allowed: f64,
     /// Number of entries that the platform lists, including this one.
     pub entries: usize,
-    /// Number of these entries that this one is connected to, including itself.
+    /// Number of listed entries that this one is connected to, including itself.
     pub connected: usize,
 }
 
@@ -262,9 +263,9 @@
             + silent as f64 * part(allowed, entries, IDLE_FRACTION)
     }
 
-    /// Returns the fair rate of an entry. If all demands fit with the margin, it is the demand with
-    /// the margin plus an equal part of the rest; otherwise the demands are filled evenly until the
-    /// rate is exhausted.
+    /// Returns the fair rate of an entry. If all demands fit with the margin, this is the entry's
+    /// demand with the margin, plus an equal part of the rest. If they fit only with a smaller
+    /// margin, the margin shrinks. Otherwise each demand is met up to a common level.
     fn target(&self, entry: u64, lendable: f64) -> f64 {
         let demand = self.holders.get(&entry).map_or(0.0, |it| it.demand);
         let count = self.holders.len().max(1) as f64;
@@ -278,7 +279,7 @@
         demand.min(self.level(lendable))
     }
 
-    /// Returns the level up to which demands are filled.
+    /// Returns the rate up to which each demand is met when `lendable` does not cover all demands.
     fn level(&self, lendable: f64) -> f64 {
         let mut demands: Vec<f64> = self.holders.values().map(|it| it.demand).collect();
         demands.sort_by(f64::total_cmp);
--- a/crates/gradeloft_policy/src/process/readers.rs
+++ b/crates/gradeloft_policy/src/process/readers.rs
@@ -3,8 +3,8 @@
 //! Each call to the store costs money, and each new record costs one call of each process that
 //! waits for it. Therefore only a few entries of each region read a table, and the others copy it
 //! from them, as processes without access to the store do. The readers are selected by rendezvous
-//! hashing from the entries that are alive and have access to the store. A reader that reports
-//! otherwise or falls silent is replaced.
+//! hashing from the entries that are alive and have access to the store. A reader that reports a
+//! loss of access or falls silent is replaced.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 /// Time after the first contact with a peer from which an entry reads a table itself if no peer is
 /// known to hold it. The seed entries have read the table and announced it by then.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time after the first contact from which entries read a table even if peers hold it, since those
-/// would have sent it by then. Also the time after its start from which an entry no longer waits
-/// for a contact.
+/// Time after the first contact from which entries read a table even if peers hold it, since these
+/// peers would have sent the table by then. Also the time after its start from which an entry no
+/// longer waits for a contact.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Number of entries of a region that read a table at that time; doubles after each further
-/// [`PEER_TIMEOUT`].
+/// Number of entries of a region that read a table after the first [`PEER_TIMEOUT`]; doubles after
+/// each further [`PEER_TIMEOUT`].
 const FIRST_READERS: usize = 2;
 /// Most entries of a region that read a table for the first time. All of them share one link to the
 /// store.
--- a/crates/gradeloft_policy/src/process/refresh.rs
+++ b/crates/gradeloft_policy/src/process/refresh.rs
@@ -1,7 +1,7 @@
 //! Schedules the reads of the operator's records by an agent.
 //!
 //! All agents of an availability zone learn of a new configuration at the same time, from the first
-//! entry that holds it. If they read it at once, all of them would read it from that entry.
+//! entry that holds it. If they all read it at once, that entry would have to serve all of them.
 
 use rand::Rng;
 
@@ -12,14 +12,14 @@
 const REFRESH_MS: u64 = 2_000;
 /// Time over which agents spread their reads, in milliseconds. It is the interval between an
 /// entry's datagrams to the agents of its region, so each entry of the region announces its copies
-/// within it.
+/// within this time.
 const SPREAD_MS: u64 = 500;
 
 /// Times of the last and the next read of an agent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refresh {
     last_read_at: Option<Time>,
-    /// Time of the next read, drawn when there is first something new to read.
+    /// Time of the next read, drawn at random as soon as there is something new to read.
     due: Option<Time>,
 }
 
--- a/crates/gradeloft_policy/src/process/remote_loads.rs
+++ b/crates/gradeloft_policy/src/process/remote_loads.rs
@@ -1,4 +1,4 @@
-//! Requests of other entries at replicas, by their last reports, and the age of these.
+//! Requests of other entries at replicas, by the entries' last reports, and the age of the reports.
 //!
 //! Entries of the own region report for themselves, other regions through their delegates. A report
 //! that is too large for one datagram arrives in parts; each part replaces the previous one of the
@@ -15,7 +15,7 @@
     pub replica: u32,
     /// Number of requests in progress.
     pub running: u32,
-    /// Number of these requests whose response has not begun.
+    /// Number of requests in progress whose response has not begun.
     pub waiting: u32,
 }
 
@@ -87,7 +87,7 @@
         self.reports.is_empty()
     }
 
-    /// Returns the mean age of the parts.
+    /// Returns the mean age of all parts of reports.
     pub fn age(&self, now: Time) -> Duration {
         let ages = self.parts().map(|it| now.since(it.at));
         let sum: Duration = ages.sum();
--- a/crates/gradeloft_policy/src/process/replica_starts.rs
+++ b/crates/gradeloft_policy/src/process/replica_starts.rs
@@ -1,7 +1,7 @@
 //! Assigns messages about a replica to its starts.
 //!
-//! A replica may restart under the same id, and loses its state. Each start reports its time by the
-//! clock of its instance, which may have been set back in the meantime.
+//! A replica may restart under the same id, and then loses its state. It reports the time of each
+//! start by the clock of its instance, which may be set back between two starts.
 
 /// Relation of a message to the known start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -19,7 +19,7 @@
 pub struct Starts {
     /// The known start, as a Unix time in milliseconds.
     current: Option<u64>,
-    /// The start before it.
+    /// The start before the known one.
     ended: Option<u64>,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Applies a message that may be delayed: one about an earlier start, or about the one that
-    /// ended last, changes nothing.
+    /// Applies a message that may be delayed: a message about an earlier start, or about the start
+    /// that ended last, changes nothing.
     pub fn received(&mut self, born: Option<u64>) -> StartOrder {
         match (self.current, born) {
             (Some(current), Some(born)) if born < current || self.ended == Some(born) => {
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -25,7 +25,8 @@
 /// Longest pause, in milliseconds; about the time within which the platform notices that a replica
 /// is gone.
 const MAX_PAUSE_MS: u64 = 4_000;
-/// Age at which an agent's report expires, in milliseconds: three of its usual intervals.
+/// Age at which an agent's report expires, in milliseconds: three of the usual intervals between
+/// reports.
 const REPORT_MS: u64 = 3_000;
 
 /// Time without data after which a replica with requests counts as silent, in milliseconds: ten
@@ -90,7 +91,8 @@
 
 impl StoreTrust {
     /// Returns the trust in a removal that was written at `written`: a replica that was dropped in
-    /// error reappears within `back_ms` of it, however late the removal is read.
+    /// error reappears within `back_ms` milliseconds of that time, however late the removal is
+    /// read.
     pub fn of_written(self, written: Time, back_ms: u64) -> StoreTrust {
         match self {
             StoreTrust::Doubtful(until) => {
@@ -112,7 +114,7 @@
     pub own_requests: u32,
     /// Number of these requests whose response has not begun.
     pub own_waiting: u32,
-    /// Prompt tokens of the requests in `own_waiting`.
+    /// Number of prompt tokens of this entry's requests whose response has not begun.
     pub own_waiting_tokens: f64,
     /// Number of other entries' requests in progress at the replica, by their last reports.
     pub other_requests: u32,
@@ -122,7 +124,8 @@
     pub own_slots: u32,
     /// Whether the replica is in this entry's region.
     pub near: bool,
-    /// Delay of the start of its responses beyond the speed that the operator publishes.
+    /// Delay of the start of the replica's responses compared with the speed that the operator
+    /// publishes.
     pub slowness: Slowness,
     /// Time at which data was last received from the replica, or at which this entry's only request
     /// in progress was sent to it.
@@ -132,7 +135,7 @@
     /// Whether the replica's availability zone is evacuated.
     pub evacuated: bool,
     /// Shortest interval between this entry's requests while the replica is cold; `None` if this
-    /// entry sends none.
+    /// entry sends it no requests.
     pub cold_pause: Option<Duration>,
     /// End of the replica's warm-up.
     cold_until: Time,
@@ -140,7 +143,7 @@
     sent: Option<Time>,
     failures: u32,
     paused_until: Time,
-    /// Time of its scheduled removal, if there is one.
+    /// Time of the replica's removal, if one is scheduled.
     gone_at: Option<Time>,
     starts: Starts,
 }
@@ -181,8 +184,8 @@
         start.unwrap_or(id) as u32
     }
 
-    /// Returns the version of the weights that it holds in full, by the newer of listing and
-    /// report.
+    /// Returns the version of the weights that the replica holds in full: the higher of the listed
+    /// and the reported version.
     pub fn version(&self, now: Time) -> Option<u64> {
         let reported = self.fresh(now).and_then(|it| it.version);
         reported.max(self.listing.version)
@@ -205,8 +208,8 @@
         now < self.cold_until
     }
 
-    /// Sets the remaining time of its warm-up. A warm replica can become cold again, and an older
-    /// message can report that it is warm.
+    /// Sets the remaining time of the replica's warm-up. The time can also grow, since a warm
+    /// replica can become cold again, and an older message can report the replica as warm.
     pub fn set_warmup_left(&mut self, left_ms: u64, now: Time) {
         self.cold_until = match left_ms {
             0 => Time::ZERO,
@@ -225,7 +228,7 @@
         self.sent.is_none_or(|it| it.after(pause) <= now)
     }
 
-    /// Records that this entry sends it a request.
+    /// Records that this entry sends a request to the replica.
     pub fn note_sent(&mut self, now: Time) {
         self.sent = Some(now);
     }
@@ -268,7 +271,7 @@
 
     /// Returns the queue that a new request meets, as far as this entry knows. The prompt lengths
     /// of other entries' requests are not reported. While a slot assigned to this entry is free,
-    /// others can't have taken it, whatever they reported some time ago.
+    /// other entries can't have taken it, whatever they reported some time ago.
     pub fn queue(&self, speed: &Speed) -> Queue {
         let slots = self.listing.slots;
         let others = if self.has_free_own_slot() {
@@ -416,8 +419,8 @@
     }
 
     /// Applies the report of the agent of the replica at `address`; returns the keys of starts that
-    /// have ended according to it. A report that is older than the known one, or concerns an ended
-    /// start, changes nothing.
+    /// have ended according to the report. A report that is older than the known one, or concerns
+    /// an ended start, changes nothing.
     pub fn apply_report(&mut self, address: SocketAddr, report: Report) -> Vec<ReplicaKey> {
         let keys = self.at(address);
         let mut ended = Vec::new();
@@ -447,8 +450,8 @@
         ended
     }
 
-    /// Sets the requests of other entries at each replica, as a pair of those in progress and those
-    /// of them whose response has not begun.
+    /// Sets the requests of other entries at each replica, as a pair: the number in progress, and
+    /// the number of these whose response has not begun.
     pub fn set_others(&mut self, others: impl Fn(&Replica) -> (u32, u32)) {
         for replica in self.arena.values_mut() {
             (replica.other_requests, replica.others_waiting) = others(replica);
@@ -530,7 +533,7 @@
         }
     }
 
-    /// Removes a replica whose address now belongs to another one.
+    /// Removes a replica whose address now belongs to another replica.
     pub fn remove_replaced(&mut self, key: ReplicaKey) {
         if self.arena.contains_key(key) {
             self.remove(key);
--- a/crates/gradeloft_policy/src/process/retry_budget.rs
+++ b/crates/gradeloft_policy/src/process/retry_budget.rs
@@ -5,13 +5,13 @@
 //! share of the fixed number, so the limit holds without coordination. It also holds while entries
 //! join, leave or can't reach each other, since the share is based on the highest number of entries
 //! ever known at once. A process loses its record of past repeats when it ends; its successor
-//! assumes that all of them were used.
+//! assumes that all allowed repeats were used.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Number of buckets in a window. One more is kept to cover a window that straddles buckets.
+/// Number of buckets in a window. One more bucket is kept to cover a window that straddles buckets.
 const BUCKETS: u64 = 20;
 /// Share of the allowance that is used. The rest is for a process that restarts within the window,
 /// since its predecessor may have used its share.
@@ -47,8 +47,8 @@
         self.bucket(bounds, now).requests += 1;
     }
 
-    /// Takes one repeat from the budget, as one of `entries` entries; returns `false` if none is
-    /// left. `now` counts from the start of the process. While the number of entries is unknown,
+    /// Takes one repeat from the budget of one of `entries` entries; returns `false` if no repeat
+    /// is left. `now` counts from the start of the process. While the number of entries is unknown,
     /// only the ratio applies.
     pub fn repeat(&mut self, bounds: Bounds, entries: Option<usize>, now: Time) -> bool {
         self.bucket(bounds, now);
--- a/crates/gradeloft_policy/src/process/roster.rs
+++ b/crates/gradeloft_policy/src/process/roster.rs
@@ -11,15 +11,16 @@
 const SILENCE_MS: u64 = 1_300;
 /// Silence after which an entry known only by relayed status is no longer offered, in milliseconds:
 /// three intervals between the member lists of a region, plus the silence after which another entry
-/// sends them.
+/// takes over sending these lists.
 const RELAYED_SILENCE_MS: u64 = 4_000;
 /// Silence after which an entry is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
 /// Most entries in one lookup response; the platform reads no more.
 const MAX_OFFERED: usize = 64;
-/// Number of entries in the caller's availability zone that are enough to offer few others. Callers
-/// choose at random among the offered entries, so each of these gets its share of the zone's
-/// requests. A request through another zone crosses twice a link that requests and weights share.
+/// Number of entries up to which those of the caller's availability zone are supplemented by
+/// entries of other zones. Callers choose at random among the offered entries, so each offered
+/// entry gets its share of the zone's requests. A request through another zone crosses twice a link
+/// that requests and weights share.
 const ENOUGH_NEAR: usize = 8;
 /// Number of entries of other zones that are offered in any case, so that callers can reach them at
 /// once if the whole zone fails.
@@ -44,7 +45,7 @@
     Leaving,
     /// The entry accepts callers.
     Ready,
-    /// The entry lacks state that it needs, or that others have.
+    /// The entry lacks state that it needs, or that other entries have.
     Starting,
 }
 
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Applies the status of an entry, unless it is from an earlier start of it.
+    /// Applies the status of an entry, unless it is from an earlier start of that entry.
     pub fn receive(&mut self, address: Ipv4Addr, status: Status<'_>, now: Time) {
         self.apply_status(address, status, SILENCE_MS, now);
     }
@@ -182,10 +183,11 @@
         self.peak.max(1)
     }
 
-    /// Returns the number of entries among which a common budget is split, or `None` while it is
-    /// unknown. An entry that has just started knows few others. If many start at once, each
-    /// would otherwise take most of the budget: of seven entries, six restarted together would each
-    /// take half of it or all, and together more than there is.
+    /// Returns the number of entries among which a common budget is split, or `None` while this
+    /// number is unknown. An entry that has just started knows few others. If many entries start at
+    /// once, each would otherwise take most of the budget: if six of seven entries restarted
+    /// together, each of the six would take half or all of the budget, and together they would
+    /// exceed it.
     pub fn budget_sharers(&self, discovery: Discovery) -> Option<usize> {
         match discovery {
             Discovery::None => None,
@@ -215,8 +217,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// Returns whether a majority of entries, including this one, accept callers and hold more of
-    /// the operator's table than up to `end`. Leaving entries don't count.
+    /// Returns whether a majority of entries, including this one, accept callers and have a copy of
+    /// the operator's table that reaches beyond `end`. Leaving entries don't count.
     pub fn majority_beyond(&self, end: u64, now: Time) -> bool {
         let staying = |it: &&Entry| it.alive(now) && it.state != State::Leaving;
         let others = self.entries.values().filter(staying);
@@ -232,8 +234,9 @@
     }
 
     /// Returns the entries to offer to callers in `zone`, without the one at `own`: those of the
-    /// zone first, then as many others as needed, selected by `own` so that all of them are offered
-    /// equally often. Only availability zones accepted by `allow` are used.
+    /// zone first, then as many others as needed. The selection of the others depends on `own`, so
+    /// that all of them are offered equally often over all entries. Only availability zones
+    /// accepted by `allow` are used.
     pub fn offered(
         &self,
         own: Ipv4Addr,
--- a/crates/gradeloft_policy/src/process/slot_split.rs
+++ b/crates/gradeloft_policy/src/process/slot_split.rs
@@ -3,14 +3,16 @@
 //! An entry learns of the requests of others with a delay. While slots are scarce, all entries
 //! would see the same slot become free, and a replica with seemingly free slots would get several
 //! times as many requests as it can run. Therefore each slot is assigned to one entry, which fills
-//! it without coordination. Free slots of other entries may be used while there seem to be many.
+//! it without coordination. Free slots of other entries may be used while many slots seem to be
+//! free.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Slots of one replica per entry, as far as there are enough. Many small shares differ less in
-/// their free slots than a few large ones.
+/// Smallest number of slots that an entry is assigned at a replica, as far as there are enough
+/// slots for all entries. Entries with many small shares differ less in their free slots than
+/// entries with a few large shares.
 const SLOTS_PER_ENTRY: usize = 2;
 /// Requests a second over all entries below which current demand doesn't show where further
 /// requests will arrive.
@@ -31,7 +33,7 @@
 /// ```
 pub fn parts(own: usize, entries: usize, slots: &[u32]) -> Vec<u32> {
     let entries = entries.max(1);
-    // So that each entry is assigned slots of some replica.
+    // Number of entries that must share each replica for every entry to be assigned slots.
     let needed = entries.div_ceil(slots.len().max(1));
     let mut first = 0;
     let mut parts = Vec::with_capacity(slots.len());
@@ -41,8 +43,8 @@
         // The holders are consecutive in the circle of entries.
         let after = (own + entries - first) % entries;
         parts.push(part_of(slots, holders, after) as u32);
-        // If all entries hold slots, the next extra slot goes to the entry after those that got
-        // one.
+        // If all entries hold slots of this replica, the extra slots of the next replica go to the
+        // entries after those that got an extra slot here.
         let served = if holders == entries {
             slots % holders
         } else {
@@ -65,7 +67,7 @@
 pub struct RegionSlots {
     /// Entries that accept callers.
     pub entries: usize,
-    /// Requests a second that they receive.
+    /// Requests a second that these entries receive.
     pub demand: f64,
     /// Slots of each replica that accepts requests, in the same order at each entry.
     pub slots: Vec<u32>,
@@ -84,7 +86,7 @@
 /// let area = |demand| RegionSlots { entries: 2, demand, slots: vec![8, 8] };
 /// let balanced = [area(10.0), area(10.0)];
 /// assert_eq!(parts_by_region(&balanced, 0, 0), [[4, 4], [0, 0]]);
-/// // The second region requests three times as much, and gets half of the first one's slots.
+/// // The second region has three times the demand, and gets half of the first region's slots.
 /// let short = [area(10.0), area(30.0)];
 /// assert_eq!(parts_by_region(&short, 0, 0), [[2, 2], [0, 0]]);
 /// assert_eq!(parts_by_region(&short, 1, 0), [[2, 2], [4, 4]]);
@@ -121,7 +123,8 @@
     let entries: usize = areas.iter().map(|it| it.entries).sum();
     let part = |area: &RegionSlots| match area.entries {
         0 => 0.0,
-        // Too few requests yet; callers choose among entries.
+        // With few requests, the number of entries predicts demand, since callers choose among
+        // them.
         entries_here if demand < MIN_DEMAND => entries_here as f64 / entries.max(1) as f64,
         _ => area.demand / demand,
     };
@@ -153,8 +156,9 @@
 }
 
 /// Returns the number of slots of each replica of each region that are lent to the entry at
-/// position `own` of the region `home`. All lent slots form one sequence, of which each region gets
-/// a range by its shortage; within the range the slots alternate between its entries.
+/// position `own` of the region `home`. All lent slots form one sequence. Each region gets a range
+/// of the sequence in proportion to its shortage, and the slots of the range alternate between the
+/// region's entries.
 fn borrowed(areas: &[RegionSlots], lent: &[u32], home: usize, own: usize) -> Vec<Vec<u32>> {
     let needs = needs(areas);
     let shortages: Vec<f64> = areas
@@ -167,7 +171,7 @@
     let before: f64 = shortages[..home].iter().sum();
     let at = |up_to: f64| (up_to / shortage.max(f64::MIN_POSITIVE) * f64::from(all)).round() as u32;
     let range = at(before)..at(before + shortages[home]);
-    // Continues where the split of the region's own slots ended.
+    // The assignment to entries continues where the split of the region's own slots ended.
     let turn = own as u32 + areas[home].entries as u32
         - (total(&areas[home]) % areas[home].entries.max(1) as u32);
     let entries = areas[home].entries.max(1) as u32;
@@ -227,8 +231,8 @@
 
 /// Returns the number of requests that a replica may have received since the other entries reported
 /// their requests `age` ago, at `rate` requests a second: the mean plus one standard deviation. As
-/// many requests may have ended, but a slot that is used twice delays one request, while an unused
-/// slot delays none.
+/// many requests may have ended in the meantime. They are not subtracted, since a slot that is used
+/// twice delays one request, while an unused slot delays none.
 pub fn unseen_requests(rate: f64, age: Duration) -> f64 {
     let mean = rate * age.as_secs_f64();
     mean + mean.sqrt()
--- a/crates/gradeloft_policy/src/process/transfer.rs
+++ b/crates/gradeloft_policy/src/process/transfer.rs
@@ -14,40 +14,41 @@
 use crate::{clock::Time, rendezvous};
 
 /// Largest value that is fetched from peers, in bytes. On an instance with 128 MB of memory, the
-/// value, its copy in the table and the data parsed from it fit beside everything else.
+/// value, its copy in the table and the data parsed from it fit into memory together with
+/// everything else.
 pub const MAX_VALUE: u64 = 16 << 20;
-/// Number of large values that a process sends to entries at once. With few, each transfer
-/// completes sooner and its receiver can send the value on; with one, a peer behind a slow link
-/// would delay all others.
+/// Number of large values that a process sends to entries at once. With few transfers at once, each
+/// completes sooner, and its receiver can send the value on; with only one, a peer behind a slow
+/// link would delay all others.
 const ENTRY_UPLOADS: usize = 2;
-/// Number of large values that a process sends to agents at once, beside those for entries. An
-/// agent's link has a quarter of the capacity of an entry's, and agents send to nobody. With 14
+/// Number of large values that a process sends to agents at once, in addition to those for entries.
+/// An agent's link has a quarter of the capacity of an entry's, and agents send to nobody. With 14
 /// entries, two of which hold a value of 0.9 MB, and 30 agents, two slots shared by both roles
 /// delay the last entry of a zone from 1.3 s to 3.6 s (model in `tests/records.rs`).
 const AGENT_UPLOADS: usize = 1;
-/// Number of processes of a region that fetch from another region in the first turn. A single one
-/// might be unable to reach that region. The number doubles with each turn, so a saturated or slow
-/// link does not carry a copy for each process.
+/// Number of processes of a region that fetch from another region in the first turn. A single
+/// process might be unable to reach that region. The number doubles with each turn, so a saturated
+/// or slow link does not carry a copy for each process.
 const FAR_AT_ONCE: usize = 2;
-/// Duration of a turn, in milliseconds. 0.9 MB cross 30 Mbit/s in 0.24 s, and their receiver
-/// announces them within 0.13 s.
+/// Duration of a turn, in milliseconds. A value of 0.9 MB crosses a link of 30 Mbit/s in 0.24 s,
+/// and its receiver announces it within 0.13 s.
 const FAR_TURN_MS: u64 = 500;
 /// Time after which an agent that knows peers in its region fetches from another region, in
 /// milliseconds.
 const AGENT_FAR_MS: u64 = 2_000;
 /// Longest pause between checks whether a peer of the own region holds the value.
 const FAR_POLL: Duration = Duration::from_millis(50);
-/// Peers remembered for each table: more than the entries of a region.
+/// Number of peers remembered for each table, which is more than a region has entries.
 const HOLDERS: usize = 64;
 /// Silence after which a peer gets no requests, in milliseconds. Agents and peers of other regions
 /// send once a second.
 const SILENCE_MS: u64 = 5_000;
-/// Pause before the next request to a busy peer, in milliseconds. Within it, 0.2 to 1.2 MB cross a
-/// link of 40 Mbit/s.
+/// Pause before the next request to a busy peer, in milliseconds. Within this pause, 0.2 to 1.2 MB
+/// cross a link of 40 Mbit/s.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 50..=250;
 /// Time after which the rate of a transfer can be judged, in milliseconds.
 const MIN_SAMPLE_MS: u64 = 500;
-/// Time for the rest of a value above which a peer counts as slow, in milliseconds: a transfer of
+/// Remaining time of a transfer above which its peer counts as slow, in milliseconds: a transfer of
 /// 0.9 MB in this time uses a quarter of an agent's link. Where all links are slow, switching peers
 /// costs more than it gains: with 1 s, the last of six processes has 0.7 MB over links of 0.5 MB a
 /// second after 7 s instead of 5.7 s.
@@ -99,12 +100,12 @@
         free
     }
 
-    /// Returns the number of times that no slot was free so far.
+    /// Returns the number of times so far that no slot was free for a process of this role.
     pub fn refused(&mut self, caller: Role) -> u64 {
         *self.refused_mut(caller)
     }
 
-    /// Returns a slot.
+    /// Releases a slot.
     pub fn free(&mut self, caller: Role) {
         let (used, _) = self.of(caller);
         *used = used.saturating_sub(1);
@@ -205,8 +206,8 @@
         least.map(|it| self.known.swap_remove(it));
     }
 
-    /// Returns the time for which a process leaves it to others of its region to fetch what `key`
-    /// identifies from another region, in milliseconds.
+    /// Returns the time, in milliseconds, for which a process waits for others of its region to
+    /// fetch the data that `key` identifies from another region.
     pub fn far_wait_ms(&self, key: u64, fetcher: Fetcher, now: Time) -> u64 {
         if fetcher.role == Role::Agent && self.near(now).next().is_some() {
             return AGENT_FAR_MS;
@@ -268,7 +269,7 @@
     /// No peer that has sent data recently holds the value.
     NoHolder,
     /// Choose again after this time; the peers that hold the value are busy, or it is not this
-    /// process's turn.
+    /// process's turn to fetch from another region.
     Wait(Duration),
     /// Choose again after this time; the peers that hold the value did not reply.
     Retry(Duration),
@@ -313,7 +314,7 @@
         &self.want
     }
 
-    /// Returns the number of received bytes, at which the transfer continues.
+    /// Returns the number of received bytes, which is the offset at which the transfer continues.
     pub fn start(&self) -> u64 {
         self.received.len() as u64
     }
@@ -340,9 +341,10 @@
             .retain(|_, exclusion| *exclusion != Exclusion::NotHeld);
     }
 
-    /// Chooses the next peer: any peer of this region that holds the value. If none of them can
-    /// send it and it is this process's turn, chooses a peer of another region. Traffic between
-    /// regions costs money, and all processes of a region share one narrow link to other regions.
+    /// Chooses the next peer: any peer of this region that holds the value. If no such peer can
+    /// send the value and it is this process's turn, chooses a peer of another region. Traffic
+    /// between regions costs money, and all processes of a region share one narrow link to other
+    /// regions.
     pub fn choose(
         &self,
         holders: &Holders,
@@ -396,7 +398,7 @@
     }
 
     /// Returns whether to switch from `peer`, which sends slowly, to another peer now. The transfer
-    /// continues there, so no received bytes are lost.
+    /// continues at the other peer, so no received bytes are lost.
     pub fn should_switch(
         &self,
         peer: Ipv4Addr,
--- a/crates/gradeloft_policy/src/process/warmup.rs
+++ b/crates/gradeloft_policy/src/process/warmup.rs
@@ -1,8 +1,8 @@
 //! Limits the requests to a cold replica.
 //!
 //! A cold replica crashes under a load that it tolerates once warm, and no process counts the
-//! requests of all entries. Therefore a few entries share its rate, each with an interval of its
-//! own, and the others send it nothing.
+//! requests of all entries. Therefore a few entries share the rate of the replica, each with an
+//! interval of its own, and the other entries send it no requests.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 /// Returns the shortest interval between two requests of the entry `own` to a cold replica that
 /// tolerates `per_s` requests a second, or `None` if the entry is not one of its senders. `others`
-/// are the other entries that may send to it.
+/// are the other entries that may send to the replica.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/process/write_times.rs
+++ b/crates/gradeloft_policy/src/process/write_times.rs
@@ -2,8 +2,8 @@
 //!
 //! Records carry no time of writing. A record read during steady reading counts as just written. A
 //! record read after an interruption can have been written at any time since the copy was last
-//! complete, and counts as written then. A record received from a peer is as old as it is at the
-//! peer, or older if this process learned of it earlier.
+//! complete, and counts as written at that time. A record received from a peer is as old as it is
+//! at the peer, or older if this process learned of it earlier.
 
 use std::time::Duration;
 
@@ -14,8 +14,9 @@
 /// the pause between reads of the operator's table is 50 ms, and at most 150 ms after a single
 /// failure.
 const STEADY_PAUSE_MS: u64 = 300;
-/// Time after the end of its wait within which an undelayed read is complete, in milliseconds.
-/// Entries require new weights early enough to allow for records that they learn of this late.
+/// Time after the end of the store's wait within which an undelayed read is complete, in
+/// milliseconds. Entries require new weights early enough to allow for records that they learn of
+/// with this delay.
 const DELAYED_MS: u64 = 300;
 
 /// Size from which the transfer time of a response is significant, in bytes: 0.2 s on a link of
@@ -129,7 +130,7 @@
     }
 
     /// Returns the latest time at which a copy that reaches up to `end` is known to have been
-    /// complete, by own reads and by those of peers.
+    /// complete, by the reads of this process and of peers.
     pub fn complete_until(&self, end: u64) -> Option<Time> {
         self.earliest.unwritten_until(end)
     }
