--- a/crates/gradeloft_policy/src/connection/pace.rs
+++ b/crates/gradeloft_policy/src/connection/pace.rs
@@ -6,12 +6,12 @@
 
 /// Smallest share of the link for weights, so that a rollout completes.
 const MIN_SHARE: f64 = 0.05;
-/// Share of the link that stays free beside live requests, for their next burst.
+/// Share of the link that is kept free for the next burst of live requests while any are present.
 const HEADROOM: f64 = 0.2;
-/// Share of the link from which on live requests count as present.
+/// Share of the link that live traffic must use for live requests to be considered present.
 const LIVE_THRESHOLD: f64 = 0.002;
-/// Concurrent chunk requests beside live requests. Chunks in flight queue ahead of live requests on
-/// the last link, which can't prioritize.
+/// Maximum number of concurrent chunk requests while live requests are present. Chunks in flight
+/// queue ahead of live requests on the last link, which can't prioritize.
 const MAX_CONCURRENT_BESIDE_LIVE: usize = 1;
 /// Time constant of the average over live bytes, in seconds.
 const WINDOW_S: f64 = 0.5;
--- a/crates/gradeloft_policy/src/request/admission.rs
+++ b/crates/gradeloft_policy/src/request/admission.rs
@@ -8,7 +8,8 @@
 
 /// Seconds of refill that a full bucket holds.
 const BURST_S: f64 = 2.0;
-/// Share of the fleet's slots that each class below the highest leaves free for the classes above.
+/// Share of the fleet's slots that is reserved for higher classes, per class above the request's
+/// own.
 const CLASS_HEADROOM: f64 = 0.1;
 
 /// A token bucket.
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
-    /// At most [`BURST_S`] seconds of `rate`, and at least 1; negative when overdrawn.
+    /// At most [`BURST_S`] seconds of `rate`, or 1 if that is more; negative when overdrawn.
     level: f64,
     refilled_at: Time,
 }
@@ -158,7 +159,7 @@
 }
 
 /// Returns whether to shed a request of a class (0 is the highest) while `running` of `slots` are
-/// in use. Each class leaves a share of the slots to the classes above, so the lowest is shed
+/// in use. Each class may use fewer slots than the class above it, so the lowest class is shed
 /// first.
 pub fn should_shed(class: u8, running: u32, slots: u32) -> bool {
     let usable = 1.0 - CLASS_HEADROOM * f64::from(class);
--- a/crates/gradeloft_policy/src/request/at_most_once.rs
+++ b/crates/gradeloft_policy/src/request/at_most_once.rs
@@ -29,7 +29,7 @@
 enum Call<O> {
     /// The claim is being appended to the log or read back.
     Claiming { attempt: u128, requested_at: Time },
-    /// Given up before the call ran; the claim may still be in the log.
+    /// The claim was given up before the call ran; it may still be in the log.
     Abandoned { attempt: u128 },
     /// The call is running, or its outcome is no longer known.
     Started,
@@ -39,7 +39,7 @@
 
 /// Claims of one service, as known to one agent. `O` is the outcome kept for repeated calls.
 pub struct ClaimTable<O> {
-    /// First claim of each key by log offset, as attempt and offset. Never replaced.
+    /// Attempt and log offset of each key's first claim. Entries are never replaced.
     claimed: HashMap<Digest, (u128, u64)>,
     calls: HashMap<Digest, Call<O>>,
     /// Keys with a stored outcome, oldest first; at most [`MAX_OUTCOMES`].
--- a/crates/gradeloft_policy/src/request/attempt.rs
+++ b/crates/gradeloft_policy/src/request/attempt.rs
@@ -58,7 +58,7 @@
         )
     }
 
-    /// Returns whether a crash of the replica would look like this to one of its requests.
+    /// Returns whether a crash of the replica can cause this failure.
     pub fn may_be_crash(self) -> bool {
         matches!(self, Failure::Broken | Failure::Lost | Failure::Silent)
     }
@@ -84,7 +84,7 @@
 pub struct Attempts {
     /// Kind of the route, which decides whether a request that may have run can be repeated.
     pub kind: RouteKind,
-    /// Attempts that reached a replica or may have.
+    /// Number of attempts that reached or may have reached a replica.
     pub attempts: u32,
     /// Most replicas that may receive the request.
     pub max_attempts: u32,
--- a/crates/gradeloft_policy/src/request/caller_age.rs
+++ b/crates/gradeloft_policy/src/request/caller_age.rs
@@ -1,8 +1,8 @@
 //! Estimates how long ago a caller first sent its request.
 //!
-//! Each request carries the time its caller has left. Callers that retry after a refusal have less
-//! of it than first attempts on the same route. Timeouts also vary between callers, so only the
-//! difference from nearly all first attempts counts as age.
+//! Each request carries its caller's remaining time. A caller that retries after a refusal has less
+//! time remaining than first attempts on the same route. Timeouts also vary between callers, so the
+//! age is the difference from a time budget that nearly all first attempts have.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -12,17 +12,18 @@
 const WINDOW_MS: u64 = 10_000;
 /// Most samples per window.
 const MAX_SAMPLES: usize = 64;
-/// With fewer samples, the largest one is the estimate for first attempts, as variation between
-/// callers isn't visible yet.
+/// Number of samples below which the largest sample is the estimate for first attempts, as the
+/// variation between callers isn't visible yet.
 const MIN_SAMPLES: usize = 16;
-/// Callers count as uniform if at least this share of the samples is within [`TOLERANCE`] of the
-/// largest. Half of the requests are first attempts even in a shortage in which each caller retries
-/// once.
+/// Callers are treated as uniform if at least this share of the samples is within [`TOLERANCE`] of
+/// the largest. Half of the requests are first attempts even in a shortage in which each caller
+/// retries once.
 const UNIFORM_SHARE: f64 = 1.0 / 3.0;
 const TOLERANCE: f64 = 0.01;
-/// Largest share of retries in a window for which the estimate is correct although timeouts vary:
-/// this share of the samples, those with the least time left, is ignored. A shortage causes more
-/// retries than that, but the estimate of the window before it is larger and is used.
+/// Share of the samples, those with the least time remaining, that the estimate ignores if timeouts
+/// vary. The estimate is correct while at most this share of the requests in a window are retries.
+/// A shortage causes more retries, but the estimate of the window before the shortage is larger and
+/// is used instead.
 const RETRY_SHARE: f64 = 0.1;
 
 /// Remaining times of the requests on one route.
--- a/crates/gradeloft_policy/src/request/forecast.rs
+++ b/crates/gradeloft_policy/src/request/forecast.rs
@@ -12,7 +12,7 @@
 /// objective; one that seems over twice as fast was merely idle.
 const MIN_SLOWNESS: f64 = 0.5;
 const MAX_SLOWNESS: f64 = 4.0;
-/// Weight of one response in the moving average: it covers some ten responses, about one second of
+/// Weight of one response in the moving average, which covers about ten responses, or one second of
 /// a replica's work.
 const SMOOTHING: f64 = 0.1;
 
@@ -43,7 +43,7 @@
 ///     usual_response: 120.0,
 /// };
 /// let idle = Queue { slots: 16, begun: 0, waiting: 0, waiting_tokens: 0.0 };
-/// // Its own prompt, and one pass.
+/// // Prefill of the prompt (30 ms), and one pass (42 ms).
 /// assert_eq!(first_token_ms(&speed, idle, 900.0), 72.0);
 /// ```
 pub fn first_token_ms(speed: &Speed, queue: Queue, prompt_tokens: f64) -> f64 {
--- a/crates/gradeloft_policy/src/request/placement.rs
+++ b/crates/gradeloft_policy/src/request/placement.rs
@@ -25,25 +25,26 @@
 /// Range of a random cost, as a share of the replica's slots, so that entries with the same view
 /// don't all choose the same replica.
 const COST_JITTER: f64 = 0.06;
-/// Cost of a replica with an older version than others, as a share of its slots, so that it drains
-/// before it changes version.
+/// Cost of a replica whose version is older than the newest one, as a share of its slots, so that
+/// the replica drains before it changes version.
 const STALE_VERSION_COST: f64 = 0.6;
-/// Number of replicas to compare, both nearby and far. Entries learn of each other's requests
+/// Number of near replicas, and of far ones, to compare. Entries learn of each other's requests
 /// 125 ms late, so if each compared all replicas, all entries of a large fleet would send their
-/// requests to the same few.
+/// requests to the same few replicas.
 const COMPARED_CANDIDATES: usize = 3;
 /// Requests that a replica is given beyond its slots. A request that waits for a slot is late and
 /// delays those behind it.
 const MAX_QUEUED: u32 = 2;
 
-/// Most requests without a response that a replica is given. The first token behind more prompts
-/// misses typical latency objectives, and a replica that stops delays all of them.
+/// Maximum number of requests at a replica whose response has not begun. Behind more prompts, the
+/// first token misses typical latency objectives, and a replica that stops delays all these
+/// requests.
 const MAX_UNSTARTED: u32 = 8;
 /// Share of the remaining time to the first token that the forecast may take. The rest covers the
 /// way back to the caller and requests that other entries send to the replica meanwhile.
 const FORECAST_SHARE: f64 = 0.9;
-/// Share of a replica's slots that late requests leave free. A busy replica receives a new request
-/// every 100 ms, which needs a slot at once.
+/// Share of a replica's slots that late requests may not use. A busy replica receives a new request
+/// every 100 ms, and that request needs a slot at once.
 const LATE_HEADROOM: f64 = 0.125;
 
 /// Latency that is still achievable for a request.
@@ -73,7 +74,8 @@
     }
 
     /// Returns the rank in a replica's queue, from 0 (first) to 9: resumed streams, then requests
-    /// that can be in time, then late ones; within each by the operator's `priority` of the route.
+    /// that can be in time, then late ones. The operator's `priority` of the route ranks the
+    /// requests within the last two groups.
     pub fn rank(self, priority: u32) -> u32 {
         match self {
             Urgency::Resumed => 0,
@@ -112,7 +114,7 @@
     pub speed: Option<&'a Speed>,
     /// Uncertainty about the load of replicas in the entry's region.
     pub near: Uncertainty,
-    /// Uncertainty about the load of replicas in other regions, which is reported later.
+    /// Uncertainty about the load of replicas in other regions, whose reports arrive later.
     pub far: Uncertainty,
 }
 
@@ -148,7 +150,7 @@
 /// Slots that a request may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SlotScope {
-    /// Slots of this entry and free slots of others.
+    /// Slots of this entry and free slots of other entries.
     Any,
     /// Slots of this entry only.
     Own,
@@ -172,7 +174,7 @@
 ///
 /// A request to a model uses the entry's own slots first, then free slots of other entries; nearby
 /// replicas come before far ones. The choice among other entries' slots is random, as all entries
-/// see the same ones.
+/// see the same free slots.
 pub fn choose<'a>(
     replicas: impl Iterator<Item = (ReplicaKey, &'a Replica)>,
     requirements: Requirements<'_>,
@@ -229,7 +231,7 @@
         .collect()
 }
 
-/// Selects the replica of lowest cost among a random sample of near and far ones.
+/// Selects the replica of lowest cost from random samples of the near and the far candidates.
 fn least_cost(candidates: Vec<Candidate>, rng: &mut impl Rng) -> Option<ReplicaKey> {
     let (near, far): (Vec<Candidate>, Vec<Candidate>) =
         candidates.into_iter().partition(|it| it.near);
@@ -305,7 +307,7 @@
 }
 
 /// Returns whether a replica can accept the request. When capacity is short, requests that can be
-/// in time take precedence over late ones, as both cost the same work.
+/// in time take precedence over late ones, as a late response costs as much work as a timely one.
 fn has_room(
     replica: &Replica,
     requirements: Requirements<'_>,
--- a/crates/gradeloft_policy/src/request/quarantine.rs
+++ b/crates/gradeloft_policy/src/request/quarantine.rs
@@ -1,10 +1,10 @@
 //! Quarantine of poison requests ("queries of death"): requests that crash each replica that starts
 //! them.
 //!
-//! Such a request returns at any entry when its caller retries or sends it anew. The state of an
-//! attempt ends with its response, and each attempt alone looks like an unrelated replica failure.
-//! This module therefore keeps, by the request's [`Fingerprint`], the starts of the replicas that
-//! crashed while they had it.
+//! A poison request arrives again, at any entry, when its caller retries or sends it anew. The
+//! state of an attempt ends with its response, and each attempt alone looks like an unrelated
+//! replica failure. This module therefore records, by the request's [`Fingerprint`], the starts of
+//! the replicas that crashed while they held the request.
 //!
 //! A crashing replica loses all its requests, so one crash implicates a dozen requests of which at
 //! most one is the cause. A request is quarantined once it has enough crashes that no other request
@@ -22,7 +22,7 @@
 
 /// Crashes, not equally explained by another request, after which a request is quarantined. Two can
 /// be coincidence: with twelve replicas of fifteen innocent requests each, about one innocent
-/// request per crash is also at the next one, and one in a hundred at a third
+/// request per crash is also at the next crash, and one in a hundred at a third crash
 /// (`tests/quarantine.rs`).
 pub const QUARANTINE_CRASHES: usize = 3;
 /// Crashes after which an entry runs only one attempt of a request at a time, so that the diagnosis
@@ -36,11 +36,12 @@
 /// Time for which a request with fewer crashes is kept. Callers retry within minutes, and the
 /// diagnosis must survive entries and replicas that come and go.
 const RETENTION: Duration = Duration::from_secs(900);
-/// Delay before a retry if an attempt at the same request is running: as long as callers wait for a
-/// response.
+/// Delay before a retry if an attempt at the same request is running; equal to the time for which
+/// callers wait for a response.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(6);
 /// Most requests kept, at about a hundred bytes each. A mass failure of 2,300 replicas involves
-/// more; those with the fewest crashes are evicted first, the oldest of them first.
+/// more requests; those with the fewest crashes are evicted first, and among them those whose
+/// latest crash is oldest.
 const MAX_SUSPECTS: usize = 1_024;
 
 /// Whether a request may be sent to a replica.
@@ -165,7 +166,7 @@
         suspected
     }
 
-    /// Merges observations of another entry, or of an earlier run of this one.
+    /// Merges observations of another entry, or of an earlier run of this entry.
     pub fn merge(&mut self, message: &SuspectMessage, now: Time) -> MergeOutcome {
         self.evict_for(message.request);
         let suspect = self.suspects.entry(message.request).or_default();
@@ -193,8 +194,8 @@
         })
     }
 
-    /// Returns whether a request may be sent to a replica. `is_retry_owner` is whether this
-    /// entry is the only one in the fleet that retries the request after its quarantine period.
+    /// Returns whether a request may be sent to a replica. `is_retry_owner` is true if this entry
+    /// is the only one in the fleet that retries the request after its quarantine period.
     pub fn verdict(&self, request: Fingerprint, is_retry_owner: bool, now: Time) -> Verdict {
         let Some(suspect) = self.suspects.get(&request) else {
             return Verdict::Admitted;
@@ -259,7 +260,7 @@
         QUARANTINE_CRASHES <= own.count()
     }
 
-    /// Evicts the least significant idle request if another one needs its place.
+    /// Evicts the least significant request without a running attempt if `request` needs its place.
     fn evict_for(&mut self, request: Fingerprint) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
--- a/crates/gradeloft_policy/src/request/response.rs
+++ b/crates/gradeloft_policy/src/request/response.rs
@@ -86,8 +86,8 @@
         self.ended
     }
 
-    /// Returns the number of pieces and their digest, for the end frame of a response produced
-    /// here.
+    /// Returns the number of pieces and their digest, for the end frame of a response that this
+    /// process produces.
     pub fn totals(&self) -> (u64, Digest) {
         (self.count, Digest(self.hasher.finalize().into()))
     }
--- a/crates/gradeloft_policy/src/request/retry.rs
+++ b/crates/gradeloft_policy/src/request/retry.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Counts a new request.
+    /// Records a new request, which adds its share of a retry to the budget.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
--- a/crates/gradeloft_policy/src/request/route.rs
+++ b/crates/gradeloft_policy/src/request/route.rs
@@ -8,11 +8,11 @@
 
 use crate::{clock::Time, rendezvous};
 
-/// Age at which a load report counts half, in milliseconds.
+/// Age at which a load report has half of its initial weight, in milliseconds.
 const REPORT_HALF_LIFE_MS: f64 = 500.0;
 /// A replica is used for its cached prefixes up to this multiple of the mean load.
 const LOAD_BOUND: f64 = 1.25;
-/// Number of candidates tried in the prefix's order before load alone decides.
+/// Number of candidates tried in the prefix's rendezvous order before load alone decides.
 const AFFINITY_DEPTH: usize = 2;
 
 /// Distance of a replica from the entry.
@@ -86,9 +86,10 @@
     chosen.map(|it| it.key)
 }
 
-/// Selects a replica for a request whose prompt starts with the text that hashes to `prefix`: the
-/// replica with the prefix in its cache unless that is much busier than the others, else the less
-/// loaded of two random replicas. Ties go to the nearer one.
+/// Selects a replica for a request whose prompt starts with the text that hashes to `prefix`.
+/// Prefers the replica with the prefix in its cache. If that replica is much busier than the
+/// others, selects the less loaded of two random replicas, and the nearer one if their loads are
+/// equal.
 pub fn choose<K: Copy>(
     candidates: &[Candidate<K>],
     prefix: Option<u64>,
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -9,8 +9,9 @@
 /// Time without a refusal after which a shortage has ended, in milliseconds: several times the
 /// interval between requests at one entry.
 const EPISODE_GAP_MS: u64 = 300;
-/// Time without a refusal after which a new shortage counts as momentary, in milliseconds: several
-/// times a typical latency objective, for which requests wait before the first refusal.
+/// Time without a refusal after which a new shortage is treated as momentary, in milliseconds. It
+/// is several times a typical latency objective, because requests wait for the length of the
+/// objective before the first refusal.
 const ACTIVE_MS: u64 = 2_000;
 /// Shortest delay before a retry, in milliseconds: about the time until a busy replica frees a
 /// slot.
@@ -35,7 +36,8 @@
 
 impl Shortage {
     /// Returns whether callers were refused recently. Requests wait for room only in a momentary
-    /// shortage; in a lasting one they would displace later requests that can still be in time.
+    /// shortage; in a lasting shortage, waiting requests would displace later requests that can
+    /// still be in time.
     pub fn is_active(self, now: Time) -> bool {
         self.span
             .is_some_and(|(_, last)| now < last.after_ms(ACTIVE_MS))
--- a/crates/gradeloft_policy/src/version/bundle.rs
+++ b/crates/gradeloft_policy/src/version/bundle.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Weights named in a bundle: a model at its version, or an adapter of it.
+/// Weights named in a bundle: those of a version of a model, or of an adapter of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Weights {
     /// Index of the model in the bundle.
--- a/crates/gradeloft_policy/src/version/chain.rs
+++ b/crates/gradeloft_policy/src/version/chain.rs
@@ -1,9 +1,9 @@
 //! Selection of the published bundle that is in force: a pure fold over the log.
 //!
 //! A bundle is accepted if a trusted publisher signed it, its parent is the head and it is valid.
-//! The first such record by offset wins, so every node that reads the log selects the same bundle,
-//! and concurrent publishers learn whose bundle won. Nodes also adopt bundles from peers that
-//! accepted them from the log. The number of the head never decreases.
+//! Of several such records, the one with the lowest offset wins, so every node that reads the log
+//! selects the same bundle, and concurrent publishers learn whose bundle won. Nodes also adopt
+//! bundles from peers that accepted them from the log. The number of the head never decreases.
 
 use gradeloft_wire::{border::bundle::Bundle, id::Digest, record::SignedBundle};
 
@@ -50,12 +50,13 @@
 }
 
 /// Fraction of the checkpoint interval over which nodes spread their checkpoints, so that two nodes
-/// rarely append one each.
+/// rarely append the same checkpoint.
 const CHECKPOINT_SPREAD: f64 = 0.1;
 
-/// Returns whether this node is due to append the head to the log again, which keeps it within the
-/// log's retention. `last_ms` is the time at which the log accepted the latest record of the head,
-/// and `draw` a random number of this node from 0 to 1. Times are in milliseconds since 1970.
+/// Returns whether this node is due to append the head to the log again, which keeps the head
+/// within the log's retention. `last_ms` is the time at which the log accepted the latest record of
+/// the head, and `draw` is a random number of this node from 0 to 1. Times are in milliseconds
+/// since 1970.
 pub fn checkpoint_due(last_ms: u64, now_ms: u64, every_ms: u64, draw: f64) -> bool {
     let spread = every_ms as f64 * CHECKPOINT_SPREAD * (1.0 - draw);
     last_ms.saturating_add(every_ms - spread as u64) <= now_ms
@@ -97,9 +98,9 @@
         self.accept(bundle, digest, signed)
     }
 
-    /// Adopts a bundle that a peer or a checkpoint on the log reports as in force. Bundles in
-    /// between may be missing, so the parent can't be checked here; the node that accepted the
-    /// bundle checked it.
+    /// Adopts a bundle that a peer or a checkpoint on the log reports as in force. Bundles between
+    /// the current head and this one may be missing, so the parent can't be checked here; the node
+    /// that accepted the bundle checked it.
     pub fn adopt(&mut self, signed: &SignedBundle) -> Verdict {
         let (bundle, digest) = match self.verify(signed) {
             Ok(it) => it,
--- a/crates/gradeloft_policy/src/version/fetch/chunk_request.rs
+++ b/crates/gradeloft_policy/src/version/fetch/chunk_request.rs
@@ -8,8 +8,8 @@
 pub enum Upstream {
     /// The origin.
     Origin,
-    /// A better-ranked owner, by the hash of its name, that has not reported that it holds the
-    /// chunk.
+    /// A better-ranked owner that has not reported that it holds the chunk, identified by the hash
+    /// of its name.
     Owner(u64),
     /// A peer that has reported that it holds the chunk.
     Source(SourceKey),
--- a/crates/gradeloft_policy/src/version/fetch/mod.rs
+++ b/crates/gradeloft_policy/src/version/fetch/mod.rs
@@ -3,8 +3,8 @@
 //! The agents are ranked for each chunk by rendezvous hashing. The first one, the chunk's owner,
 //! reads it from the weight store or the origin; all others fetch it from peers that hold it, the
 //! rarest chunk first. An agent of a lower rank reads from the origin only after it has queried the
-//! better ones directly and they are unavailable. So changes of membership, or different views of
-//! it, cost few extra copies.
+//! better-ranked agents directly and found them unavailable. So changes of membership, or different
+//! views of it, cost few extra copies.
 
 mod chunk_request;
 mod hedge;
@@ -130,7 +130,7 @@
     }
 
     /// Sets the agents that read this version from the store or the origin, by the hashes of their
-    /// names. An agent that is not among them ranks after all of them.
+    /// names. An agent that is not a reader ranks after all readers.
     pub fn set_readers(&mut self, readers: Vec<u64>) {
         let reads = readers.contains(&self.own);
         self.set_owners(readers, reads);
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Records that some peer holds the chunks at these positions, even if they must not be
-    /// requested from it.
+    /// Records that some peer holds the chunks at these positions, even if this agent must not
+    /// request them from that peer.
     pub fn mark_seen(&mut self, positions: impl Iterator<Item = usize>) {
         for idx in positions {
             if let Some(item) = self.items.get_mut(idx) {
@@ -262,9 +262,10 @@
     }
 
     /// Returns whether a slot for a request to a peer is free. Requests to the origin have separate
-    /// slots, because they queue at the origin behind those of all readers, not on this agent's
-    /// link. With shared slots, readers would request nothing from peers while the origin delays
-    /// its responses, and complete a version after 3.7 s, 1.7 s later than the other agents.
+    /// slots, because they queue at the origin behind the requests of all readers, not on this
+    /// agent's link. With shared slots, readers would request nothing from peers while the origin
+    /// delays its responses, and would complete a version after 3.7 s, 1.7 s later than the other
+    /// agents.
     fn has_peer_slot(&self) -> bool {
         self.in_flight - self.outside_in_flight < self.tuning.peer_slots
     }
@@ -322,7 +323,8 @@
         true
     }
 
-    /// Records that a request failed. Has no further effect if the request was abandoned before.
+    /// Records that a request failed. If the request was abandoned before, only corrupt content is
+    /// recorded.
     pub fn failed(&mut self, idx: usize, from: Upstream, failure: Failure, now: Time) {
         if failure == Failure::Corrupt {
             self.counts.corrupt += 1;
@@ -385,7 +387,8 @@
         }
     }
 
-    /// Returns the best-ranked owner of a chunk if it has not reported the chunk in time.
+    /// Returns the best-ranked owner of a chunk that isn't known to be absent, once the wait for
+    /// its report of the chunk is over.
     fn overdue_owner(&self, item: &Item, rank: usize, now: Time) -> Option<Upstream> {
         let wait_factor = match self.tuning.objective {
             Objective::OriginBytes => ORIGIN_BYTES_WAIT_FACTOR,
@@ -394,8 +397,8 @@
         if self.tuning.scheme != Scheme::Owners {
             return None;
         }
-        // Grows with the square of the rank, so that few agents connect to and query the owner of a
-        // late chunk.
+        // The wait grows with the square of the rank, so that few agents connect to and query the
+        // owner of a late chunk.
         let wait = self.tuning.takeover_ms * wait_factor * (rank * rank) as u64;
         if now < item.waiting_since.after_ms(wait) {
             return None;
--- a/crates/gradeloft_policy/src/version/fetch/owners.rs
+++ b/crates/gradeloft_policy/src/version/fetch/owners.rs
@@ -1,15 +1,17 @@
 //! Assignment of each chunk to the agent that reads it first.
 //!
-//! An agent reads a few chunks at a time, so the origin's link is mostly idle once only an agent
-//! that owns many chunks is still reading. So the load is bounded: a chunk goes to the agent of the
-//! highest rendezvous score that owns less than its share. By rendezvous hashing alone, one of 13
-//! agents owns seven of 48 chunks, and the last ten chunks arrive in 0.8 s instead of 0.45 s.
+//! An agent reads only a few chunks at a time. If one agent owned many more chunks than the others,
+//! the origin's link would be mostly idle while only that agent is still reading. The number of
+//! chunks per agent is therefore bounded: a chunk is assigned to the agent with the highest
+//! rendezvous score among those that own less than their share. With unbounded rendezvous hashing,
+//! one of 13 agents owns seven of 48 chunks, and the last ten chunks arrive in 0.8 s instead of
+//! 0.45 s.
 
 use crate::rendezvous;
 
-/// Maximum number of chunks that an agent owns, as a multiple of the mean. With equal shares nearly
-/// every chunk overflows from another agent, and agents whose views differ by one reader agree on
-/// few owners.
+/// Maximum number of chunks that an agent owns, as a multiple of the mean. With a factor of 1,
+/// nearly every chunk overflows from another agent, and agents whose views differ by one reader
+/// agree on few owners.
 const MAX_OVER_MEAN: f64 = 1.25;
 
 /// Returns the first owner of each chunk in `keys`, independent of the order of `owners`. `None` if
--- a/crates/gradeloft_policy/src/version/fetch/tuning.rs
+++ b/crates/gradeloft_policy/src/version/fetch/tuning.rs
@@ -12,7 +12,7 @@
     #[default]
     Owners,
     /// Agents fetch random chunks from random peers that hold them, or from the store or the origin
-    /// if no known peer does.
+    /// if no known peer holds the chunk.
     Random,
     /// Each agent fetches all chunks from its parent; the root reads from the store or the origin.
     Tree,
@@ -34,10 +34,10 @@
     pub stall_ms: u64,
     /// Transfer time of a chunk on one agent's link, in milliseconds. The timeout of a request to
     /// the origin grows by this time for each origin slot of each member: all owners may read from
-    /// the origin at once, and its link has at least the bandwidth of one agent's.
+    /// the origin at once, and the origin's link has at least the bandwidth of one agent's link.
     pub chunk_ms: u64,
     /// Wait before an owner that has not reported a chunk is queried, in milliseconds; multiplied
-    /// by the square of the rank.
+    /// by the square of the querying agent's rank.
     pub takeover_ms: u64,
     /// Number of times that an owner may reply that a chunk is pending before another agent reads
     /// it, in addition to one for each `takeover_ms` of the whole version's transfer time.
--- a/crates/gradeloft_policy/src/version/named_versions.rs
+++ b/crates/gradeloft_policy/src/version/named_versions.rs
@@ -2,8 +2,9 @@
 //!
 //! The operator may name a version while its predecessor is still being rolled out. Each version is
 //! due at its own time, so the oldest allowed version is the newest one that is due. A version is
-//! preferred for some time before it is due: requests go to replicas that hold it if any of them
-//! has capacity, so that few requests wait at a replica whose version will soon be too old.
+//! preferred for some time before it is due: requests go to replicas that hold the version if any
+//! of these replicas has capacity, so that few requests wait at a replica whose version will soon
+//! be too old.
 
 use crate::clock::Time;
 
@@ -17,11 +18,13 @@
 /// Times at which a version becomes preferred and then required.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VersionTimes {
-    /// Requests go to replicas that hold the version from then on, if one has capacity.
+    /// Time from which requests go to replicas that hold the version, if any of them has capacity.
     pub preferred: Time,
-    /// Requests go only to replicas that hold the version or a newer one. Not before `preferred`.
+    /// Time from which requests go only to replicas that hold the version or a newer one. Not
+    /// before `preferred`.
     pub due: Time,
-    /// Requests that have not begun at other replicas are withdrawn. Not before `due`.
+    /// Time at which requests that have not begun at other replicas are withdrawn. Not before
+    /// `due`.
     pub expired: Time,
 }
 
@@ -35,7 +38,7 @@
 }
 
 impl NamedVersions {
-    /// Adds a version, and returns whether it is newer than all others; otherwise it is ignored.
+    /// Adds a version if it is newer than all others, and returns whether it was added.
     pub fn add(&mut self, version: u64, times: VersionTimes) -> bool {
         if version <= self.newest() {
             return false;
@@ -62,8 +65,8 @@
         self.newest_of(|it| it.times.due <= now)
     }
 
-    /// Returns the oldest version that is preferred now, if a replica that holds it has capacity;
-    /// `None` if none is preferred.
+    /// Returns the oldest version on which a request should begin now while a replica that holds
+    /// such a version has capacity; `None` if no version is preferred.
     pub fn oldest_preferred(&self, now: Time) -> Option<u64> {
         self.newest_of(|it| it.times.preferred <= now)
     }
--- a/crates/gradeloft_policy/src/version/order_backoff.rs
+++ b/crates/gradeloft_policy/src/version/order_backoff.rs
@@ -6,11 +6,11 @@
 
 use std::time::Duration;
 
-/// Number of consecutive exits during orders from which on they are attributed to the version: one
-/// or two also happen while replicas crash for other reasons.
+/// Number of consecutive exits during orders after which the version is considered the cause: one
+/// or two exits also happen while replicas crash for other reasons.
 const VERSION_FAULT_EXITS: u32 = 3;
-/// First pause after [`VERSION_FAULT_EXITS`] exits; doubles with each further one. A replica takes
-/// some seconds to start, so this at least halves the rate of futile starts.
+/// First pause after [`VERSION_FAULT_EXITS`] exits; the pause doubles with each further exit. A
+/// replica takes some seconds to start, so the pause at least halves the rate of futile starts.
 const FIRST_PAUSE: Duration = Duration::from_secs(10);
 /// Longest pause, which bounds the wait of an operator who has fixed the cause.
 const LONGEST_PAUSE: Duration = Duration::from_secs(300);
--- a/crates/gradeloft_policy/src/version/outside_sources.rs
+++ b/crates/gradeloft_policy/src/version/outside_sources.rs
@@ -1,4 +1,4 @@
-//! Access of one agent to the weight store and the origin: when to read from which.
+//! Selection of the weight store or the origin as the source from which one agent reads.
 
 use super::fetch::{Failure, Upstream};
 use crate::clock::Time;
@@ -50,9 +50,9 @@
 }
 
 impl OutsideSources {
-    /// Returns the source to read from now, if there is one. After `share` chunks, requests to the
-    /// origin are spaced out, so that a chunk that no other agent reads is delayed rather than
-    /// missing forever.
+    /// Returns the source to read from now, if there is one. After `share` chunks from the origin,
+    /// requests to the origin are spaced out, so that a chunk that no other agent reads is delayed
+    /// rather than missing forever.
     pub fn source(&self, share: u64, now: Time) -> Option<Upstream> {
         if self.store.closed_until <= now {
             return Some(Upstream::Store);
--- a/crates/gradeloft_policy/src/version/partners.rs
+++ b/crates/gradeloft_policy/src/version/partners.rs
@@ -3,11 +3,12 @@
 use super::fetch::Scheme;
 use crate::rendezvous;
 
-/// Number of partners in the agent's own availability zone, if not all are followed.
+/// Number of partners in the agent's own availability zone, if it has more than [`FOLLOW_ALL_NEAR`]
+/// members.
 const MAX_NEAR: usize = 8;
 /// Number of members in the own availability zone up to which all of them are followed. If 25
-/// agents follow eight each, a chunk reaches the last one three hops after the first, and their
-/// links are used to 60 %.
+/// agents follow eight others each, a chunk reaches the last agent three hops after the first, and
+/// the links of the agents are used to 60 %.
 const FOLLOW_ALL_NEAR: usize = 32;
 /// Number of partners in other availability zones.
 const MAX_FAR: usize = 6;
@@ -27,9 +28,9 @@
 
 /// Returns the members whose holdings to follow.
 ///
-/// Their number is bounded, so that messages remain bounded in a large fleet. They are selected by
-/// rendezvous hashing, so that the partners of all agents connect the fleet, and a change of
-/// membership replaces few of them.
+/// The number of selected members is bounded, so that messages remain bounded in a large fleet. The
+/// members are selected by rendezvous hashing, so that the partners of all agents connect the
+/// fleet, and a change of membership replaces few of them.
 pub fn choose(scheme: Scheme, own: u64, version: u64, members: &[Member]) -> Vec<Member> {
     match scheme {
         Scheme::Origin => Vec::new(),
--- a/crates/gradeloft_policy/src/version/placement.rs
+++ b/crates/gradeloft_policy/src/version/placement.rs
@@ -3,9 +3,10 @@
 //! Placement is rendezvous hashing with quotas: each model gets the free replicas that score
 //! highest for it, up to its quota. Models are placed in ascending order of slack: the number of
 //! replicas that a model may use, less those that it needs. So an unconstrained model doesn't
-//! occupy the few replicas of a constrained one. A replica that joins or leaves moves few others.
-//! Instances with different views of the replicas may place models differently for a while; that is
-//! safe, because requests go only to replicas that report the version they serve.
+//! occupy the few replicas of a constrained one. A replica that joins or leaves changes the models
+//! of few other replicas. Instances with different views of the replicas may place models
+//! differently for a while; that is safe, because requests go only to replicas that report the
+//! version they serve.
 
 use std::cmp::Reverse;
 
@@ -22,7 +23,7 @@
     pub zone: &'a str,
 }
 
-/// Returns the index in the bundle of each replica's model, in the order of `replicas`; `None` for
+/// Returns, for each of `replicas` in order, the index of its model in the bundle; `None` for
 /// replicas that remain free.
 pub fn place(bundle: &Bundle, replicas: &[Replica<'_>]) -> Vec<Option<usize>> {
     let nodes: Vec<u64> = replicas
--- a/crates/gradeloft_policy/src/version/readers.rs
+++ b/crates/gradeloft_policy/src/version/readers.rs
@@ -1,9 +1,9 @@
 //! Selection of the agents that read a version from the origin.
 //!
-//! An origin accepts a bounded number of connections and resets those beyond, together with the
-//! data in transit on them. So only as many agents read from the origin as it has connections for;
-//! all others fetch everything from peers. The readers are selected by rendezvous hashing for each
-//! version, so every agent computes the same ones without communication.
+//! An origin accepts a bounded number of connections and resets any others, which loses the data in
+//! transit on them. So only as many agents read from the origin as its connections allow; all
+//! others fetch everything from peers. The readers are selected by rendezvous hashing for each
+//! version, so every agent computes the same readers without communication.
 
 use crate::rendezvous;
 
--- a/crates/gradeloft_policy/src/version/rollout.rs
+++ b/crates/gradeloft_policy/src/version/rollout.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the version to pin a request to, given the versions that are served now; `None` if
-    /// there is none. The target is in service once `required` replicas serve it.
+    /// no version is suitable. The target is in service once `required` replicas serve it.
     pub fn pin(&mut self, serving: &[ServedVersion], required: u32) -> Option<String> {
         let ready = |version: &str| {
             serving
--- a/crates/gradeloft_policy/src/version/turns.rs
+++ b/crates/gradeloft_policy/src/version/turns.rs
@@ -1,9 +1,9 @@
 //! Leases that bound how many replicas are taken down, or switched to a new version, at once.
 //!
 //! Agents append requests for turns to the platform's log, one stream for each model, and every
-//! agent folds the stream to the same state. A turn is a lease: a replica holds one while fewer
-//! than `bound` requests before its own are open. Its agent renews the request while it works, so
-//! the turn of a dead agent expires. A replica on which the version failed keeps its turn: a bad
+//! agent folds the stream to the same state. A turn is a lease: a replica holds a turn while fewer
+//! than `bound` earlier requests are open. The replica's agent renews the request while it works,
+//! so the turn of a dead agent expires. A replica on which the version failed keeps its turn: a bad
 //! version takes down at most as many replicas as the bound allows.
 
 use std::collections::BTreeMap;
--- a/crates/gradeloft_policy/src/version/upload.rs
+++ b/crates/gradeloft_policy/src/version/upload.rs
@@ -24,7 +24,7 @@
 /// Outcome of a request for an upload slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The queue is full: the peer has to try another one.
+    /// The queue is full: the requesting peer has to try another agent.
     Busy,
     /// The request waits; [`UploadSlots::release`] returns it when a slot is free.
     Queued,
--- a/crates/gradeloft_policy/src/version/waves.rs
+++ b/crates/gradeloft_policy/src/version/waves.rs
@@ -1,11 +1,11 @@
 //! Time at which each replica loads a new version, so that the fleet continues to serve.
 //!
 //! Replicas that already serve switch in waves; a wave starts once most replicas of earlier waves
-//! serve again. All waves but the last cut off their streams, which resume at replicas of later
-//! waves on the same version: so a replica is unavailable only while it loads, and no more than one
-//! wave at once. No replica with the old version is left for the streams of the last wave, so it
-//! finishes them. The waves are assigned by rendezvous hashing, so every agent computes its own
-//! without communication.
+//! serve again. The replicas of all waves but the last cut off their streams, which resume on the
+//! same version at replicas of later waves. A replica is thus unavailable only while it loads, and
+//! at most one wave is unavailable at once. The replicas of the last wave finish their streams,
+//! because no replica with the old version is left to resume them. The waves are assigned by
+//! rendezvous hashing, so every agent computes the wave of its replica without communication.
 
 use std::time::Duration;
 
@@ -32,10 +32,12 @@
 /// Fraction of a version's rollout time over which the replicas of a fleet load a superseded
 /// version, one after the other. A replica stages the newer version once it has started to load the
 /// superseded one, and fetching the newer chunks takes a third of the newer version's rollout time.
-/// In four waves, with each replica closed for another 0.7 s, up to three quarters of a fleet are
-/// closed at once. With loads spread over 1.6 s of 9.7 s, it is up to two fifths.
+/// If the replicas loaded in four waves, with each replica closed for another 0.7 s, up to three
+/// quarters of a fleet would be closed at once. With loads spread over 1.6 s of 9.7 s, up to two
+/// fifths of a fleet are closed at once.
 const SUPERSEDED_FRACTION: f64 = 0.3;
-/// Number of replicas that must be ordered to load after a given one before that one is open again.
+/// Number of further replicas that must be ordered to load before a replica that was ordered to
+/// load is open again.
 const FOLLOWERS: u64 = 3;
 /// Time for which the last replicas get no requests after an order for a superseded version, in
 /// milliseconds. If the instance of the replica ordered last stopped at that moment, the requests
@@ -61,8 +63,8 @@
 }
 
 impl SwitchProgress {
-    /// Applies the report of an entry. Of two reports on one version the later one counts, even if
-    /// it is lower: replicas also become unavailable again.
+    /// Applies the report of an entry. Of two reports on the same version, the later one replaces
+    /// the earlier one even if its number is lower, as replicas also become unavailable again.
     pub fn update(&mut self, report: SwitchProgress) {
         if self.version <= report.version {
             *self = report;
@@ -129,16 +131,16 @@
         }
     }
 
-    /// Returns whether the wave of the replica has started: `switched` replicas serve the version,
-    /// which was named at `named` and has a rollout time of `version_ms`.
+    /// Returns whether the wave of the replica has started. `switched` replicas serve the
+    /// version, which was named at `named` and has a rollout time of `version_ms` milliseconds.
     pub fn may_load(self, switched: usize, named: Time, version_ms: u64, now: Time) -> bool {
         let switched_enough = self.before as f64 * SWITCHED_FRACTION <= switched as f64;
         switched_enough || named.after_ms((version_ms as f64 * self.latest_start()) as u64) <= now
     }
 
-    /// Returns whether it is the replica's turn in a fleet that has fetched the version at `ready`.
-    /// The replicas load one after the other until the version is needed, because a fleet near full
-    /// load can spare few replicas at once.
+    /// Returns whether it is the replica's turn to load a version that the fleet has fetched at
+    /// `ready`. The replicas load one after the other until the version is needed, because a fleet
+    /// near full load can spare few replicas at once.
     pub fn has_turn(self, ready: Time, named: Time, version_ms: u64, now: Time) -> bool {
         let last = named.after_ms((version_ms as f64 * LAST_LOAD_START) as u64);
         let over = last.since(ready).min(MAX_SPREAD);
