--- a/crates/gradeloft_gateway/src/agent/deploy.rs
+++ b/crates/gradeloft_gateway/src/agent/deploy.rs
@@ -26,8 +26,8 @@
 /// Maximum number of times that chunks which became corrupt after staging are fetched again before
 /// a load is ordered.
 const MAX_REPAIRS: usize = 3;
-/// Maximum time for an order to take effect, in milliseconds: the duration of the longest request
-/// plus that of the load.
+/// Maximum time from an order until it takes effect, in milliseconds: the duration of the longest
+/// request plus that of the load.
 const LOAD_TIMEOUT_MS: u64 = 8_000;
 
 /// Reason why a version was not deployed to the replica.
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Waits before a version is retried, but no longer than until a newer one is named.
+    /// Waits before a version is retried, but only until a newer version is named.
     async fn wait_before_retry(&self, version: &Version, reason: &str, pause: Duration) {
         if let Some(log) = self.node.logs.line(Topic::Weights) {
             warn!(log, "weights not loaded"; "model" => &version.model,
@@ -179,9 +179,9 @@
         loaded
     }
 
-    /// Verifies the staged chunks and fetches corrupt ones again. The replica loads the chunks
-    /// unchecked as they are when it accepts the order, and if the deployment failed, a version
-    /// superseded meanwhile would not be retried.
+    /// Verifies the staged chunks and fetches corrupt ones again. The replica loads chunks without
+    /// checks, as they are when it accepts the order. A version whose deployment failed is not
+    /// retried if it has been superseded in the meantime.
     async fn repair(self: &Rc<Agent>, version: &Version) -> Result<(), DeployError> {
         for _ in 0..MAX_REPAIRS {
             if staging::verify(self, version).await.is_ok() {
--- a/crates/gradeloft_gateway/src/agent/fetch.rs
+++ b/crates/gradeloft_gateway/src/agent/fetch.rs
@@ -46,8 +46,8 @@
 };
 
 /// Number of concurrent chunk requests of one agent to the origin. All readers together saturate
-/// the origin with one request each, and a request that breaks off is retried behind half as many
-/// others as with two slots, which would delay it by a second.
+/// the origin with one request each. With two, the retry of a broken request would queue behind
+/// twice as many others, and be delayed by a second.
 pub const ORIGIN_SLOTS: usize = 1;
 /// Maximum number of concurrent chunk requests to one peer.
 const REQUESTS_PER_PEER: u32 = 2;
@@ -57,13 +57,14 @@
 /// Time per rank after which the next owner of a chunk takes over, in milliseconds: a third of the
 /// time in which the origin sends one copy of a version.
 const TAKEOVER_MS: u64 = 400;
-/// Maximum number of times that an owner may announce that it is about to read a chunk before the
-/// next owner reads the chunk, not counting those that fit into the transfer time of a whole
-/// version on the owner's link. An owner on a slow link would delay all other agents, whereas a
-/// chunk that is read twice costs little.
+/// Maximum number of announcements by an owner that it is about to read a chunk, after which the
+/// next owner reads the chunk. Announcements within the transfer time of a whole version on the
+/// owner's link do not count. An owner on a slow link would delay all other agents, whereas a chunk
+/// that is read twice costs little.
 const MAX_ANNOUNCEMENTS: u64 = 0;
 /// Number of copies of a version that all agents together may read from the origin before they slow
-/// down. Above one, as a version has few chunks and agents own unequal numbers of them.
+/// down. The number is above one, as a version has few chunks and agents own unequal numbers of
+/// them.
 const ORIGIN_COPIES: f64 = 4.0;
 /// Interval between checks for stalled requests if there is no event.
 const CHECK_INTERVAL: Duration = Duration::from_millis(30);
@@ -143,8 +144,8 @@
     followed: HashMap<u64, SourceKey>,
     /// Peers that have reported the chunks that they hold, or were unreachable.
     reported: HashSet<SourceKey>,
-    /// Positions of chunks held by far peers that another agent of the own region is responsible
-    /// for.
+    /// Positions of the withheld chunks that each far peer holds. Another agent of this region is
+    /// responsible for fetching these chunks.
     withheld: HashMap<SourceKey, HashSet<usize>>,
     events: FuturesUnordered<LocalBoxFuture<'static, Event>>,
     /// Number of chunks that are being staged.
@@ -235,8 +236,8 @@
     }
 
     /// Returns whether a newer version was named before half of this one was available in the
-    /// fleet. A version that is half available is finished: fetching the newer one may take long,
-    /// and once this one is due, replicas that have loaded neither must not serve.
+    /// fleet. A version that is half available is finished: fetching the newer version may take
+    /// long, and once the older version is due, replicas that have loaded neither must not serve.
     fn superseded(&self) -> bool {
         let half_available = self.fetch.borrow().half_available();
         !half_available && self.agent.target().as_ref() != Some(self.version)
@@ -268,8 +269,9 @@
         partners
     }
 
-    /// Returns the owners of the chunks that this agent fetches from other regions for its own. The
-    /// owners have such a chunk first; this agent's partners there may get it last.
+    /// Returns the owners of the chunks that this agent fetches from other regions on behalf of its
+    /// own region. The owners get a chunk first; this agent's partners in other regions may get it
+    /// last.
     fn owners_to_follow(&self) -> HashSet<u64> {
         let chunks = self.manifest.distinct_chunks();
         let fetch = self.fetch.borrow();
@@ -393,8 +395,8 @@
                 result: Ok(content),
                 elapsed,
             }) => {
-                // Chunks from the origin are queued there, so their transfer time does not show the
-                // state of this agent's link.
+                // The origin queues its chunks, so their transfer time does not show the state of
+                // this agent's link.
                 if matches!(request.from, Upstream::Owner(_) | Upstream::Source(_)) {
                     self.window.record_arrival(elapsed);
                     self.agent.congested.set(self.window.is_congested());
--- a/crates/gradeloft_gateway/src/agent/mod.rs
+++ b/crates/gradeloft_gateway/src/agent/mod.rs
@@ -71,8 +71,8 @@
 
 /// Fraction of the link that chunk uploads may use; the rest is for requests and tokens.
 const UPLOAD_LINK_FRACTION: f64 = 0.85;
-/// Number of connections of one reader to the origin: its chunk requests, a manifest request, and
-/// one that is about to close.
+/// Number of connections of one reader to the origin: those of its chunk requests, one for a
+/// manifest request, and one that is about to close.
 const READER_CONNECTIONS: u32 = fetch::ORIGIN_SLOTS as u32 + 2;
 /// Size of a chunk if the configuration does not specify it, in bytes.
 const DEFAULT_CHUNK_BYTES: u64 = 49_152;
@@ -137,7 +137,7 @@
     switch_progress: RefCell<HashMap<u64, SwitchProgress>>,
     /// Time of the replica's first response.
     first_response_at: Cell<Option<Time>>,
-    /// Fraction of the spread of first store reads after which this agent reads, from 0 to 1.
+    /// Position of this agent's first store read in the spread of first reads, from 0 to 1.
     first_read_fraction: Cell<Option<f64>>,
     /// Schedule of requests to entries for the operator's records.
     refresh: Cell<Refresh>,
--- a/crates/gradeloft_gateway/src/agent/receive.rs
+++ b/crates/gradeloft_gateway/src/agent/receive.rs
@@ -19,8 +19,8 @@
 /// from the store itself, in milliseconds: three intervals between datagrams of an entry.
 const SERVED_ENTRY_TIMEOUT_MS: u64 = 1_600;
 /// Time after a replica's first response within which an entry may send the agent its first
-/// datagram, in milliseconds. Without one the agent has nothing to do, so a longer time would leave
-/// an added replica empty.
+/// datagram, in milliseconds. Until a datagram arrives the agent has nothing to do, so a longer
+/// time would leave an added replica empty.
 const FIRST_DATAGRAM_MS: u64 = 250;
 /// Time after its start at which an agent reads the store itself even if its replica does not
 /// respond, in milliseconds.
@@ -28,8 +28,8 @@
 /// Time over which agents that start together and know no entry spread their first store reads, in
 /// milliseconds.
 const FIRST_READ_SPREAD_MS: f64 = 1_000.0;
-/// Spread of first reads if entries are known but send no records, as they may not have any
-/// themselves yet, in milliseconds.
+/// Spread of first reads if known entries send no records, as the entries may have none yet, in
+/// milliseconds.
 const FIRST_READ_SPREAD_WITH_ENTRIES_MS: f64 = 8_000.0;
 /// Maximum backoff after failed reads of the store: hundreds of agents read it at once if no entry
 /// is reachable.
--- a/crates/gradeloft_gateway/src/agent/staging.rs
+++ b/crates/gradeloft_gateway/src/agent/staging.rs
@@ -18,7 +18,7 @@
 
 /// Number of peers from which a manifest is requested if the origin is unreachable.
 const MANIFEST_PEERS: usize = 4;
-/// Number of entries from which the replicas are requested before the store is read.
+/// Number of entries from which the list of replicas is requested before the store is read.
 const REPLICAS_ATTEMPTS: u32 = 4;
 /// Maximum pause before the request to another entry, in milliseconds; doubles with each attempt.
 const REPLICAS_BACKOFF_MS: u64 = 100;
@@ -122,10 +122,10 @@
     members
 }
 
-/// Updates the copy of the table of replicas from an entry. All agents do so when a version is
-/// named, and if all of them read the store, the transfers of the table would saturate its links.
-/// So an existing copy is used if no entry sends a newer one, and the store is read only if there
-/// is no copy.
+/// Updates the copy of the table of replicas from an entry. All agents update their copies when a
+/// version is named, and if all agents read the store, the transfers of the table would saturate
+/// the store's links. So an existing copy is used if no entry sends a newer one, and the store is
+/// read only if there is no copy.
 async fn update_replicas(agent: &Agent) {
     for attempt in 0..REPLICAS_ATTEMPTS {
         let Some(entry) = agent.random_entry() else {
@@ -194,8 +194,8 @@
 }
 
 /// Returns the digests of a version's chunks. Readers request them from the origin and other
-/// readers, all other agents from the readers. If that fails, any agent requests them from the
-/// origin, then from other peers.
+/// readers, all other agents from the readers. If these requests fail, any agent requests the
+/// digests from the origin, then from other peers.
 async fn manifest(
     agent: &Agent,
     version: &Version,
--- a/crates/gradeloft_gateway/src/agent/upload.rs
+++ b/crates/gradeloft_gateway/src/agent/upload.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Sends a chunk as soon as the link has capacity for it beside tokens; refuses if no upload slot
-/// is free.
+/// Sends a chunk as soon as the link has capacity that tokens do not need; refuses if no upload
+/// slot is free.
 async fn upload(agent: &Rc<Agent>, digest: Digest, outgoing: Outgoing) {
     let (version, idx) = match locate(agent, digest) {
         Location::Staged(version, idx) => (version, idx),
@@ -106,7 +106,7 @@
     })
 }
 
-/// Reports to a peer which chunks of a version are staged, now and whenever more are.
+/// Reports to a peer which chunks of a version are staged, at once and after further ones are.
 async fn report_staged(agent: &Rc<Agent>, manifest: Digest, outgoing: Outgoing) {
     let mut reported = HashSet::new();
     loop {
@@ -157,8 +157,8 @@
     outgoing.finish(&reply).await;
 }
 
-/// Starts to determine which chunks of the served version are staged, unless that is known. Without
-/// it, they can't be uploaded to replicas that are added later.
+/// Starts to determine which chunks of the served version are staged, unless this is known. Only
+/// chunks known to be staged can be uploaded to replicas that are added later.
 pub fn recover_target(agent: &Rc<Agent>) {
     let Some(target) = agent.target() else {
         return;
--- a/crates/gradeloft_gateway/src/h1/wire.rs
+++ b/crates/gradeloft_gateway/src/h1/wire.rs
@@ -111,7 +111,8 @@
     }
 
     /// Returns whether the socket has data to read or the connection has ended, without waiting.
-    /// Peeks at the socket, as the runtime notices either only when it next polls for events.
+    /// Peeks at the socket, as the runtime notices data or an end only when it next polls for
+    /// events.
     pub fn has_pending_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
--- a/crates/gradeloft_gateway/src/metrics.rs
+++ b/crates/gradeloft_gateway/src/metrics.rs
@@ -82,7 +82,7 @@
     /// Records of other writers that can't be parsed, by table.
     pub unreadable_records: Family<Reason, Counter>,
     /// Seconds for which the copy of the operator's table has been behind that of peers; 0 if it is
-    /// not.
+    /// up to date.
     pub behind: Gauge<f64, AtomicU64>,
     /// Version of the configuration in force.
     pub config: Gauge,
--- a/crates/gradeloft_gateway/src/node/abridged.rs
+++ b/crates/gradeloft_gateway/src/node/abridged.rs
@@ -55,8 +55,8 @@
         unabridged.then_some(update)
     }
 
-    /// Abridges a large record, with a cache: requests wait while an entry parses a record, 3.6 ms
-    /// of a whole core for 0.99 MB in a release build.
+    /// Abridges a large record, with a cache: requests wait while an entry parses a record, which
+    /// takes 3.6 ms of a whole core for 0.99 MB in a release build.
     fn abridge(&self, record: &mut Record) {
         let Some(value) = &record.value else {
             return;
@@ -86,8 +86,8 @@
         record.value = Some(value);
     }
 
-    /// Notes that a peer sent the records of a table up to the end of the copy or, beyond that, up
-    /// to `seen`. They may be abridged if this process requests that.
+    /// Notes that a peer sent the records of a table up to the end of the copy or up to `seen`,
+    /// whichever is later. The records may be abridged if this process requests abridged ones.
     pub(super) fn note_peer_update(&self, table: Table, seen: Option<u64>) {
         if table == Table::Operator && self.wants_abridged() {
             let end = self.end(table).max(seen.unwrap_or(0));
@@ -97,8 +97,8 @@
     }
 
     /// Returns the end of a table's copy that is advertised to peers: 0 for an agent that has read
-    /// nothing from the store since it received abridged records, as it has none for peers that
-    /// need unabridged ones.
+    /// nothing from the store since it received abridged records, as the agent can't serve peers
+    /// that need unabridged ones.
     pub(super) fn advertised_end(&self, table: Table) -> u64 {
         let end = self.end(table);
         let abridged = table == Table::Operator && end <= self.abridged.borrow().unabridged_from;
--- a/crates/gradeloft_gateway/src/node/confirmed.rs
+++ b/crates/gradeloft_gateway/src/node/confirmed.rs
@@ -9,7 +9,7 @@
 impl Node {
     /// Returns the time up to which the copy of a table is known to be complete, from reads of this
     /// process and of peers: a record that the copy lacked at that time was written later. While a
-    /// read is being applied, returns the time that held before the read. While reads succeed, the
+    /// read is being applied, returns the time confirmed before the read. While reads succeed, the
     /// time is at most one long poll and one round trip ago.
     pub fn confirmed_until(&self, table: Table) -> Option<Time> {
         self.write_times.borrow()[index(table)].complete_until(self.end(table))
--- a/crates/gradeloft_gateway/src/node/mod.rs
+++ b/crates/gradeloft_gateway/src/node/mod.rs
@@ -62,8 +62,8 @@
     traffic::{Purpose, Reach, Traffic},
 };
 
-/// Largest frame between processes, in bytes: the values that [`records`] puts into one, and room
-/// for their keys.
+/// Largest frame between processes, in bytes: the values that [`records`] puts into one frame, and
+/// room for the keys of these values.
 pub const MAX_FRAME: usize = 1 << 20;
 /// Time limit for a connection to a peer: far above the links' delays.
 const PEER_CONNECT: Duration = Duration::from_millis(500);
@@ -131,8 +131,8 @@
     /// Write times of each table's records.
     write_times: RefCell<[WriteTimes; 3]>,
     activity_gaps: RefCell<ActivityGaps>,
-    /// Time of the last current information about the ends of other copies, by datagram or by a
-    /// read of the store.
+    /// Time at which this process last got current information about the ends of other copies, by
+    /// datagram or by a read of the store.
     informed_at: Cell<Option<Time>>,
     /// State of reading each table from the store.
     read_states: RefCell<[ReadState; 3]>,
--- a/crates/gradeloft_gateway/src/node/parts.rs
+++ b/crates/gradeloft_gateway/src/node/parts.rs
@@ -22,7 +22,7 @@
 };
 use crate::settings;
 
-/// Time limit for one part: 22 KB/s at least, a fiftieth of an agent's link.
+/// Time limit for one part. A part arrives in time at 22 KB/s, a fiftieth of an agent's link.
 const PART_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Size of a part, in bytes.
 const PART_BYTES: usize = 32 << 10;
@@ -72,7 +72,8 @@
         for part in rest.chunks(PART_BYTES) {
             let others_waited = self.uploads.borrow_mut().refused(request.caller) != refused_before;
             if others_waited && pace.slow(done, value.len() as u64, self.clock.now()) {
-                // A slow receiver would keep all others waiting, so it has to retry after them.
+                // A slow receiver would keep all others waiting, so it has to retry after the
+                // others.
                 outgoing.finish(&Reply::Absent(Absence::Busy)).await;
                 return;
             }
@@ -93,7 +94,7 @@
         taken.then(|| UploadSlot(Rc::clone(self), caller))
     }
 
-    /// Starts to fetch the missing large values, unless a task does so already.
+    /// Starts to fetch the missing large values, unless a task is fetching them already.
     pub(super) fn start_fetch(self: &Rc<Node>, table: Table) {
         let fetching = self.with_inbox(table, |it| std::mem::replace(&mut it.fetching, true));
         if fetching {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Returns whether the missing value is another one than that being fetched.
+    /// Returns whether the missing value differs from the one that is being fetched.
     fn superseded(&self, table: Table) -> bool {
         self.with_inbox(table, |it| {
             let fetched = it.transfer.as_ref().map(Transfer::want);
@@ -137,8 +138,8 @@
         })
     }
 
-    /// Replaces the transfer unless it is still needed; returns `false` if none is needed, as when
-    /// the store was faster.
+    /// Replaces the transfer unless it is still needed; returns `false` if no transfer is needed,
+    /// for example because the store was faster.
     fn ensure_transfer(&self, table: Table) -> bool {
         self.apply_complete(table);
         let now = self.clock.now();
@@ -234,8 +235,8 @@
                         return Err(("slow", Refusal::Faulty));
                     }
                 }
-                // Other peers wait there for the slot that this process used slowly, and are served
-                // first.
+                // This process used the peer's slot slowly. The other processes that wait for the
+                // slot are served first.
                 Some(Reply::Absent(Absence::Busy)) if received => {
                     return Err(("sent away", Refusal::Faulty));
                 }
@@ -247,9 +248,9 @@
         }
     }
 
-    /// Returns whether a peer sends slowly while another is available. Parts within their time
-    /// limit only show that the peer is alive: a slow link would delay a value that another peer
-    /// holds.
+    /// Returns whether a peer sends slowly while another is available. Parts that arrive within
+    /// their time limit only show that the peer is alive: over a slow link, a value arrives later
+    /// than from another peer that holds it.
     fn should_switch_peer(&self, peer: Ipv4Addr, table: Table, pace: Pace) -> bool {
         let now = self.clock.now();
         let caller = self.fetcher();
--- a/crates/gradeloft_gateway/src/node/records.rs
+++ b/crates/gradeloft_gateway/src/node/records.rs
@@ -40,7 +40,7 @@
 const INLINE_BYTES: usize = 64 << 10;
 /// Bytes of all values in a reply; the rest of the frame is for keys.
 const REPLY_BYTES: usize = MAX_FRAME / 4 * 3;
-/// Pause after a peer that is busy with other uploads, in milliseconds.
+/// Pause after a peer has refused a call because of other uploads, in milliseconds.
 const BUSY_MS: std::ops::RangeInclusive<u64> = 20..=120;
 /// Time for which a peer of another region has to be ahead before records are requested from it, in
 /// milliseconds: two intervals between near entries' datagrams, and a reply.
@@ -57,9 +57,9 @@
     pub(super) holders: Holders,
     /// Update that is not complete yet.
     pub(super) pending: Option<Announced>,
-    /// Large value that is being fetched. It outlives the update that announced it: a superseded
-    /// record is still newer than the copy, and if each newer record restarted the transfer, none
-    /// would complete while they change quickly.
+    /// Large value that is being fetched. The transfer outlives the update that announced the
+    /// value: a superseded record is still newer than the copy, and if each newer record restarted
+    /// the transfer, none would complete while records change quickly.
     pub(super) transfer: Option<Transfer>,
     /// Whether a task is fetching the value.
     pub(super) fetching: bool,
@@ -68,17 +68,17 @@
 /// An update that a peer announced.
 pub(super) struct Announced {
     pub(super) pending: PendingUpdate,
-    /// Whether the peer trusts the removals in it.
+    /// Whether the peer trusts the removals in the update.
     sound: bool,
     /// Time of the call.
     requested_at: Time,
-    /// Source of its last value.
+    /// Source of the update's last value.
     pub(super) source: Source,
 }
 
 impl Node {
-    /// Serves a peer's call for records or for parts of a value. Other calls are for other kinds of
-    /// process: their stream is dropped, so that they fail at the peer.
+    /// Serves a peer's call for records or for parts of a value. Other calls are meant for other
+    /// kinds of process: their streams are dropped, so that the calls fail at the peer.
     pub async fn serve_call(self: &Rc<Node>, call: Call, outgoing: Outgoing) {
         match call {
             Call::Parts {
@@ -186,9 +186,9 @@
     }
 
     /// Fetches the records that this process lacks from a peer whose copies go up to `ends`;
-    /// returns whether it lacks any. Peers of other regions get requests only after a moment,
-    /// within which near peers most likely have the records too, and at first only by a few
-    /// processes of this region.
+    /// returns whether this process lacks any. Requests to peers of other regions are delayed by a
+    /// moment, within which near peers most likely get the records too. At first only a few
+    /// processes of this region send such requests.
     pub fn catch_up_from(self: &Rc<Node>, peer: Ipv4Addr, zone: &str, ends: [u64; 3]) -> bool {
         let mut requested = false;
         let near = self.near(zone);
@@ -247,7 +247,7 @@
     fn is_far_behind_for(&self, table: Table, wait_ms: u64) -> bool {
         let now = self.clock.now();
         self.with_inbox(table, |it| {
-            // A time outside this window is discarded: near peers have most likely sent those
+            // A time outside this window is discarded: near peers have most likely sent the missing
             // records since.
             let recent = it
                 .behind_since
@@ -258,7 +258,7 @@
     }
 
     /// Returns whether this process keeps a table up to date from peers. Agents need the table of
-    /// replicas only while they fetch weights, and never that of entries.
+    /// replicas only while they fetch weights, and never the table of entries.
     fn follows(&self, table: Table) -> bool {
         match self.settings.borrow().role {
             settings::Role::Agent { .. } => table == Table::Operator,
@@ -317,7 +317,8 @@
         true
     }
 
-    /// Replaces the update announced before by a newer one, which takes over its values.
+    /// Replaces the previously announced update by a newer one, which takes over the earlier
+    /// values.
     fn announce(&self, table: Table, mut announced: Announced) {
         self.with_inbox(table, |it| {
             let before = it.pending.take();
@@ -362,8 +363,8 @@
         if announced.pending.missing().is_some() {
             self.with_inbox(table, |it| it.pending = Some(announced));
         }
-        // A peer that reads the store without interruption is right about removals, also where this
-        // process is cut off.
+        // A peer that reads the store without interruption is right about removals, even while this
+        // process is cut off from the store.
         self.peer_is_sound.set(sound);
         if let Some(update) = update {
             if !sound {
--- a/crates/gradeloft_gateway/src/node/tables.rs
+++ b/crates/gradeloft_gateway/src/node/tables.rs
@@ -25,7 +25,7 @@
 /// First pause after a failed call to the store, in milliseconds, which doubles with each further
 /// failure.
 const FIRST_PAUSE_MS: u64 = 150;
-/// Longest pause of entries after failed calls: they have to apply the operator's records within
+/// Longest pause of entries after failed calls: entries have to apply the operator's records within
 /// seconds.
 pub(super) const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Shortest wait of a long poll, in percent of the longest.
@@ -92,9 +92,9 @@
         self.read_states.borrow()[index(table)] == ReadState::Standby
     }
 
-    /// Returns whether the store serves this process, as far as it knows. For a moment after an
-    /// interruption it counts as unserved, as its reads are doubtful: processes without an
-    /// interruption keep reading.
+    /// Returns whether the store serves this process, as far as the process can tell. For a moment
+    /// after an interruption the process counts as unserved, as its reads are doubtful: processes
+    /// without an interruption keep reading.
     pub fn access(&self) -> StoreAccess {
         let now = self.clock.now();
         let doubtful = |it: &ReadState| match it {
@@ -265,7 +265,7 @@
         let mut fresh = false;
         loop {
             if self.update_standby(table) {
-                // Peers keep the copy up to date, so later reads continue at its end.
+                // Peers keep the copy up to date, so later reads continue at the copy's end.
                 fresh = self.loaded(table);
                 actix_rt::time::sleep(STANDBY_PAUSE).await;
                 continue;
@@ -306,8 +306,9 @@
         }
     }
 
-    /// Returns the wait of one read, with jitter. Readers start to wait together, at the last
-    /// record, and spread waits let one of them soon detect that connections have gone silent.
+    /// Returns the wait of one read, with jitter. All readers start to wait at the same time, after
+    /// the last record. If their waits differ, one reader soon detects that connections have gone
+    /// silent.
     fn jittered_wait(&self, longest: Duration) -> Duration {
         let longest = longest.as_millis() as u64;
         let shortest = longest * SHORTEST_WAIT_PERCENT / 100;
@@ -330,8 +331,8 @@
         let reading = &mut self.read_states.borrow_mut()[index(table)];
         match (reads, *reading) {
             (false, _) => *reading = ReadState::Standby,
-            // Other readers without access say little about the store; the first read shows whether
-            // it is reachable.
+            // The store may be reachable although other readers have no access; the first read
+            // shows whether it is.
             (true, ReadState::Standby) => *reading = ReadState::Steady,
             (true, _) => {}
         }
@@ -418,8 +419,8 @@
     }
 
     /// Returns whether a removal may be an error of the store. The doubt counts from the time since
-    /// which the record is known to exist, and not from before an interruption, as it would end too
-    /// soon.
+    /// which the record is known to exist, but from no time before an interruption, as the doubt
+    /// would then end too soon.
     pub fn trust_in_removal(&self, table: Table, record: &Record) -> StoreTrust {
         let now = self.clock.now();
         let known = self.write_times.borrow()[index(table)].known_since(record.offset);
--- a/crates/gradeloft_gateway/src/node/write_times.rs
+++ b/crates/gradeloft_gateway/src/node/write_times.rs
@@ -21,13 +21,13 @@
 
 /// Pause between checks for a stall of the process.
 const TICK: Duration = Duration::from_millis(250);
-/// Pause between ticks from which the process counts as stalled, in milliseconds: four ticks, so
-/// that a lack of processor time alone does not count.
+/// Shortest pause between ticks that counts as a stall, in milliseconds: four ticks, so that a lack
+/// of processor time alone does not count.
 const STALL_MS: u64 = 1_000;
 /// Time after a stall for which a process that receives nothing treats its copies as stale, in
 /// milliseconds: far above the 0.4 s within which its peers send, if it has any.
 const STALE_MS: u64 = 1_000;
-/// Silence of all peers from which this process counts as cut off, in milliseconds: six intervals
+/// Silence of all peers after which this process counts as cut off, in milliseconds: six intervals
 /// between near entries' datagrams, and one and a half between an entry's datagrams to an agent.
 const SILENCE_MS: u64 = 750;
 
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// Checks for stalls of the process without end.
+    /// Checks continuously for stalls of the process.
     pub async fn detect_stalls(self: Rc<Node>) {
         loop {
             self.detect_stall();
@@ -89,8 +89,9 @@
         !informed && now < stall_end.after_ms(STALE_MS)
     }
 
-    /// Returns the time at which a record counts as written: before the interruption for a record
-    /// read after one, and no later than at the peer for a record that a peer sent.
+    /// Returns the time at which a record counts as written. For a record read after an
+    /// interruption, this is before the interruption; for one that a peer sent, no later than at
+    /// the peer.
     pub fn written_at(&self, table: Table, record: &Record) -> Time {
         let now = self.clock.now();
         let effective = self.write_times.borrow()[index(table)].effective_since(record.offset);
@@ -98,7 +99,7 @@
     }
 
     /// Returns the times for which this process's copies have not been confirmed complete by its
-    /// own reads, in milliseconds; the largest number for longer, and for copies that were never
+    /// own reads, in milliseconds; `u16::MAX` for longer times, and for copies that were never
     /// confirmed.
     pub(super) fn unconfirmed_ms(&self) -> [u16; 3] {
         let now = self.clock.now();
@@ -113,9 +114,9 @@
         })
     }
 
-    /// Notes the ends of a peer's copies, and the times for which they have not been confirmed by
-    /// the peer's own reads. As these are its own reads only, no report comes back to its sender as
-    /// new information.
+    /// Notes the ends of a peer's copies, and the times for which the copies have not been
+    /// confirmed by the peer's own reads. As the times cover own reads only, no report comes back
+    /// to its sender as new information.
     pub fn note_peer_copies(&self, ends: [u64; 3], unconfirmed_ms: [u16; 3]) {
         let now = self.clock.now();
         let mut activity_gaps = self.activity_gaps.borrow_mut();
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Returns the time since which a record counts as written, in milliseconds; the largest number
-    /// for longer.
+    /// Returns the age of a record, from the time at which it counts as written, in milliseconds;
+    /// `u16::MAX` for longer.
     pub(super) fn age_ms(&self, table: Table, record: &Record) -> u16 {
         let written = self.written_at(table, record);
         saturate(self.clock.now().since(written).as_millis() as u64)
--- a/crates/gradeloft_gateway/src/traffic.rs
+++ b/crates/gradeloft_gateway/src/traffic.rs
@@ -74,7 +74,8 @@
 }
 
 impl Reach {
-    /// Returns the reach by whether the other end is in the own region.
+    /// Returns the reach of a transfer; `near` is whether the other end is in this process's
+    /// region.
     pub fn of(near: bool) -> Reach {
         if near { Reach::Near } else { Reach::Far }
     }
--- a/crates/gradeloft_platform/src/fleet.rs
+++ b/crates/gradeloft_platform/src/fleet.rs
@@ -14,9 +14,9 @@
 
 use crate::CallFuture;
 
-/// Time after the end of a long poll's wait within which its response has to begin, if the store
-/// responds quickly. A write has to be in force within two seconds, which have to suffice for a
-/// wait of 1.3 s, this time, and a read without a wait on a new connection (0.3 s).
+/// Time after the end of a long poll's wait within which the response of a quick store has to
+/// begin. A write has to be in force within two seconds, which have to suffice for a wait of 1.3 s,
+/// this time, and a read without a wait on a new connection (0.3 s).
 pub const READ_GRACE: Duration = Duration::from_millis(400);
 
 /// The result of reading a table from an offset.
@@ -25,7 +25,7 @@
     /// The store has truncated the requested records, or they are too large for one read; a
     /// snapshot has to be read instead.
     Truncated,
-    /// The first records; a read from the end of these returns more.
+    /// The first records; a read from the end of this update returns more.
     Partial(Update),
     /// All records from the offset on; empty if none was written during the wait.
     Complete(Update),
@@ -56,8 +56,8 @@
 pub enum OperatorRecord {
     /// A version of the configuration.
     Config(Box<Document>),
-    /// The start or end of the evacuation of an availability zone: its replicas get no new
-    /// requests.
+    /// The start or end of the evacuation of an availability zone. Replicas of an evacuated zone
+    /// get no new requests.
     Evacuation {
         /// Availability zone.
         zone: String,
@@ -111,7 +111,7 @@
     pub model: &'a str,
     /// Version of the staged weights.
     pub version: u64,
-    /// Fencing token; engines refuse orders with a lower one than they have seen.
+    /// Fencing token; an engine refuses an order whose token is lower than one that it has seen.
     pub fence: u64,
     /// Whether running requests are cut off or finish first.
     pub running: RunningRequests,
--- a/crates/gradeloft_platform/src/lib.rs
+++ b/crates/gradeloft_platform/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`weights`]: the weight store and the origin.
 //!
 //! The other crates depend on the traits only, so an implementation can be replaced by one for
-//! another protocol without changes to them.
+//! another protocol without changes to the other crates.
 
 pub mod endpoint;
 pub mod fleet;
--- a/crates/gradeloft_wire/src/datagram.rs
+++ b/crates/gradeloft_wire/src/datagram.rs
@@ -161,7 +161,7 @@
     pub replica: u32,
     /// Number of requests in flight.
     pub running: u16,
-    /// Number of those whose response has not begun.
+    /// Number of requests in flight whose response has not begun.
     pub waiting: u16,
 }
 
@@ -174,6 +174,6 @@
     pub version: Option<u64>,
     /// Whether the replica accepts no requests because it is about to load weights.
     pub loading: bool,
-    /// Whether the instance's link is saturated, so that requests to the replica queue ahead of it.
+    /// Whether the instance's link is saturated, so that requests to the replica wait for the link.
     pub congested: bool,
 }
--- a/crates/gradeloft_wire/src/frame.rs
+++ b/crates/gradeloft_wire/src/frame.rs
@@ -108,7 +108,7 @@
     Piece {
         /// Attempt.
         request: RequestId,
-        /// Version whose weights made it; empty for services.
+        /// Version of the weights that generated the piece; empty for services.
         version: String,
         /// Sequence number, from 0 without gaps.
         seq: u64,
@@ -119,7 +119,7 @@
     End {
         /// Attempt.
         request: RequestId,
-        /// Version whose weights made it; empty for services.
+        /// Version of the weights that generated the response; empty for services.
         version: String,
         /// Number of pieces sent.
         count: u64,
@@ -131,7 +131,7 @@
     /// The server can't send the requested content now.
     Absent(Absence),
     /// Positions, among the manifest's distinct chunks, of the chunks that the server got since its
-    /// last such frame.
+    /// previous [`Reply::Have`].
     Have(Vec<u32>),
     /// Signed bundles, lowest number first.
     Bundles(Vec<SignedBundle>),
@@ -143,8 +143,8 @@
     Pieces(Vec<Digest>),
     /// Records of a table.
     Records {
-        /// Whether `rows` are the newest record of every key, instead of the records since the
-        /// offset.
+        /// Whether `rows` are the newest record of every key, instead of the records from the
+        /// requested offset on.
         snapshot: bool,
         /// Records in order of offset.
         rows: Vec<Row>,
@@ -194,7 +194,7 @@
     Deferred {
         /// Length of the value, in bytes.
         length: u64,
-        /// Digest of the whole value, by which parts from several peers are known to fit together.
+        /// Digest of the whole value, which shows whether parts from several peers fit together.
         digest: Digest,
     },
     /// The key is deleted.
@@ -232,7 +232,7 @@
     Leaving,
     /// The peer doesn't hold the content.
     NotHeld,
-    /// The peer is about to read the content from the origin, or doesn't know of it yet.
+    /// The peer is about to read the content from the origin, or doesn't know of the content yet.
     Pending,
 }
 
--- a/crates/gradeloft_wire/src/quarantine.rs
+++ b/crates/gradeloft_wire/src/quarantine.rs
@@ -4,9 +4,11 @@
 
 use crate::id::Fingerprint;
 
-/// Maximum number of crashes of a request that are sent and stored, far more than quarantine it.
+/// Maximum number of crashes of a request that are sent and stored, far above the number that
+/// quarantines the request.
 pub const MAX_CRASHES: usize = 16;
-/// Maximum number of suspects in one datagram. With [`MAX_CRASHES`] each, 120 bytes, they fill it.
+/// Maximum number of suspects in one datagram. Suspects with [`MAX_CRASHES`] each, 120 bytes, fill
+/// the datagram.
 pub const MAX_PER_DATAGRAM: usize = 10;
 
 /// A crash of a replica while it had a request.
@@ -24,7 +26,7 @@
 pub struct Suspect {
     /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Crashes, each start once.
+    /// Crashes, at most one for each start of a replica.
     pub crashes: Vec<Crash>,
     /// Time since the last crash, in milliseconds.
     pub age_ms: u32,
@@ -36,7 +38,7 @@
     /// Unix time of the last crash in milliseconds, by the clock of the entry that wrote the
     /// record.
     pub crashed_ms: u64,
-    /// Crashes, each start once.
+    /// Crashes, at most one for each start of a replica.
     pub crashes: Vec<Crash>,
 }
 
--- a/crates/gradeloft_wire/src/record.rs
+++ b/crates/gradeloft_wire/src/record.rs
@@ -66,7 +66,8 @@
 pub struct Turn {
     /// Number of the bundle in force when the record was written.
     pub number: u64,
-    /// Digest of the version's manifest; bundles that change something else keep it.
+    /// Digest of the version's manifest; a bundle that leaves the version unchanged keeps the
+    /// digest.
     pub manifest: Digest,
     /// Instance of the replica.
     pub node: String,
