--- a/crates/gradeloft_gateway/src/entry/attempt.rs
+++ b/crates/gradeloft_gateway/src/entry/attempt.rs
@@ -36,7 +36,7 @@
 /// Size of the largest response to an earlier request that is read and skipped, in bytes.
 const MAX_STALE_BYTES: usize = 256 << 10;
 
-/// Outcome of an attempt. Only [`AttemptOutcome::Silent`] allows it to go on.
+/// Outcome of an attempt. The attempt can go on only after [`AttemptOutcome::Silent`].
 pub enum AttemptOutcome {
     /// The complete response was sent to the caller. Carries the HTTP status.
     Answered(u16),
@@ -69,7 +69,7 @@
     pub silence_counted: bool,
     pub(super) connection: ReplicaConnection,
     pub(super) in_flight: InFlightGuard,
-    /// Forecast of the begin of the response; taken once the response begins.
+    /// Forecast of the time at which the response begins; taken out once it has begun.
     pub(super) forecast: Option<FirstTokenForecast>,
     stage: Stage,
 }
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Returns the time without data after which the request is hedged; `None` if silence must not
-    /// end the response, as no other replica could take over.
+    /// Returns the time without data after which the request is hedged; `None` if the attempt must
+    /// go on despite silence, as no other replica could continue the response.
     fn silence_timeout(&self, job: &Job) -> Option<Duration> {
         let used = job.progress.attempts + u32::from(!self.silence_counted);
         let may_retry = job.route.kind.repeatable() && used < job.progress.max_attempts;
@@ -321,7 +321,7 @@
                     if begin_by(entry, job, self.replica).is_some_and(|it| it <= now) {
                         return Err(AttemptOutcome::Failed(Failure::Outdated, None));
                     }
-                    // The replica has newer weights by now, or its response is about to be read.
+                    // The replica has newer weights by now, or data from it is about to be read.
                     timer.set(timers.sleep_until(silent_at.max(now.after_ms(wait::POLL_INTERVAL_MS))));
                 }
             }
@@ -399,15 +399,15 @@
     AttemptOutcome::Failed(failure, None)
 }
 
-/// Returns the time until which a request may wait at a replica before it is cancelled, as the
-/// weights there expire.
+/// Returns the time by which a waiting request is cancelled because the weights of its replica
+/// expire; `None` for no limit.
 fn begin_by(entry: &Entry, job: &Job, replica: ReplicaKey) -> Option<Time> {
     let time = entry.start_deadline(&job.service, replica);
     time.filter(|_| job.route.kind.repeatable())
 }
 
 /// Returns whether a response belongs to this request. A response without a request id is assumed
-/// to.
+/// to belong to it.
 fn belongs_to_request(entry: &Entry, job: &Job, head: &Response) -> bool {
     let name = entry.node.platform.headers.attempt_id;
     let echoed = head.fields.get(name);
--- a/crates/gradeloft_gateway/src/entry/connection.rs
+++ b/crates/gradeloft_gateway/src/entry/connection.rs
@@ -53,7 +53,8 @@
 pub async fn serve(entry: Rc<Entry>, stream: TcpStream) {
     let mut wire = Wire::accepted(stream);
     serve_requests(&entry, &mut wire).await;
-    // A caller that is slower than that has read the response or has disconnected.
+    // A caller that has not closed its side within `CLOSE_TIMEOUT` has read the response or has
+    // disconnected.
     entry
         .closing_connections
         .set(entry.closing_connections.get() + 1);
--- a/crates/gradeloft_gateway/src/entry/forward.rs
+++ b/crates/gradeloft_gateway/src/entry/forward.rs
@@ -42,7 +42,7 @@
     pub received: ReceivedRequest,
     /// Route by the configuration in force when the request was received.
     pub route: Route,
-    /// Service that was drawn at random from those of the route.
+    /// Service drawn at random from the services of the route.
     pub service: Rc<str>,
     /// Team that sent the request.
     pub team: Option<Rc<str>>,
@@ -306,7 +306,7 @@
     record_failure(entry, job, replica, failure);
 }
 
-/// Records a failure of an attempt that is counted already.
+/// Records the failure of an attempt that was already counted as failed.
 pub(super) fn record_failure(entry: &Entry, job: &mut Job, replica: ReplicaKey, failure: Failure) {
     job.failures.push(failure);
     let label = Reason {
@@ -322,7 +322,7 @@
     }
 }
 
-/// Returns the outcome of a request that is sent to no further replica.
+/// Returns the outcome of a request that will not be sent to any further replica.
 fn exhausted_outcome(job: &Job) -> Outcome {
     if job.head_sent {
         let abort_reason = job
@@ -348,8 +348,8 @@
     match outcome {
         Outcome::Answered(status) => {
             record_outcome(entry, &job, status, "answered", None);
-            // A connection that was announced as kept stays open, as the next request may be in
-            // transit.
+            // A connection that the response head announced as kept open stays open, as the
+            // caller's next request may be in transit.
             keep_or_close(!job.close_after_response)
         }
         Outcome::Cut(abort_reason) => {
@@ -471,8 +471,8 @@
     (crashed || quarantined).then(|| job.fingerprint())
 }
 
-/// Returns for how long the configuration has been behind that of peers, in milliseconds; -1 if it
-/// is not.
+/// Returns for how long the configuration has been behind that of peers, in milliseconds; -1 if the
+/// configuration is current.
 fn behind_ms(entry: &Entry) -> i64 {
     let behind = entry.node.behind(Table::Operator);
     behind.map_or(-1, |it| it.as_millis() as i64)
--- a/crates/gradeloft_gateway/src/entry/gossip.rs
+++ b/crates/gradeloft_gateway/src/entry/gossip.rs
@@ -1,7 +1,8 @@
 //! Datagrams that an entry sends, and their intervals.
 //!
 //! Entries of one region send each other their state. A few entries of a region ([`delegates`])
-//! send it to other regions, each time through one entry, which relays it within its own region.
+//! send the region's state to other regions: each message goes to one entry of the other region,
+//! which relays it there.
 //! Each kind of message has a bandwidth budget, so that an entry's traffic does not grow with the
 //! fleet.
 
@@ -37,8 +38,8 @@
 /// Gossip interval, and the shortest pause between messages of one kind.
 const ROUND: Duration = Duration::from_millis(125);
 /// Budget for state sent to the entries of the same region. Five entries send every eighth of a
-/// second, and thirty every 0.6 s; an entry fills its own share of the slots whatever others have
-/// sent.
+/// second, and thirty every 0.6 s. An entry fills its own share of the slots regardless of the
+/// state that others have sent.
 const NEAR_BUDGET: Budget = Budget {
     bytes_per_s: 6_000,
     shortest: ROUND,
@@ -56,22 +57,23 @@
 const AGENT_BYTES: usize = 90;
 /// Budget for the loads that an entry receives from all other regions. With 30 busy replicas in
 /// each of five regions, each delegate sends them every 0.5 s; with 330 in each of seven, every
-/// 5 s. A region of that size needs little capacity of others beyond the slots that they lend.
+/// 5 s. A region with 330 replicas needs little capacity of other regions beyond the slots that
+/// they lend.
 const FAR_LOADS_BUDGET: Budget = Budget {
     bytes_per_s: 5_000,
     shortest: Duration::from_millis(500),
     longest: Duration::from_millis(5_000),
 };
 /// Budget for the lists of entries that an entry receives from all other regions. The longest pause
-/// is such that both delegates send before they count as silent.
+/// is short enough for both delegates of a region to send before they count as silent.
 const FAR_MEMBERS_BUDGET: Budget = Budget {
     bytes_per_s: 3_000,
     shortest: Duration::from_millis(1_000),
     longest: Duration::from_millis(2_500),
 };
-/// Budget for the engine states that an entry receives from all other regions. All engines are sent
-/// only while that is cheap: those that close or reopen are sent in the next round, and the rest is
-/// in the platform's table.
+/// Budget for the engine states that an entry receives from all other regions. The states of all
+/// engines are sent only while this is cheap: engines that close or reopen are sent in the next
+/// round anyway, and the other states are in the platform's table.
 const FAR_ENGINES_BUDGET: Budget = Budget {
     bytes_per_s: 8_000,
     shortest: Duration::from_millis(1_000),
@@ -79,17 +81,17 @@
 };
 /// Rounds between requests to entries of which only the address is known.
 const UNIDENTIFIED_ROUNDS: u32 = 4;
-/// Number of rounds after a start in which those requests are sent every round, since seeds from
-/// the settings may start later.
+/// Number of rounds after a start in which state is requested in every round from entries of which
+/// only the address is known, since seeds from the settings may start later.
 const FIRST_ROUNDS: u32 = 24;
-/// Rounds between messages to one random entry of each other region. They keep regions known to
-/// each other if all delegates of a region, or the links between delegates, fail.
+/// Rounds between messages to one random entry of each other region. These messages keep regions
+/// known to each other if all delegates of a region, or the links between delegates, fail.
 const RANDOM_ROUNDS: u32 = 16;
 /// Rounds between messages that list other entries.
 const ROSTER_ROUNDS: u32 = 8;
 /// Most entries that one message lists.
 const MAX_LISTED: usize = 60;
-/// Most entries known only by address from which the state is requested in one round.
+/// Maximum number of entries, known only by address, whose state is requested in one round.
 const MAX_STATE_REQUESTS: usize = 8;
 /// Most loads in one datagram.
 const MAX_LOADS: usize = 150;
@@ -272,8 +274,8 @@
         messages
     }
 
-    /// Returns for each other region the entry that relays messages there in a round, and a random
-    /// entry.
+    /// Returns for each other region the entry that relays this region's messages there in a round,
+    /// and a random entry of that region.
     pub(super) fn relays(
         &self,
         round: usize,
@@ -358,7 +360,7 @@
 
     fn send_due_to_agents(&self, round: u32) {
         let switched = self.switched();
-        // Agents wait for each other during a version switch, and for the operator's records.
+        // During a version switch, agents wait for each other and for the operator's records.
         let state = (switched, self.node.end(Table::Operator));
         let changed = *self.sent_to_agents.borrow() != state;
         let mut agents = self.agents();
@@ -366,7 +368,7 @@
             if !changed {
                 return;
             }
-            // Otherwise every entry would send each change to every agent.
+            // Keeps every entry from sending each change to every agent.
             self.retain_informed(&mut agents);
         }
         self.sent_to_agents.replace(state);
@@ -465,7 +467,7 @@
     }
 }
 
-/// Returns whether a message with this pause is due in a round.
+/// Returns whether a message that is sent at intervals of `pause` is due in a round.
 fn is_due(round: u32, pause: Duration) -> bool {
     let rounds = pause.as_millis().div_ceil(ROUND.as_millis()) as u32;
     round.is_multiple_of(rounds.max(1))
--- a/crates/gradeloft_gateway/src/entry/hedge.rs
+++ b/crates/gradeloft_gateway/src/entry/hedge.rs
@@ -2,8 +2,8 @@
 //! silent.
 //!
 //! Silence alone does not fail an attempt: the replica may be slow, paused, or processing a long
-//! prompt, and its response is as good as any. Its connection stays open until another replica has
-//! begun to respond.
+//! prompt, and its response is as good as that of another replica. The connection to the silent
+//! replica stays open until another replica has begun to respond.
 
 use std::rc::Rc;
 
@@ -132,8 +132,8 @@
     attempt.close(entry, job);
 }
 
-/// Sends the request to a second replica, and keeps listening to the silent one until the second
-/// begins to respond.
+/// Sends the request to a second replica, and keeps listening to the silent replica until the
+/// second one begins to respond.
 async fn hedge(
     entry: &Rc<Entry>,
     caller: &mut Wire,
--- a/crates/gradeloft_gateway/src/entry/in_flight.rs
+++ b/crates/gradeloft_gateway/src/entry/in_flight.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Handles the restart of a replica: requests in flight at its previous start, `replaced`, get
-    /// no response any more.
+    /// Handles the restart of a replica: requests in flight at its previous start (`replaced`) no
+    /// longer get a response.
     pub(super) fn replica_restarted(&self, replaced: ReplicaKey) {
         let token = self.restart_tokens.borrow_mut().remove(&replaced);
         if let Some(log) = self.node.logs.line(Topic::State) {
@@ -45,8 +45,8 @@
         self.replica_ended(replaced, Evidence::StartedAgain);
     }
 
-    /// Drops the restart signals of replicas that are no longer listed; these finish the requests
-    /// in flight there.
+    /// Drops the restart signals of replicas that are no longer listed; such a replica finishes its
+    /// requests in flight.
     pub(super) fn prune_restart_tokens(&self) {
         let replicas = self.replicas.borrow();
         let mut restart_tokens = self.restart_tokens.borrow_mut();
--- a/crates/gradeloft_gateway/src/entry/lookup.rs
+++ b/crates/gradeloft_gateway/src/entry/lookup.rs
@@ -16,10 +16,10 @@
 use super::Entry;
 use crate::{node::Node, settings::Role};
 
-/// Time for which callers cache addresses, in seconds: short, so that they notice a shutdown within
-/// its grace period.
+/// Time for which callers cache addresses, in seconds: short, so that callers notice the shutdown
+/// of an entry within its grace period.
 const TTL_S: u64 = 2;
-/// Limits of each of these listeners.
+/// Limits of each listener for lookups, readiness or metrics.
 const LIMITS: Limits = Limits {
     header_bytes: 8 << 10,
     body_bytes: 1 << 10,
--- a/crates/gradeloft_gateway/src/entry/maintenance.rs
+++ b/crates/gradeloft_gateway/src/entry/maintenance.rs
@@ -17,7 +17,7 @@
 use crate::logs::Topic;
 
 /// Age from which load reports of other regions are ignored, in milliseconds: twice the longest
-/// pause between reports. Older reports have less weight before that
+/// pause between reports. Below this age, older reports have less weight
 /// (`slot_split::unseen_requests`).
 const FAR_LOADS_MAX_AGE_MS: u64 = 10_000;
 
@@ -72,9 +72,9 @@
         let far_loads = self.far_loads.borrow();
         let others = |replica: &Replica| {
             let region = settings.region(&replica.listing.zone);
-            // The load of a silent region is unknown. Its replicas of models count as full except
-            // for the slots that it lends, or all entries that are short of slots would send their
-            // overflow there.
+            // The load of a silent region is unknown. Its replicas of models are treated as full,
+            // except for the slots that it lends; otherwise all entries that are short of slots
+            // would send their overflow there.
             if replica.listing.has_model && !replica.near && !far_loads.has(region) {
                 return (replica.listing.slots, 0);
             }
--- a/crates/gradeloft_gateway/src/entry/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/mod.rs
@@ -5,7 +5,7 @@
 //! - [`connection`]: callers' connections.
 //! - [`forward`]: the life of one request, from route lookup to the end of its response.
 //! - [`gossip`]: datagrams that an entry sends, and their intervals.
-//! - `hedge`: an attempt, and a second one beside it while its replica is silent.
+//! - `hedge`: an attempt, and a hedge request to a second replica while the first one is silent.
 //! - [`in_flight`]: requests in flight at replicas.
 //! - [`lookup`]: address lookups, readiness and metrics.
 //! - [`maintenance`]: periodic recomputation and expiry of state.
@@ -83,9 +83,9 @@
     traffic::Purpose,
 };
 
-/// Longest wait of one long poll of the operator's table. A connection to the store may go silent
-/// for good, which shows only when a wait ends, and the operator's writes have to be in force
-/// within two seconds: see [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a
+/// Longest wait of one long poll of the operator's table. The operator's writes have to be in force
+/// within two seconds, and a connection to the store that has gone silent for good is detected only
+/// when a wait ends: see [`gradeloft_platform::fleet::READ_GRACE`]. While nothing is written, a
 /// reader makes 0.84 calls a second with this wait, and 0.25 with a wait of 4 s; each region has
 /// two readers.
 const OPERATOR_WAIT: Duration = Duration::from_millis(1_300);
@@ -97,13 +97,13 @@
 /// have to be in force, and long enough to batch several records into a read, as each read is
 /// billed.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between reads of the replicas' table, which is limited in the same way.
+/// Pause between reads of the replicas' table, limited for the same reasons as [`OPERATOR_PAUSE`].
 const REPLICAS_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between reads of the table of entries, which is limited in the same way.
+/// Pause between reads of the table of entries, limited for the same reasons as [`OPERATOR_PAUSE`].
 const ENTRIES_PAUSE: Duration = Duration::from_secs(1);
-/// Window of the request rate by which slots are split among entries, in seconds. Each entry
-/// computes the split by itself, and less random variation makes them agree better: 200 requests a
-/// second vary by 4 % over this window.
+/// Window over which the request rate is measured for splitting slots among entries, in seconds.
+/// Each entry computes the split by itself, and the results agree better if the rate varies less at
+/// random: 200 requests a second vary by 4 % over this window.
 const RATE_WINDOW_S: f64 = 3.0;
 /// Share of a replica's connection limit that all entries together use.
 const CONNECTIONS_SHARE: f64 = 0.85;
@@ -119,7 +119,7 @@
 /// Oldest versions of weights that a request may run on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OldestVersions {
-    /// Oldest version while a replica that holds it has room; `None` for any version.
+    /// Oldest version while a replica with at least this version has room; `None` for any version.
     pub preferred: Option<u64>,
     /// Oldest version in any case; `None` for any version.
     pub allowed: Option<u64>,
@@ -165,12 +165,12 @@
     sent_to_agents: RefCell<(Vec<SwitchedReplicas>, u64)>,
     /// Time of the first datagram from another entry.
     first_contact: Cell<Option<Time>>,
-    /// Whether this entry brought operator records into its region that the other entries there may
-    /// lack.
+    /// Whether this entry got operator records from the store or another region that other entries
+    /// of its region may lack.
     announce_pending: Cell<bool>,
     /// Number of rounds so far in which messages went to other regions.
     sent_to_regions: Cell<usize>,
-    /// Whether the log last reported that this entry leaves callers to other entries.
+    /// Whether the last logged freshness was that this entry leaves callers to other entries.
     logged_stale: Cell<bool>,
     /// Tokens that are cancelled when a replica restarts, for replicas that received requests.
     restart_tokens: RefCell<HashMap<ReplicaKey, CancellationToken>>,
@@ -178,7 +178,7 @@
     quarantine: QuarantineState,
     /// Number of callers' connections.
     open_connections: Cell<usize>,
-    /// Number of these that only the caller still has to close.
+    /// Number of callers' connections that only the caller still has to close.
     closing_connections: Cell<usize>,
     /// Set once the entry drains.
     drain: Cell<Option<Drain>>,
@@ -273,11 +273,11 @@
         }
     }
 
-    /// Decides how this entry treats callers, given the operator's records that peers have and it
-    /// lacks.
+    /// Decides how this entry treats callers, given the operator's records that its peers have and
+    /// this entry lacks.
     pub fn freshness(&self) -> Freshness {
-        // Keys may have been revoked and routes moved during the stall; other entries have the
-        // changes.
+        // Keys may have been revoked and routes changed while this process was stalled; other
+        // entries have these changes.
         if self.node.stale_after_stall() {
             return Freshness::Stale;
         }
@@ -307,8 +307,8 @@
     }
 
     /// Returns entry addresses for a caller, this entry's own first while it accepts callers. For a
-    /// host that is bound to some regions, these are entries of those regions and of the caller's,
-    /// unless none of them is ready.
+    /// host that is bound to some regions, returns entries of these regions and of the caller's
+    /// region, unless none of them is ready.
     pub fn addresses(&self, lookup: &Lookup) -> Vec<SocketAddr> {
         let allowed_regions = match self.config.borrow().as_ref() {
             Some(config) => config.allowed_regions_of_host(&lookup.host),
@@ -385,7 +385,8 @@
         self.replicas.borrow_mut().received(key, now);
     }
 
-    /// Returns the time since a caller's first attempt, given the time `left` to its deadline.
+    /// Returns the time since a caller's first attempt, given the time left to the caller's
+    /// deadline.
     pub fn caller_age(&self, route: &Rc<str>, left: Duration) -> Duration {
         let now = self.node.clock.now();
         self.caller_ages.borrow_mut().age(route, left, now)
--- a/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/crash.rs
@@ -16,7 +16,7 @@
 };
 
 /// Delays from the loss of a request to each probe of the replica's port. A process that ends
-/// closes its sockets one after the other, the listening one among them, so a single early probe
+/// closes its sockets one after the other, including the listening socket, so a single early probe
 /// can still find the port open.
 const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(300)];
 /// Time after the loss of a request, in milliseconds, during which other requests may still read
@@ -24,9 +24,9 @@
 const READ_GRACE_MS: u64 = 15;
 /// Connect timeout of a probe, the same as for requests.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time after the loss of a request, in milliseconds, within which the end of its replica counts as
-/// a crash under the request: the platform delists a replica 3.6 s after its last heartbeat, and
-/// entries learn of that a second later.
+/// Time after the loss of a request, in milliseconds, within which the end of its replica is blamed
+/// on the request: the platform delists a replica 3.6 s after its last heartbeat, and entries learn
+/// of the delisting a second later.
 const LOSS_WINDOW_MS: u64 = 6_000;
 
 /// Evidence that a start of a replica has ended.
@@ -82,8 +82,8 @@
         })
     }
 
-    /// Records a request that was lost with its connection, and probes whether that start of the
-    /// replica has ended.
+    /// Records a request that was lost with its connection, and probes whether the start of the
+    /// replica to which the request was sent has ended.
     pub(in crate::entry) fn record_lost_request(
         self: &Rc<Entry>,
         job: &mut Job,
@@ -119,7 +119,7 @@
         for after in PROBE_DELAYS {
             self.node.timers.sleep_until(lost_at.after(after)).await;
             if self.is_alive(start.key) {
-                // Only the connection failed.
+                // The replica is alive; only the connection failed.
                 let lost = self.quarantine.lost.borrow_mut().remove(&start.key);
                 drop(lost);
                 return;
@@ -147,8 +147,8 @@
             .is_some_and(|(lost, last_received)| lost.after_ms(READ_GRACE_MS) < last_received)
     }
 
-    /// Blames requests lost at replicas that are gone by now, and drops those whose loss is too
-    /// long ago.
+    /// Blames requests that were lost at replicas which are gone by now, and drops requests whose
+    /// loss is too long ago.
     pub(super) fn settle_lost_requests(&self, now: Time) {
         let replicas = self.replicas.borrow();
         let lost = self.quarantine.lost.borrow();
@@ -162,7 +162,8 @@
         let over = all.extract_if(|_, it| it.since.after_ms(LOSS_WINDOW_MS) <= now);
         let over: Vec<(ReplicaKey, LostRequests)> = over.collect();
         drop(all);
-        // Dropping the guards borrows `known`, so it happens after the other borrows have ended.
+        // Dropping the guards of exclusive attempts borrows `known`, so `over` is dropped after the
+        // other borrows have ended.
         drop(over);
     }
 
--- a/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/mod.rs
@@ -50,7 +50,8 @@
 };
 
 /// Maximum number of datagrams with suspects sent per gossip turn of an eighth of a second. After a
-/// mass failure there are more suspects than that; those with the most crashes go first.
+/// mass failure there are more suspects than fit; the suspects with the most crashes are sent
+/// first.
 const MAX_DATAGRAMS_PER_TURN: usize = 4;
 /// Bandwidth that an entry spends on gossip about suspects, beyond the first message of a turn.
 const GOSSIP_BUDGET: Budget = Budget {
@@ -59,7 +60,7 @@
     longest: Duration::from_millis(1_000),
 };
 /// Upper bound of the random delay before a reply to a peer with incomplete knowledge of a suspect,
-/// in milliseconds. Many entries could reply and one reply is enough.
+/// in milliseconds. Many entries could reply, but one reply is enough.
 const MAX_REPLY_DELAY_MS: u64 = 500;
 
 /// Guard of an exclusive attempt: while it exists, this entry sends no other copy of the suspect
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Returns whether this entry is the one that retries a quarantined request: a single one in
-    /// the fleet, as long as all entries have the same view of the membership.
+    /// Returns whether this entry is the one that retries a quarantined request. Only one entry in
+    /// the fleet does so, as long as all entries have the same view of the membership.
     fn is_retry_owner(&self, request: Fingerprint) -> bool {
         let own = roster::hash(&self.node.settings().address);
         let now = self.node.clock.now();
@@ -284,8 +285,8 @@
         self.quarantine.next_gossip_at.set(now.after(pause));
     }
 
-    /// Sends the suspects with the most crashes to an entry that has just started: the store, which
-    /// holds them, may be unavailable.
+    /// Sends the suspects with the most crashes to an entry that has just started, since the store,
+    /// which holds these suspects too, may be unavailable.
     pub(super) fn send_suspects_to(&self, newcomer: Ipv4Addr) {
         let now = self.node.clock.now();
         let known = self.quarantine.known.borrow();
@@ -303,7 +304,7 @@
             return;
         }
         let sender = Sender::Suspects {
-            // Keeps the receiver from relaying it to other entries.
+            // Keeps the receiver from relaying the message to other entries.
             relayed: true,
             suspects,
         };
--- a/crates/gradeloft_gateway/src/entry/quarantine/store.rs
+++ b/crates/gradeloft_gateway/src/entry/quarantine/store.rs
@@ -19,14 +19,14 @@
 /// Number of crashes from which a request is stored. The requests blamed for a single crash are
 /// mostly innocent, and each write to the store is billed.
 pub(super) const STORE_AT_CRASHES: usize = 2;
-/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that it learned
-/// from others and that is still missing in the store. The entry that observed the crash writes at
-/// once.
+/// Bounds of the random delay, in milliseconds, before an entry writes a suspect that other entries
+/// reported and that is still missing in the store. The entry that observed the crash writes the
+/// suspect at once.
 pub(super) const LEARNED_WRITE_DELAY_MS: (u64, u64) = (2_000, 4_000);
 /// Delay before a failed write is retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 700;
-/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record: wide, so
-/// that most entries find it deleted already.
+/// Bounds of the random delay, in milliseconds, before an entry deletes an expired record. They are
+/// far apart, so that most entries find the record deleted already.
 const DELETE_DELAY_MS: (u64, u64) = (1_000, 120_000);
 /// Maximum number of records per write.
 const MAX_RECORDS_PER_WRITE: usize = 32;
--- a/crates/gradeloft_gateway/src/entry/receive.rs
+++ b/crates/gradeloft_gateway/src/entry/receive.rs
@@ -49,8 +49,9 @@
             }
             _ => false,
         };
-        // State that lay in the socket during a stall is outdated, and each sender sends again
-        // within a second. The ends of copies, and crashes, stay true whenever they are received.
+        // State that waited in the socket while this process was stalled is outdated, and each
+        // sender sends its state again within a second. The ends of peers' table copies, and
+        // crashes, remain valid however late they are received.
         let current = self.node.datagrams_are_current();
         match &datagram.sender {
             Sender::Agent { .. } | Sender::Entry { .. } | Sender::Region { .. } if !current => {}
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Relays a message of another region to the entries of this region.
+    /// Relays a message from another region to the entries of this region.
     fn relay_datagram(&self, datagram: &Datagram) {
         let near: Vec<Ipv4Addr> = self
             .roster
@@ -179,7 +180,7 @@
         let settings = self.node.settings();
         let roster = self.roster.borrow();
         let near = roster.served(|zone| self.node.near(zone), now);
-        // Seeds are entries of this region, and reply within a moment.
+        // Seeds are left out: they are entries of this region, and a running seed replies at once.
         let listed = roster
             .unidentified()
             .filter(|it| !settings.seeds.contains(it));
@@ -305,6 +306,6 @@
 }
 
 /// Pause between reads of the replicas' table, per replica: all replicas change during a version
-/// switch, and each call to the store is billed. With 120 replicas it is 0.36 s, of the four
-/// seconds within which requests to a draining replica have to stop.
+/// switch, and each call to the store is billed. With 120 replicas the pause is 0.36 s, a part of
+/// the four seconds within which requests to a draining replica have to stop.
 const PAUSE_PER_REPLICA: Duration = Duration::from_millis(3);
--- a/crates/gradeloft_gateway/src/entry/refusal.rs
+++ b/crates/gradeloft_gateway/src/entry/refusal.rs
@@ -26,7 +26,7 @@
     Malformed,
     /// This process has not loaded the configuration yet.
     NoConfig,
-    /// No replica has capacity now; one may after this time.
+    /// No replica has capacity now; one may have capacity after this time.
     NoReplica(Duration),
     /// No route matches the host and path.
     NoRoute,
--- a/crates/gradeloft_gateway/src/entry/registration.rs
+++ b/crates/gradeloft_gateway/src/entry/registration.rs
@@ -1,4 +1,5 @@
-//! Registration of entries in the table of entries, by which later entries find their peers.
+//! Registration of entries in the table of entries, where entries that start later find their
+//! peers.
 //!
 //! All entries write to one partition of the store, which applies writes one at a time. So one
 //! entry of each region writes the rows of all entries there in one batch, and the others write
@@ -18,11 +19,12 @@
 
 /// Pause between checks for entries without a row.
 const CHECK_PAUSE: Duration = Duration::from_millis(500);
-/// Time after its first contact before which an entry writes no rows of others, in milliseconds:
-/// until then it knows only a few entries of its region, and often ranks first among these.
+/// Time after its first contact during which an entry writes no rows of other entries, in
+/// milliseconds: until then it knows only a few entries of its region, and often ranks first among
+/// them.
 const SETTLE_MS: u64 = 1_000;
-/// Shortest time after which an entry writes its own row, in milliseconds. It doubles with each
-/// failed write.
+/// Shortest time after which an entry writes its own row, in milliseconds. The time doubles with
+/// each failed write.
 const FIRST_PAUSE_MS: u64 = 4_000;
 /// Longest time after which an entry writes its own row, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 16_000;
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Returns whether this entry writes the rows of its whole region: the first in rank of those
-    /// that read the table.
+    /// Returns whether this entry writes the rows of its whole region: it does if it ranks
+    /// first among the region's entries that the store serves.
     fn is_region_writer(&self) -> bool {
         let now = self.node.clock.now();
         let settled = |it: Time| it.after_ms(SETTLE_MS) <= now;
@@ -104,8 +106,8 @@
         self.node.platform.store.write(rows.collect()).await
     }
 
-    /// Returns a time one to two pauses from now, with jitter so that entries which start together
-    /// write apart.
+    /// Returns a random time one to two pauses from now, so that entries which start together write
+    /// at different times.
     fn jittered_deadline(&self, pause_ms: u64) -> Time {
         let jittered = self
             .node
--- a/crates/gradeloft_gateway/src/entry/relay.rs
+++ b/crates/gradeloft_gateway/src/entry/relay.rs
@@ -35,7 +35,7 @@
 /// earlier.
 const MIN_SEND_TIME: Duration = Duration::from_secs(2);
 
-/// A complete response held in memory, in case no other replica gives a better one.
+/// A complete response, kept in memory in case no other replica gives a better one.
 pub struct BufferedResponse {
     head: Response,
     body: Bytes,
@@ -115,7 +115,7 @@
     pub(super) connection: &'a mut ReplicaConnection,
     /// Guard that counts the request as in flight at the replica.
     pub(super) in_flight: &'a InFlightGuard,
-    /// Forecast of the begin of the response; taken once the response begins.
+    /// Forecast of the time at which the response begins; taken out once it has begun.
     pub(super) forecast: &'a mut Option<FirstTokenForecast>,
 }
 
@@ -176,8 +176,8 @@
         self.head.keep_alive_ms()
     }
 
-    /// Returns the time without data after which another replica is selected; `None` if none could
-    /// continue.
+    /// Returns the time without data after which another replica is selected; `None` if no other
+    /// replica could continue the response.
     pub(super) fn silence_timeout(&self) -> Option<Duration> {
         match self.mode {
             RelayMode::Unbuffered => None,
--- a/crates/gradeloft_gateway/src/entry/selection.rs
+++ b/crates/gradeloft_gateway/src/entry/selection.rs
@@ -27,14 +27,14 @@
     CallerGone,
 }
 
-/// Waits until a replica may have capacity for a request that found none.
+/// Waits until a replica may have capacity for a request, after none had capacity.
 pub(super) async fn wait_for_capacity(
     entry: &Entry,
     caller: &mut Wire,
     job: &mut Job,
     now: Time,
 ) -> CapacityWait {
-    // Lets identical requests be tried while this one waits.
+    // Allows identical requests to be sent while this one waits.
     job.exclusive_attempt = None;
     let exclusions = count_exclusions(entry, job, now);
     job.exclusions = Some(exclusions);
--- a/crates/gradeloft_gateway/src/entry/table_updates.rs
+++ b/crates/gradeloft_gateway/src/entry/table_updates.rs
@@ -19,7 +19,7 @@
 use crate::{logs::Topic, node::tables::Source};
 
 /// Time before the deadline for new weights at which requests begin to prefer replicas with the new
-/// weights, if one has capacity, in milliseconds. The last replicas switch by then.
+/// weights, if one has capacity, in milliseconds. The last replicas switch by this time.
 const VERSION_PREFERRED_MS: u64 = 1_600;
 /// Time before the deadline for new weights at which requests begin to require the new weights, in
 /// milliseconds. A request is sent to a replica where it begins within its objective of 0.4 s, and
@@ -32,7 +32,7 @@
 const VERSION_WITHDRAWN_MS: u64 = 500;
 
 impl Entry {
-    /// Returns the oldest versions of weights on which a request to a service may begin now.
+    /// Returns the oldest versions of weights on which a request to a service may start now.
     pub fn oldest_versions(&self, service: &str) -> OldestVersions {
         let now = self.node.clock.now();
         let oldest = |named: &NamedVersions| OldestVersions {
@@ -69,8 +69,8 @@
         match table {
             Table::Entries => self.apply_entries(records),
             Table::Operator => {
-                // The entry that brings records into the region announces them at once, as regular
-                // datagrams come once a second in a large region.
+                // An entry that gets records from outside the region announces them at once, as
+                // entries of a large region send regular datagrams only once a second.
                 let brought = match self.node.source() {
                     Source::Store => true,
                     Source::Peer(peer) => !self.node.is_near_peer(peer),
--- a/crates/gradeloft_gateway/src/entry/uncertainty.rs
+++ b/crates/gradeloft_gateway/src/entry/uncertainty.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy)]
 struct OtherEntries {
     entries: usize,
-    /// Requests per second to all of them.
+    /// Requests per second that all of them receive.
     request_rate: f64,
-    /// Age of their load reports.
+    /// Age of the load reports of these entries.
     age: Duration,
 }
 
@@ -29,7 +29,7 @@
 pub(super) struct ServiceRates {
     /// All requests.
     pub(super) all: RequestRate,
-    /// Requests that don't go to a slot of this entry's share.
+    /// Requests that get no free slot of this entry's share.
     pub(super) overflow: RequestRate,
 }
 
