--- a/crates/gradeloft_policy/src/process/freshness.rs
+++ b/crates/gradeloft_policy/src/process/freshness.rs
@@ -14,8 +14,8 @@
 /// Share of the time limit for applying a configuration during which an entry that lacks it still
 /// accepts callers. The limit counts from the confirmation, which follows after peers hold the
 /// record. With a limit of 2 s this is 1.6 s, and entries of other regions announce the end of
-/// their copies at least every 0.5 s. These 1.6 s are well above the time that a usual change needs,
-/// or a large one over slow links, so entries seldom stop accepting callers.
+/// their copies at least every 0.5 s. These 1.6 s are well above the time of a usual change, or a
+/// large one over slow links, so entries seldom stop accepting callers.
 const STALE_AFTER: f64 = 0.8;
 
 /// Freshness of an entry's copy of the operator's records.
--- a/crates/gradeloft_policy/src/process/refresh.rs
+++ b/crates/gradeloft_policy/src/process/refresh.rs
@@ -1,7 +1,7 @@
 //! Schedules the reads of the operator's records by an agent.
 //!
 //! All agents of an availability zone learn of a new configuration at the same time, from the first
-//! entry that holds it. If they all read it at once, that entry would have to serve all of them.
+//! entry that holds it. If all of them read it at once, that entry would have to serve them all.
 
 use rand::Rng;
 
--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -135,7 +135,7 @@
     /// Whether the replica's availability zone is evacuated.
     pub evacuated: bool,
     /// Shortest interval between this entry's requests while the replica is cold; `None` if this
-    /// entry sends it no requests.
+    /// entry sends no requests to the replica.
     pub cold_pause: Option<Duration>,
     /// End of the replica's warm-up.
     cold_until: Time,
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Returns a short identifier of this start for messages to other processes. Among 2,300
-    /// replicas, one fleet in 1,600 has two with the same identifier, which then count as busier
-    /// than they are.
+    /// Returns a short identifier of this start for messages to other processes. One fleet of 2,300
+    /// replicas in 1,600 has two replicas with the same identifier, which then count as busier than
+    /// they are.
     pub fn hash(&self) -> u32 {
         let id = rendezvous::hash(self.listing.id.as_bytes());
         let start = self.starts.born().map(|it| rendezvous::score(id, it));
