--- a/crates/gradeloft_policy/src/process/replicas.rs
+++ b/crates/gradeloft_policy/src/process/replicas.rs
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Returns a short identifier of this start for messages to other processes. One fleet of 2,300
-    /// replicas in 1,600 has two replicas with the same identifier, which then count as busier than
-    /// they are.
+    /// Returns a short identifier of this start for messages to other processes. Of fleets with
+    /// 2,300 replicas, one in 1,600 has two replicas with the same identifier, which then count as
+    /// busier than they are.
     pub fn hash(&self) -> u32 {
         let id = rendezvous::hash(self.listing.id.as_bytes());
         let start = self.starts.born().map(|it| rendezvous::score(id, it));
