--- a/crates/gradeloft_policy/src/process/drain.rs
+++ b/crates/gradeloft_policy/src/process/drain.rs
@@ -1,19 +1,19 @@
 //! Handles callers while an entry shuts down.
 //!
 //! Callers keep an entry's address for seconds after its shutdown began, and connections for
-//! longer. The entry refuses their new requests without running them, so that they go to another
-//! entry at once: the other entries own the slots by then, and a refusal costs milliseconds. If no
-//! other entry accepts callers, the entry serves a request as long as the response is sure to be
-//! complete before the process ends, since a stream that breaks off costs its caller the whole time
-//! waited.
+//! longer. The entry refuses their new requests without running them, so that callers send them to
+//! another entry at once: the other entries own the slots by then, and a refusal costs
+//! milliseconds. If no other entry accepts callers, the entry serves only requests whose response
+//! is sure to be complete before the process ends: a stream that breaks off costs its caller the
+//! whole time waited.
 
 use crate::clock::Time;
 
 /// Time for which connections without a request stay open, in milliseconds: callers keep addresses
 /// for two seconds, and some for three times as long.
 const LINGER_MS: u64 = 3_500;
-/// Share of the grace period after which the process ends. It is killed at the end of the whole
-/// period, which counts from a signal that may have reached it late.
+/// Share of the grace period after which the process ends. The process is killed at the end of the
+/// whole period, which begins with a signal that may reach the process late.
 const GRACE_SHARE: f64 = 0.9;
 /// Time for a request to arrive on a connection that was just accepted or kept alive, in
 /// milliseconds.
--- a/crates/gradeloft_policy/src/process/warmup.rs
+++ b/crates/gradeloft_policy/src/process/warmup.rs
@@ -1,20 +1,21 @@
 //! Limits the requests to a cold replica.
 //!
 //! A cold replica crashes under a load that it tolerates once warm, and no process counts the
-//! requests of all entries. Therefore a few entries share its rate, each with an interval of its
-//! own, and the others send it nothing.
+//! requests of all entries. Therefore a few entries share the rate of the replica, each with an
+//! interval of its own, and the other entries send it no requests.
 
 use std::time::Duration;
 
 use crate::rendezvous;
 
-/// Fraction of a cold replica's rate by which the requests of one second may exceed it. Each sender
-/// may start a second with a request, so this is the number of senders per request a second.
+/// Largest excess of requests in one second over the rate of a cold replica, as a fraction of the
+/// rate. Each sender may start a second with a request, so this is also the number of senders per
+/// request a second.
 const OVERSHOOT: f64 = 0.5;
 
 /// Returns the shortest interval between two requests of the entry `own` to a cold replica that
 /// tolerates `per_s` requests a second, or `None` if the entry is not one of its senders. `others`
-/// are the other entries that may send to it.
+/// are the other entries that may send to the replica.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/gradeloft_policy/src/request/shortage.rs
+++ b/crates/gradeloft_policy/src/request/shortage.rs
@@ -9,8 +9,9 @@
 /// Time without a refusal after which a shortage has ended, in milliseconds: several times the
 /// interval between requests at one entry.
 const EPISODE_GAP_MS: u64 = 300;
-/// Time without a refusal after which a new shortage counts as momentary, in milliseconds: several
-/// times a typical latency objective, for which requests wait before the first refusal.
+/// Time without a refusal after which a new shortage is treated as momentary, in milliseconds. It
+/// is several times a typical latency objective, because requests wait for the length of the
+/// objective before the first refusal.
 const ACTIVE_MS: u64 = 2_000;
 /// Shortest delay before a retry, in milliseconds: about the time until a busy replica frees a
 /// slot.
@@ -25,8 +26,8 @@
 /// Current lack of capacity of a service, as seen by one entry.
 ///
 /// A shortage is likely to last as long again as it has lasted so far, so refused callers retry
-/// after that time: soon enough to be in time during a short one, and when it may be over during a
-/// long one.
+/// after that time. In a short shortage, the retry is soon enough to be in time; in a long one, it
+/// comes when the shortage may be over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Shortage {
     /// Times of the first and last refusal.
@@ -35,14 +36,15 @@
 
 impl Shortage {
     /// Returns whether callers were refused recently. Requests wait for room only in a momentary
-    /// shortage; in a lasting one they would displace later requests that can still be in time.
+    /// shortage; in a lasting shortage, waiting requests would displace later requests that can
+    /// still be in time.
     pub fn is_active(self, now: Time) -> bool {
         self.span
             .is_some_and(|(_, last)| now < last.after_ms(ACTIVE_MS))
     }
 
-    /// Records the refusal of a caller that has `left`, and returns the delay after which it may
-    /// retry.
+    /// Records the refusal of a caller whose remaining time is `left`, and returns the delay after
+    /// which the caller may retry.
     pub fn record_refusal(&mut self, left: Duration, now: Time, rng: &mut impl Rng) -> Duration {
         let since = match self.span {
             Some((since, last)) if now < last.after_ms(EPISODE_GAP_MS) => since,
